--- a/include/figmill/batch.h
+++ b/include/figmill/batch.h
@@ -1,16 +1,16 @@
 #pragma once
 
-// Batch jobs: parsing and acceptance, ownership, chunked work under a fencing
-// epoch, fair filling of the agents' ready queues, and commit exactly once. No
-// I/O: events with the time go in, actions come out.
+// Batch jobs: parsing and acceptance, ownership, processing in chunks under a
+// fencing epoch, fair scheduling of items to agents, and exactly-once commit of
+// results. No I/O: events with the current time go in, actions come out.
 //
-// How a job lasts: its items are cut into chunks, one object each; one
-// transaction creates the rows `job/<id>` and `open/<shard>/<id>` and so accepts
-// it. An owner claims the job by compare-and-set, which raises the job's epoch.
-// The results of a chunk are one object, named by one `chunk/<id>/<n>` row whose
-// transaction is conditioned on the version of the job's row. Claims and
-// cancellations write that row, so whoever was superseded can't commit, however
-// late it wakes; results that no row names don't exist.
+// Durability: a job's items are split into chunks, one object each. One
+// transaction creates the rows `job/<id>` and `open/<shard>/<id>` and thereby
+// accepts the job. An owner claims the job by compare-and-set, which increments
+// the job's epoch. The results of a chunk are one object, referenced by one
+// `chunk/<id>/<n>` row whose transaction is conditioned on the version of the
+// job's row. Claims and cancellations write that row, so a superseded owner can't
+// commit, however late it resumes. Results that no row references are ignored.
 
 #include <cstdint>
 #include <functional>
@@ -27,98 +27,102 @@
 
 namespace figmill {
 
-// --- Items and their upload --------------------------------------------------------
+// --- Items and job upload ----------------------------------------------------------
 
 inline constexpr std::uint32_t kMaxJobItems = 150'000;
-// A chunk is the unit of commit. At 770 M items a day and 256 items a chunk, 35
-// chunks a second are committed over the whole fleet.
+// A chunk is the unit of commit. At 770 M items per day and 256 items per chunk,
+// the whole fleet commits 35 chunks per second.
 inline constexpr std::uint32_t kMaxChunkItems = 256;
 inline constexpr std::size_t kMaxChunkBytes = 1U << 20;
-// Answers of a chunk may be estimated to have this many bytes, as its owner holds
-// them until they are committed.
+// Limit on the estimated total size of a chunk's answers, which the owner keeps in
+// memory until they are committed.
 inline constexpr std::size_t kMaxChunkAnswerBytes = 4U << 20;
-// Of one object with results; the platform takes 8 MB.
+// Size limit of one result object; the platform accepts up to 8 MB.
 inline constexpr std::size_t kMaxResultObjectBytes = 4U << 20;
-// A dead owner leaves at most this many not-repeatable items of a chunk with an
-// unknown outcome.
+// Bounds how many not-repeatable items of a chunk end with an unknown outcome when
+// the owner dies.
 inline constexpr std::uint32_t kMaxNotRepeatablePerChunk = 32;
 inline constexpr std::size_t kMaxJobIdLength = 64;  // request ids are built from it
 
 struct BatchItem {
   std::string custom_id;
-  ServiceName service;  // the body's "model", or named by the url
-  std::string path;     // at the backend server
+  ServiceName service;  // from the body's "model" or from the url
+  std::string path;     // request path on the backend server
   std::string body;     // JSON text
   bool repeatable = true;
-  std::uint32_t tokens = 0;  // most tokens the answer may have; 0 when unknown
+  std::uint32_t tokens = 0;  // maximum tokens of the answer; 0 when unknown
 };
 
-// NDJSON, one {custom_id, url, body, repeatable?} a line. Errors: kBadRequest
-// with the number of the line.
+// Parses NDJSON with one {custom_id, url, body, repeatable?} object per line.
+// Errors: kBadRequest with the line number.
 [[nodiscard]] Result<std::vector<BatchItem>> ParseItems(std::string_view text);
 
-// Whether the configuration lets calls of this service and path be repeated;
-// the stricter of this and the item's own word wins. Empty: it does.
+// Returns whether the configuration allows requests to this service and path to be
+// repeated. An item is repeatable only if both this rule and its own `repeatable`
+// field allow it. An empty function allows all.
 using RepeatableRule = std::function<bool(const ServiceName&, std::string_view path)>;
 
 struct ChunkEntry {
-  std::string digest;  // of the chunk's text, XXH3-128; names its object
+  std::string digest;  // XXH3-128 of the chunk's text; part of its object key
   std::uint32_t items = 0;
   bool operator==(const ChunkEntry&) const = default;
 };
 
-// What is kept of one item until its job is accepted: 16 bytes.
-struct ItemMark {
+// The state kept per item until its job is accepted: 16 bytes.
+struct ItemHashes {
   std::uint64_t custom_id_hash = 0;
   std::uint64_t content_hash = 0;
-  bool operator==(const ItemMark&) const = default;
+  bool operator==(const ItemHashes&) const = default;
 };
 
 struct PartIndex {
   std::vector<ChunkEntry> chunks;
-  std::vector<ItemMark> marks;
+  std::vector<ItemHashes> marks;
   bool operator==(const PartIndex&) const = default;
 };
 
 struct SplitPart {
   PartIndex index;
-  std::vector<std::string_view> texts;  // of the chunks, into the input
+  std::vector<std::string_view> texts;  // one per chunk; views into the input
 };
 
-// Checks every line and cuts the part into chunks. Errors: kBadRequest with the
-// line, kTooLarge.
+// Validates every line and splits the part into chunks. Errors: kBadRequest with
+// the line number, kTooLarge.
 [[nodiscard]] Result<SplitPart> SplitItems(std::string_view text, const RepeatableRule& rule = {});
 
-// Object codec of a part's index. Errors: kInternal when it can't be read.
+// Serializes a part's index as an object. Parse errors: kInternal when the bytes are
+// malformed.
 [[nodiscard]] std::string EncodePartIndex(const PartIndex& index);
 [[nodiscard]] Result<PartIndex> ParsePartIndex(std::string_view bytes);
 
-// The body of a job's PUT that names parts: {"parts": ["<digest>", ...]}, part n
-// at position n. Errors: kBadRequest.
+// Parses the body of a job's PUT that lists uploaded parts:
+// {"parts": ["<digest>", ...]}, part n at position n. Errors: kBadRequest.
 [[nodiscard]] Result<std::vector<std::string>> ParsePartsManifest(std::string_view body);
 
-// Gathers the parts' indexes. Memory: 16 bytes an item while the job is being
-// accepted, 0.2 bytes an item (one entry a chunk) afterwards.
+// Combines the indexes of a job's parts. Memory: 16 bytes per item while the job is
+// being accepted, 0.2 bytes per item (one entry per chunk) afterwards.
 class JobAssembly {
  public:
-  // Errors: kBadRequest when a custom_id comes twice, kTooLarge.
+  // Errors: kBadRequest for a duplicate custom_id, kTooLarge.
   Result<Ok> Add(const PartIndex& part);
-  // Over the items in order, team and due time; independent of how the items
-  // were divided into parts.
+  // Digest of the items in order, the team and the due time. Independent of how the
+  // items were divided into parts.
   [[nodiscard]] std::string ContentDigest(const TeamId& team, WallTime due) const;
   [[nodiscard]] const std::vector<ChunkEntry>& chunks() const { return chunks_; }
-  [[nodiscard]] std::uint32_t items() const { return static_cast<std::uint32_t>(marks_.size()); }
+  [[nodiscard]] std::uint32_t items() const {
+    return static_cast<std::uint32_t>(item_hashes_.size());
+  }
 
  private:
   std::vector<ChunkEntry> chunks_;
-  std::vector<ItemMark> marks_;
-  std::vector<std::uint64_t> sorted_ids_;
+  std::vector<ItemHashes> item_hashes_;
+  std::vector<std::uint64_t> sorted_id_hashes_;
 };
 
 [[nodiscard]] std::string EncodeManifest(std::span<const ChunkEntry> chunks);
 [[nodiscard]] Result<std::vector<ChunkEntry>> ParseManifest(std::string_view bytes);
 
-// 32 hexadecimal digits, XXH3-128.
+// The XXH3-128 of `bytes` as 32 hexadecimal digits.
 [[nodiscard]] std::string DigestOf(std::string_view bytes);
 
 // --- Rows and objects --------------------------------------------------------------
@@ -131,23 +135,23 @@
   JobState state = JobState::kRunning;
   TeamId team;
   WallTime due;
-  std::string digest;  // of the content
+  std::string digest;  // of the job's content
   std::uint32_t items = 0;
   std::uint32_t chunks = 0;
-  NodeId owner;           // empty: nobody's
+  NodeId owner;           // empty when the job has no owner
   Epoch owner_lease = 0;  // epoch of the owner's lease
-  Epoch epoch = 0;        // of the job; rises with every claim
+  Epoch epoch = 0;        // the job's fencing epoch, incremented by every claim
 };
 [[nodiscard]] std::string EncodeJobRow(const JobRow& row);
 [[nodiscard]] Result<JobRow> ParseJobRow(std::string_view value);
 
-// Intended: not-repeatable items of the chunk may have been sent under `epoch`.
+// kIntended: not-repeatable items of the chunk may have been sent under `epoch`.
 enum class ChunkState : std::uint8_t { kIntended, kDone };
 struct ChunkRow {
   Token token;
   ChunkState state = ChunkState::kDone;
   Epoch epoch = 0;
-  // The results are the objects `object`-0 to `object`-(pieces - 1), joined.
+  // The results are the concatenated objects `object`-0 to `object`-(pieces - 1).
   std::string object;
   std::uint32_t pieces = 1;
   std::uint32_t succeeded = 0;
@@ -156,37 +160,37 @@
 [[nodiscard]] std::string EncodeChunkRow(const ChunkRow& row);
 [[nodiscard]] Result<ChunkRow> ParseChunkRow(std::string_view value);
 
-// One for each job that still runs, so that a scan never meets finished jobs.
-struct OpenRow {
+// Index row of a running job, so that scans for open jobs skip finished ones.
+struct OpenJobRow {
   Token token;
   NodeId owner;
   Epoch owner_lease = 0;
 };
-[[nodiscard]] std::string EncodeOpenRow(const OpenRow& row);
-[[nodiscard]] Result<OpenRow> ParseOpenRow(std::string_view value);
+[[nodiscard]] std::string EncodeOpenJobRow(const OpenJobRow& row);
+[[nodiscard]] Result<OpenJobRow> ParseOpenJobRow(std::string_view value);
 
-inline constexpr std::uint32_t kOpenShards = 256;
+inline constexpr std::uint32_t kOpenJobShards = 256;
 [[nodiscard]] std::string JobKey(const JobId& job);
-[[nodiscard]] std::string OpenPrefix(std::uint32_t shard);
+[[nodiscard]] std::string OpenJobPrefix(std::uint32_t shard);
 [[nodiscard]] std::uint32_t ShardOf(const JobId& job);
-[[nodiscard]] std::string OpenKey(const JobId& job);
+[[nodiscard]] std::string OpenJobKey(const JobId& job);
 [[nodiscard]] std::string ChunkPrefix(const JobId& job);
 [[nodiscard]] std::string ChunkKey(const JobId& job, std::uint32_t chunk);
 [[nodiscard]] std::string PartObject(const JobId& job, std::uint32_t part, std::string_view digest);
 [[nodiscard]] std::string ItemsObject(const JobId& job, std::string_view chunk_digest);
-[[nodiscard]] std::string ManifestObject(const JobId& job, std::string_view content_digest);
+[[nodiscard]] std::string ManifestObjectKey(const JobId& job, std::string_view content_digest);
 
-// What the chunk rows of a job say. Rows come in key order.
+// The progress recorded in a job's chunk rows, which must be in key order.
 struct JobProgress {
   std::uint32_t succeeded = 0;
   std::uint32_t failed = 0;
-  std::vector<std::string> objects;  // with results, in item order
+  std::vector<std::string> objects;  // keys of the result objects, in item order
 };
 [[nodiscard]] JobProgress ProgressOf(std::span<const Row> chunk_rows);
 
 // --- Store calls -------------------------------------------------------------------
 
-// Names one store call; its answer carries the same number.
+// Identifies one store call; its response carries the same number.
 using OpId = std::uint64_t;
 
 struct BatchCommit {
@@ -235,7 +239,7 @@
 using StoreAnswer =
     std::variant<BatchCommitted, BatchRowRead, BatchScanned, BatchPutDone, BatchGot>;
 
-// The wish to retry needs time to pass: call again with a Tick after this.
+// Interval at which the caller must invoke Tick(), which drives retries.
 inline constexpr Duration kBatchTick{100'000};
 
 // --- Acceptance and cancellation ---------------------------------------------------
@@ -246,7 +250,7 @@
   WallTime due;
 };
 
-// `created` is false when the same job had been accepted before.
+// `created` is false when an identical job had already been accepted.
 struct JobAccepted {
   JobRow row;
   bool created = false;
@@ -257,36 +261,36 @@
 class CancellationCore;
 }  // namespace detail
 
-// Makes one job last, then says so. Feed it every answer to its calls, and
-// Tick() every kBatchTick, until `outcome()` has a value.
+// Stores one job durably and then reports its acceptance. Pass every response to its
+// calls to Handle(), and call Tick() every kBatchTick, until `outcome()` has a value.
 class JobAcceptance {
  public:
-  // `give_up`: when to stop asking for the fate of a lost answer.
-  JobAcceptance(JobRequest request, const JobAssembly& assembly, Time give_up,
+  // After `deadline`, a commit whose response was lost is no longer resolved.
+  JobAcceptance(JobRequest request, const JobAssembly& assembly, Time deadline,
                 const RandomBits& random);
   ~JobAcceptance();
   [[nodiscard]] std::vector<StoreCall> Start(Time now);
   [[nodiscard]] std::vector<StoreCall> Handle(const StoreAnswer& answer, Time now);
   [[nodiscard]] std::vector<StoreCall> Tick(Time now);
-  // Errors: kConflict (same id, other content), kStoreUnavailable with `ran` no
-  // (nothing was written) or unknown (send it again: the same id and content are
-  // the same job).
+  // Errors: kConflict (same id, different content), kStoreUnavailable with `ran` no
+  // (nothing was written) or unknown (retry: the same id and content identify the
+  // same job).
   [[nodiscard]] const std::optional<Result<JobAccepted>>& outcome() const;
 
  private:
   std::unique_ptr<detail::AcceptanceCore> core_;
 };
 
-// Ends one job by compare-and-set on its row. Ending an ended job changes
-// nothing and gives its state.
+// Cancels one job by compare-and-set on its row. For a job that is no longer
+// running, it changes nothing and returns the job's row.
 class JobCancellation {
  public:
-  JobCancellation(JobId job, Time give_up, RandomBits random);
+  JobCancellation(JobId job, Time deadline, RandomBits random);
   ~JobCancellation();
   [[nodiscard]] std::vector<StoreCall> Start(Time now);
   [[nodiscard]] std::vector<StoreCall> Handle(const StoreAnswer& answer, Time now);
   [[nodiscard]] std::vector<StoreCall> Tick(Time now);
-  // The row as it now stands. Errors: kNotFound, kStoreUnavailable with `ran` no
+  // The current row of the job. Errors: kNotFound, kStoreUnavailable with `ran` no
   // or unknown.
   [[nodiscard]] const std::optional<Result<JobRow>>& outcome() const;
 
@@ -294,25 +298,25 @@
   std::unique_ptr<detail::CancellationCore> core_;
 };
 
-// --- Filling the agents' ready queues ------------------------------------------------
+// --- Scheduling items to agents ------------------------------------------------------
 
 struct BatchAgent {
   NodeId node;
   Incarnation incarnation = 0;
   std::vector<ServiceName> serves;
-  bool leaving = false;  // finishes its streams, gets no new ones
+  bool leaving = false;  // finishes its streams but accepts no new ones
   bool operator==(const BatchAgent&) const = default;
 };
 
-// One item that waits for an agent.
+// An item that is ready to be assigned to an agent.
 struct ReadyItem {
   JobId job;
-  std::uint32_t index = 0;  // in the job
+  std::uint32_t index = 0;  // position in the job
   TeamId team;
   WallTime due;
   ServiceName service;
-  std::uint32_t cost = 1;  // tokens, prompt and answer, as estimated
-  NodeId avoid;            // agent that failed it last
+  std::uint32_t cost = 1;  // estimated tokens of prompt and answer
+  NodeId avoid;            // agent of the last failed attempt
 };
 
 struct Assignment {
@@ -322,52 +326,52 @@
 };
 
 // Deficit round robin over the teams of a service, earliest due first within a
-// team; agents get as much as the room they report, so that a gap in online
-// work finds batch items waiting beside the backend server.
-class FillScheduler {
+// team. Agents get as many items as the free slots they report, so that batch items
+// are already queued at the agent when online load drops.
+class ItemScheduler {
  public:
   void SetAgents(std::span<const BatchAgent> agents);
   void Add(ReadyItem item);
   void RemoveJob(const JobId& job);
-  // Queued items of a team that some agent could serve.
+  // Number of a team's queued items whose service some agent serves.
   [[nodiscard]] std::size_t ReadyOf(const TeamId& team) const;
-  // Queued items of a job that no agent serves now.
-  [[nodiscard]] std::size_t StuckOf(const JobId& job) const;
+  // Number of a job's queued items whose service no agent serves.
+  [[nodiscard]] std::size_t UnservedOf(const JobId& job) const;
 
-  // The next item and its agent, or nothing while no agent has room.
+  // The next item and its agent, or nothing while no agent has a free slot.
   [[nodiscard]] std::optional<Assignment> Next(Time now);
 
-  // What came of an assignment: `room` further items fit at the agent.
-  void OnRoom(const NodeId& agent, std::uint32_t room);
+  // Feedback on assignments. `free_slots`: how many more items the agent can accept.
+  void OnFreeSlots(const NodeId& agent, std::uint32_t free_slots);
   void OnEnded(const NodeId& agent);
   void OnRefused(const NodeId& agent, Duration retry_after, Time now);
   void OnFailed(const NodeId& agent, Time now);
 
  private:
   struct Agent {
-    BatchAgent about;
+    BatchAgent info;
     bool present = false;
-    std::uint32_t window = 0;  // items that may be there at once
+    std::uint32_t window = 0;  // maximum items in flight
     std::uint32_t in_flight = 0;
     Time blocked_until;
-    Duration backoff{0};  // 0: its last item went well
+    Duration backoff{0};  // 0 when its last item did not fail
   };
-  struct Queue {  // of one team for one service
+  struct Queue {  // one team's items for one service
     TeamId team;
     std::vector<ReadyItem> items;  // heap, earliest due on top
     std::uint64_t deficit = 0;     // tokens
   };
   struct Service {
     ServiceName name;
-    std::vector<Queue> ring;
-    std::size_t turn = 0;
+    std::vector<Queue> queues;
+    std::size_t next_queue = 0;
   };
 
-  [[nodiscard]] bool Served(const ServiceName& service) const;
+  [[nodiscard]] bool IsServed(const ServiceName& service) const;
   [[nodiscard]] Agent* BestAgent(const ServiceName& service, const NodeId& avoid, Time now);
   [[nodiscard]] Agent* Find(const NodeId& agent);
   [[nodiscard]] static Queue* NextQueue(Service& service);
-  [[nodiscard]] std::optional<Assignment> NextOf(Service& service, Time now);
+  [[nodiscard]] std::optional<Assignment> NextForService(Service& service, Time now);
 
   std::vector<Agent> agents_;
   std::vector<Service> services_;
@@ -377,13 +381,13 @@
 // --- The owner ---------------------------------------------------------------------
 
 struct BatchLimits {
-  int max_attempts = 5;  // of one item, before it ends as failed
+  int max_attempts = 5;  // attempts of one item before it ends as failed
   std::uint32_t max_open_chunks = 64;
-  std::size_t max_held_bytes = 24U << 20;  // items and results not yet committed
-  std::uint32_t ready_per_team = 128;      // kept ready by opening chunks ahead
+  std::size_t max_held_bytes = 24U << 20;    // items and uncommitted results in memory
+  std::uint32_t ready_items_per_team = 128;  // ready items to prefetch for each team
 };
 
-// A whole answer of the backend server.
+// A complete answer of the backend server.
 struct ItemAnswer {
   int status = 0;
   std::string body;
@@ -392,35 +396,37 @@
 
 // Events.
 struct BatchTick {};
-// The process's owner lease is good until `act_until`; renewals repeat it.
+// This process holds its owner lease until `valid_until`. Repeated for every renewal.
 struct OwnerLeaseHeld {
   Epoch epoch = 0;
-  Time act_until;
+  Time valid_until;
 };
 struct OwnerLeaseLost {};
-// A renewal failed because the store is down. While this goes on, nobody can
-// take over, so that repeatable items of open chunks go on past `act_until`.
+// A lease renewal failed because the store is down. No other process can take over
+// during the outage, so repeatable items of open chunks are still sent after
+// `valid_until`.
 struct StoreSilent {};
-// The lease of `owner` was seen silent for a term, or has moved past `epoch`.
+// The lease of `owner` was not renewed for a full term, or its epoch has advanced
+// past `epoch`.
 struct OwnerLapsed {
   NodeId owner;
   Epoch epoch = 0;
 };
 struct FleetSeen {
-  std::vector<NodeId> entries;  // alive, not leaving, this one included
+  std::vector<NodeId> entries;  // alive and not leaving, including this process
   std::vector<BatchAgent> agents;
   RepeatableRule repeatable;
 };
-// Somebody changed the job's row, such as by a cancellation.
+// Another process changed the job's row, for example by a cancellation.
 struct JobChanged {
   JobId job;
 };
-// Finish what is open, hand the jobs over, then say BatchDrained.
+// Finish the open chunks, release the jobs, then emit BatchDrained.
 struct DrainBatch {};
-// From the head of an answer.
+// The head of an answer arrived.
 struct ItemStarted {
   RequestId request;
-  std::uint32_t room = 0;
+  std::uint32_t free_slots = 0;  // how many more items the agent can accept
 };
 struct ItemEnded {
   RequestId request;
@@ -441,7 +447,7 @@
   std::uint32_t index = 0;
   BatchItem item;
 };
-// Stop the stream; no ItemEnded is wanted for it any more.
+// Cancel the request's stream. A later ItemEnded for it is ignored.
 struct CancelItem {
   RequestId request;
   NodeId agent;
@@ -452,12 +458,12 @@
   Epoch epoch = 0;
   auto operator<=>(const OwnerToWatch&) const = default;
 };
-// Exactly these leases are to be watched now; it replaces the earlier list.
+// The complete list of leases to watch; replaces the previous list.
 struct WatchOwners {
   std::vector<OwnerToWatch> owners;
 };
 struct BatchDrained {};
-// For logs and counters.
+// A job's change of ownership or state, for logs and counters.
 struct JobNote {
   enum class What : std::uint8_t { kClaimed, kDone, kCancelled, kFenced, kReleased };
   JobId job;
@@ -480,7 +486,7 @@
 class OwnerCore;
 }
 
-// Owns this process's share of the jobs.
+// Claims and processes this process's share of the jobs.
 class BatchOwner {
  public:
   BatchOwner(NodeId self, BatchLimits limits, RandomBits random);
--- a/src/batch/acceptance.cc
+++ b/src/batch/acceptance.cc
@@ -5,12 +5,12 @@
 
 class AcceptanceCore {
  public:
-  AcceptanceCore(JobRequest request, const JobAssembly& assembly, Time give_up,
+  AcceptanceCore(JobRequest request, const JobAssembly& assembly, Time deadline,
                  const RandomBits& random)
       : job_(std::move(request.job)),
         manifest_(EncodeManifest(assembly.chunks())),
-        store_(give_up),
-        commits_(store_, give_up) {
+        store_(deadline),
+        commits_(store_, deadline) {
     row_.token = FreshToken(random);
     row_.digest = assembly.ContentDigest(request.team, request.due);
     row_.team = std::move(request.team);
@@ -20,9 +20,9 @@
   }
 
   void Start() {
-    store_.Put(ManifestObject(job_, row_.digest), std::move(manifest_), Retry::kNo,
+    store_.Put(ManifestObjectKey(job_, row_.digest), std::move(manifest_), Retry::kNo,
                [this](const Result<Ok>& stored) {
-                 if (IsOk(stored)) return CommitRow();
+                 if (IsOk(stored)) return CommitJobRow();
                  outcome_ = Error{ErrorKind::kStoreUnavailable, ErrorOf(stored).detail, Ran::kNo};
                });
   }
@@ -32,24 +32,24 @@
   [[nodiscard]] const std::optional<Result<JobAccepted>>& outcome() const { return outcome_; }
 
  private:
-  // The job is accepted by its row alone: what was put before it is harmless
-  // when the row never comes.
-  void CommitRow() {
+  // Writing the job's row is what accepts the job. Objects stored before are unused if
+  // the row is never written.
+  void CommitJobRow() {
     CommitRequest request;
     request.conditions = {RowCondition{JobKey(job_), 0}};
     request.writes = {PutRow{JobKey(job_), EncodeJobRow(row_)},
-                      PutRow{OpenKey(job_), EncodeOpenRow(OpenRow{row_.token, {}, 0})}};
-    request.proof = JobKey(job_);
+                      PutRow{OpenJobKey(job_), EncodeOpenJobRow(OpenJobRow{row_.token, {}, 0})}};
+    request.token_key = JobKey(job_);
     request.token = row_.token;
     request.done = [this](const CommitResult& result) {
       std::visit(Overloaded{
                      [this](const Applied&) {
                        outcome_ = JobAccepted{row_, true};
                      },
-                     [this](const Superseded&) { Compare(); },
-                     [this](const GaveUp& gave_up) {
-                       outcome_ = Error{ErrorKind::kStoreUnavailable, gave_up.why,
-                                        gave_up.unknown ? Ran::kUnknown : Ran::kNo};
+                     [this](const Superseded&) { CompareWithExisting(); },
+                     [this](const CommitFailed& failure) {
+                       outcome_ = Error{ErrorKind::kStoreUnavailable, failure.reason,
+                                        failure.outcome_unknown ? Ran::kUnknown : Ran::kNo};
                      },
                  },
                  result);
@@ -57,8 +57,8 @@
     commits_.Submit(std::move(request));
   }
 
-  // There is a job of this id: the same one when its content is the same.
-  void Compare() {
+  // A job with this id exists; it is the same job if its content digest is equal.
+  void CompareWithExisting() {
     store_.Read(JobKey(job_), [this](const Result<std::optional<Row>>& answer) {
       if (!IsOk(answer) || !ValueOf(answer)) {
         outcome_ = Error{ErrorKind::kStoreUnavailable, "the job's row can't be read", Ran::kNo};
@@ -86,11 +86,11 @@
 
 class CancellationCore {
  public:
-  CancellationCore(JobId job, Time give_up, RandomBits random)
+  CancellationCore(JobId job, Time deadline, RandomBits random)
       : job_(std::move(job)),
         random_(std::move(random)),
-        store_(give_up),
-        commits_(store_, give_up) {}
+        store_(deadline),
+        commits_(store_, deadline) {}
 
   void Start() {
     store_.Read(JobKey(job_), [this](const Result<std::optional<Row>>& answer) {
@@ -120,17 +120,17 @@
     row.state = JobState::kCancelled;
     CommitRequest request;
     request.conditions = {RowCondition{found.key, found.version}};
-    request.writes = {PutRow{found.key, EncodeJobRow(row)}, DeleteRow{OpenKey(job_)}};
-    request.proof = found.key;
+    request.writes = {PutRow{found.key, EncodeJobRow(row)}, DeleteRow{OpenJobKey(job_)}};
+    request.token_key = found.key;
     request.token = row.token;
     request.done = [this, row](const CommitResult& result) {
       std::visit(Overloaded{
                      [&](const Applied&) { outcome_ = row; },
-                     // An owner claimed or finished the job meanwhile: look again.
+                     // An owner claimed or finished the job meanwhile, so read its row again.
                      [this](const Superseded&) { Start(); },
-                     [this](const GaveUp& gave_up) {
-                       outcome_ = Error{ErrorKind::kStoreUnavailable, gave_up.why,
-                                        gave_up.unknown ? Ran::kUnknown : Ran::kNo};
+                     [this](const CommitFailed& failure) {
+                       outcome_ = Error{ErrorKind::kStoreUnavailable, failure.reason,
+                                        failure.outcome_unknown ? Ran::kUnknown : Ran::kNo};
                      },
                  },
                  result);
@@ -151,28 +151,28 @@
 std::vector<StoreCall> StartCore(Core& core, Time now) {
   core.store().Tick(now);
   core.Start();
-  return core.store().Take();
+  return core.store().TakeCalls();
 }
 
 template <typename Core>
 std::vector<StoreCall> HandleCore(Core& core, const StoreAnswer& answer, Time now) {
   core.store().Handle(answer, now);
-  return core.store().Take();
+  return core.store().TakeCalls();
 }
 
 template <typename Core>
 std::vector<StoreCall> TickCore(Core& core, Time now) {
   core.store().Tick(now);
   core.commits().Tick(now);
-  return core.store().Take();
+  return core.store().TakeCalls();
 }
 
 }  // namespace
 }  // namespace detail
 
-JobAcceptance::JobAcceptance(JobRequest request, const JobAssembly& assembly, Time give_up,
+JobAcceptance::JobAcceptance(JobRequest request, const JobAssembly& assembly, Time deadline,
                              const RandomBits& random)
-    : core_(std::make_unique<detail::AcceptanceCore>(std::move(request), assembly, give_up,
+    : core_(std::make_unique<detail::AcceptanceCore>(std::move(request), assembly, deadline,
                                                      random)) {}
 JobAcceptance::~JobAcceptance() = default;
 std::vector<StoreCall> JobAcceptance::Start(Time now) {
@@ -188,9 +188,9 @@
   return core_->outcome();
 }
 
-JobCancellation::JobCancellation(JobId job, Time give_up, RandomBits random)
-    : core_(
-          std::make_unique<detail::CancellationCore>(std::move(job), give_up, std::move(random))) {}
+JobCancellation::JobCancellation(JobId job, Time deadline, RandomBits random)
+    : core_(std::make_unique<detail::CancellationCore>(std::move(job), deadline,
+                                                       std::move(random))) {}
 JobCancellation::~JobCancellation() = default;
 std::vector<StoreCall> JobCancellation::Start(Time now) {
   return detail::StartCore(*core_, now);
--- a/src/batch/answers.cc
+++ b/src/batch/answers.cc
@@ -14,7 +14,7 @@
   return item.path == "/v1/completions" || item.path == "/v1/chat/completions";
 }
 
-std::uint64_t AnsweredTokens(const Json& body) {
+std::uint64_t CompletionTokens(const Json& body) {
   const auto usage = body.find("usage");
   if (usage == body.end() || !usage->is_object()) return 0;
   const auto tokens = usage->find("completion_tokens");
@@ -29,47 +29,47 @@
     if (!choice.is_object()) return false;
     const auto reason = choice.find("finish_reason");
     if (reason == choice.end() || !reason->is_string()) return false;
-    const std::uint64_t tokens = AnsweredTokens(body);
+    const std::uint64_t tokens = CompletionTokens(body);
     if (*reason == "length" && tokens > 0 && tokens < item.tokens) return false;
   }
   return true;
 }
 
-std::string Line(Json json) {
-  // Bytes that are no UTF-8 are replaced: the results must stay readable.
+std::string FormatLine(Json json) {
+  // Invalid UTF-8 is replaced so that the results remain parseable.
   return json.dump(-1, ' ', false, Json::error_handler_t::replace) + '\n';
 }
 
 }  // namespace
 
-Verdict Judge(const BatchItem& item, const ItemAnswer& answer) {
+AnswerClass ClassifyAnswer(const BatchItem& item, const ItemAnswer& answer) {
   if (answer.status >= 500 || answer.status == kRequestTimeout ||
       answer.status == kTooManyRequests) {
-    return Verdict::kRetry;
+    return AnswerClass::kRetryable;
   }
-  if (answer.status < 200 || answer.status >= 300) return Verdict::kFinal;
-  if (!IsModelCall(item)) return Verdict::kSuccess;
-  return IsFinished(item, Json::parse(answer.body, nullptr, false)) ? Verdict::kSuccess
-                                                                    : Verdict::kRetry;
+  if (answer.status < 200 || answer.status >= 300) return AnswerClass::kPermanentFailure;
+  if (!IsModelCall(item)) return AnswerClass::kSuccess;
+  return IsFinished(item, Json::parse(answer.body, nullptr, false)) ? AnswerClass::kSuccess
+                                                                    : AnswerClass::kRetryable;
 }
 
 std::string AnswerLine(std::uint32_t index, const BatchItem& item, const ItemAnswer& answer) {
   Json body = Json::parse(answer.body, nullptr, false);
   if (body.is_discarded()) body = answer.body;
-  return Line({{"index", index},
-               {"custom_id", item.custom_id},
-               {"response", {{"status_code", answer.status}, {"body", std::move(body)}}}});
+  return FormatLine({{"index", index},
+                     {"custom_id", item.custom_id},
+                     {"response", {{"status_code", answer.status}, {"body", std::move(body)}}}});
 }
 
 std::string FailureLine(std::uint32_t index, const BatchItem& item, const Error& error,
                         int attempts) {
-  return Line({{"index", index},
-               {"custom_id", item.custom_id},
-               {"error",
-                {{"kind", RowOf(error.kind).name},
-                 {"detail", error.detail},
-                 {"ran", ToString(error.ran)},
-                 {"attempts", attempts}}}});
+  return FormatLine({{"index", index},
+                     {"custom_id", item.custom_id},
+                     {"error",
+                      {{"kind", RowOf(error.kind).name},
+                       {"detail", error.detail},
+                       {"ran", ToString(error.ran)},
+                       {"attempts", attempts}}}});
 }
 
 }  // namespace figmill::detail
--- a/src/batch/answers.h
+++ b/src/batch/answers.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Judges answers of backend servers and writes the lines of a job's results.
+// Classifies answers of backend servers and formats the lines of a job's results.
 
 #include <string>
 
@@ -8,18 +8,18 @@
 
 namespace figmill::detail {
 
-enum class Verdict : std::uint8_t {
+enum class AnswerClass : std::uint8_t {
   kSuccess,
-  kRetry,  // may go better elsewhere or later
-  kFinal,  // would fail again the same way
+  kRetryable,         // another attempt may succeed
+  kPermanentFailure,  // another attempt would fail the same way
 };
 
-// A model's answer counts only when its engine finished it: engines under
-// pressure cut streams short with status 200, which shows as a missing finish
-// reason, or as "length" before the asked number of tokens.
-[[nodiscard]] Verdict Judge(const BatchItem& item, const ItemAnswer& answer);
+// A model's answer is a success only when the engine completed it. Overloaded
+// engines truncate streams with status 200, which shows as a missing finish reason,
+// or as "length" before the requested number of tokens.
+[[nodiscard]] AnswerClass ClassifyAnswer(const BatchItem& item, const ItemAnswer& answer);
 
-// One line of the results, with its line feed.
+// One line of the results, including the line feed.
 [[nodiscard]] std::string AnswerLine(std::uint32_t index, const BatchItem& item,
                                      const ItemAnswer& answer);
 [[nodiscard]] std::string FailureLine(std::uint32_t index, const BatchItem& item,
--- /dev/null
+++ b/src/batch/claim_planner.cc
@@ -0,0 +1,85 @@
+#include "batch/claim_planner.h"
+
+#include <algorithm>
+
+namespace figmill::detail {
+namespace {
+
+// With at most this many entries, one scan over all open jobs is cheaper than a scan
+// per shard: with 16 entries and one round per second, 16 scans instead of 256.
+constexpr std::size_t kMaxEntriesForFullScan = 16;
+constexpr std::string_view kOpenJobsPrefix = "open/";
+
+const NodeId& ShardOwner(std::uint32_t shard, const std::vector<NodeId>& entries) {
+  const std::string key = OpenJobPrefix(shard);
+  return *std::max_element(entries.begin(), entries.end(), [&](const NodeId& a, const NodeId& b) {
+    return RendezvousWeight(key, a.value) < RendezvousWeight(key, b.value);
+  });
+}
+
+}  // namespace
+
+std::optional<OpenJob> ParseOpenJob(const Row& row) {
+  const std::size_t slash = row.key.rfind('/');
+  Result<OpenJobRow> parsed = ParseOpenJobRow(row.value);
+  if (slash == std::string::npos || !IsOk(parsed)) return std::nullopt;
+  return OpenJob{JobId{row.key.substr(slash + 1)}, std::move(ValueOf(parsed))};
+}
+
+bool ClaimPlanner::SetEntries(const std::vector<NodeId>& entries) {
+  if (entries == entries_) return false;
+  entries_ = entries;
+  std::set<std::uint32_t> shards;
+  for (std::uint32_t shard = 0; !entries_.empty() && shard < kOpenJobShards; ++shard) {
+    if (ShardOwner(shard, entries_) == self_) shards.insert(shard);
+  }
+  return std::exchange(shards_, std::move(shards)) != shards_;
+}
+
+std::vector<std::string> ClaimPlanner::ScanPrefixes(const std::vector<JobId>& held) const {
+  std::set<std::uint32_t> shards = shards_;
+  for (const JobId& job : held) shards.insert(ShardOf(job));
+  if (shards.empty()) return {};
+  if (entries_.size() <= kMaxEntriesForFullScan) return {std::string(kOpenJobsPrefix)};
+  std::vector<std::string> prefixes;
+  prefixes.reserve(shards.size());
+  for (const std::uint32_t shard : shards) prefixes.push_back(OpenJobPrefix(shard));
+  return prefixes;
+}
+
+bool ClaimPlanner::Claimable(const NodeId& owner, Epoch owner_lease) const {
+  // A row that names this process but has no run was left by an earlier incarnation,
+  // or its run was ended after a superseded commit.
+  return owner.empty() || owner == self_ ||
+         expired_leases_.contains(OwnerToWatch{owner, owner_lease});
+}
+
+ClaimPlanner::ClaimPlan ClaimPlanner::MakePlan(const std::vector<OpenJob>& open,
+                                               const std::set<JobId>& held,
+                                               const std::set<JobId>& busy) {
+  ClaimPlan plan;
+  std::set<JobId> confirmed;
+  std::set<OwnerToWatch> watched;
+  for (const OpenJob& job : open) {
+    const bool owned_here = job.row.owner == self_ && job.row.owner_lease == lease_;
+    if (owned_here) confirmed.insert(job.job);
+    if (busy.contains(job.job) || !shards_.contains(ShardOf(job.job))) continue;
+    if (Claimable(job.row.owner, job.row.owner_lease)) {
+      plan.claim.push_back(job.job);
+    } else {
+      watched.insert(OwnerToWatch{job.row.owner, job.row.owner_lease});
+    }
+  }
+  std::set_difference(held.begin(), held.end(), confirmed.begin(), confirmed.end(),
+                      std::back_inserter(plan.verify));
+  watch_list_changed_ = watched != watched_leases_;
+  watched_leases_ = std::move(watched);
+  return plan;
+}
+
+std::optional<std::vector<OwnerToWatch>> ClaimPlanner::TakeWatchList() {
+  if (!std::exchange(watch_list_changed_, false)) return std::nullopt;
+  return std::vector<OwnerToWatch>(watched_leases_.begin(), watched_leases_.end());
+}
+
+}  // namespace figmill::detail
--- /dev/null
+++ b/src/batch/claim_planner.h
@@ -0,0 +1,65 @@
+#pragma once
+
+// Decides which open jobs this process should claim and whose leases to watch.
+//
+// Jobs are distributed by shard: an entry claims the open jobs of the shards for
+// which it has the highest rendezvous weight among the live entries. A job of another
+// owner is not claimed until that owner's lease has expired. Two entries with
+// different membership views may both try to claim a job; the compare-and-set on the
+// job's row lets only one succeed.
+
+#include <map>
+#include <optional>
+#include <set>
+#include <string>
+#include <vector>
+
+#include "figmill/batch.h"
+
+namespace figmill::detail {
+
+struct OpenJob {
+  JobId job;
+  OpenJobRow row;
+};
+
+class ClaimPlanner {
+ public:
+  explicit ClaimPlanner(NodeId self) : self_(std::move(self)) {}
+
+  // Returns whether the set of shards assigned to this process changed.
+  bool SetEntries(const std::vector<NodeId>& entries);
+  void SetLease(Epoch lease) { lease_ = lease; }
+  void OnLeaseExpired(const OwnerToWatch& owner) { expired_leases_.insert(owner); }
+
+  // Row prefixes to scan next: those of the assigned shards and of the `held` jobs.
+  [[nodiscard]] std::vector<std::string> ScanPrefixes(const std::vector<JobId>& held) const;
+
+  struct ClaimPlan {
+    std::vector<JobId> claim;
+    std::vector<JobId> verify;  // held by this process, but not according to the rows
+  };
+  // Evaluates the rows of one complete scan round. `held`: jobs that this process
+  // held when the round began; `busy`: all jobs it holds or is claiming.
+  [[nodiscard]] ClaimPlan MakePlan(const std::vector<OpenJob>& open, const std::set<JobId>& held,
+                                   const std::set<JobId>& busy);
+  // The new watch list if it changed in the last round.
+  [[nodiscard]] std::optional<std::vector<OwnerToWatch>> TakeWatchList();
+
+  // Whether this process may take over a job with this owner and owner lease.
+  [[nodiscard]] bool Claimable(const NodeId& owner, Epoch owner_lease) const;
+
+ private:
+  NodeId self_;
+  Epoch lease_ = 0;
+  std::vector<NodeId> entries_;
+  std::set<std::uint32_t> shards_;
+  std::set<OwnerToWatch> expired_leases_;
+  std::set<OwnerToWatch> watched_leases_;
+  bool watch_list_changed_ = false;
+};
+
+// Parses an `open/` row; nothing when it is malformed.
+[[nodiscard]] std::optional<OpenJob> ParseOpenJob(const Row& row);
+
+}  // namespace figmill::detail
--- a/src/batch/commit_queue.cc
+++ b/src/batch/commit_queue.cc
@@ -6,8 +6,8 @@
 namespace figmill::detail {
 namespace {
 
-constexpr std::size_t kMaxGroup = 32;
-constexpr Duration kFirstBackoff{100'000};
+constexpr std::size_t kMaxGroupedRequests = 32;
+constexpr Duration kInitialBackoff{100'000};
 constexpr Duration kMaxBackoff{2'000'000};
 
 const Row* FindRow(const std::vector<Row>& rows, std::string_view key) {
@@ -16,19 +16,19 @@
   return found == rows.end() ? nullptr : &*found;
 }
 
-bool Writes(const CommitRequest& request, std::string_view key) {
+bool WritesRow(const CommitRequest& request, std::string_view key) {
   return std::any_of(request.writes.begin(), request.writes.end(), [&](const RowWrite& write) {
     const auto* put = std::get_if<PutRow>(&write);
     return put != nullptr && put->key == key;
   });
 }
 
-bool Conditions(const CommitRequest& request, const std::vector<Row>& rows) {
+bool HasConditionOn(const CommitRequest& request, const std::vector<Row>& rows) {
   return std::any_of(request.conditions.begin(), request.conditions.end(),
                      [&](const RowCondition& c) { return FindRow(rows, c.key) != nullptr; });
 }
 
-bool Proves(const CommitRequest& request, const Row* row) {
+bool HasToken(const CommitRequest& request, const Row* row) {
   return row != nullptr && TokenOf(row->value) == request.token;
 }
 
@@ -43,30 +43,30 @@
 }
 
 void CommitQueue::Submit(CommitRequest request) {
-  waiting_.push_back(Entry{std::move(request), false});
-  Pump();
+  queue_.push_back(PendingRequest{std::move(request), false});
+  SendNextGroup();
 }
 
 void CommitQueue::Tick(Time) {
-  Pump();
+  SendNextGroup();
 }
 
-void CommitQueue::Pump() {
-  if (!flying_.empty() || unsettled_ > 0 || waiting_.empty() || store_.now() < send_at_) return;
-  const std::size_t size = one_by_one_ ? 1 : std::min(waiting_.size(), kMaxGroup);
-  one_by_one_ = false;
+void CommitQueue::SendNextGroup() {
+  if (!in_flight_.empty() || token_reads_ > 0 || queue_.empty() || store_.now() < send_at_) return;
+  const std::size_t size = send_singly_ ? 1 : std::min(queue_.size(), kMaxGroupedRequests);
+  send_singly_ = false;
   Transaction transaction;
   for (std::size_t i = 0; i < size; ++i) {
-    Entry entry = std::move(waiting_.front());
-    waiting_.pop_front();
-    const CommitRequest& request = entry.request;
-    // Jobs share no row, and each has one request at a time, so that the requests
-    // of a group can't clash with each other.
+    PendingRequest pending = std::move(queue_.front());
+    queue_.pop_front();
+    const CommitRequest& request = pending.request;
+    // Jobs share no rows and each has one request at a time, so the requests of a
+    // group can't conflict with each other.
     transaction.conditions.insert(transaction.conditions.end(), request.conditions.begin(),
                                   request.conditions.end());
     transaction.writes.insert(transaction.writes.end(), request.writes.begin(),
                               request.writes.end());
-    flying_.push_back(std::move(entry));
+    in_flight_.push_back(std::move(pending));
   }
   ++transactions_;
   store_.Commit(std::move(transaction),
@@ -81,89 +81,91 @@
                  [this](const FateUnknown&) { OnFateUnknown(); },
              },
              outcome);
-  Pump();
+  SendNextGroup();
 }
 
 void CommitQueue::OnCommitted(const Committed& committed) {
   backoff_ = Duration{0};
-  for (Entry& entry : std::exchange(flying_, {})) {
+  for (PendingRequest& pending : std::exchange(in_flight_, {})) {
     Applied applied;
     for (const Row& row : committed.rows) {
-      if (Writes(entry.request, row.key)) applied.rows.push_back(row);
+      if (WritesRow(pending.request, row.key)) applied.rows.push_back(row);
     }
-    entry.request.done(applied);
+    pending.request.done(applied);
   }
 }
 
-// Only the requests whose own conditions failed are at fault; the others of the
-// group go again.
+// Only requests whose own conditions failed are superseded; the others of the group
+// are retried.
 void CommitQueue::OnRejected(const Rejected& rejected) {
-  std::vector<Entry> entries = std::exchange(flying_, {});
-  const bool nameless = std::none_of(entries.begin(), entries.end(), [&](const Entry& entry) {
-    return Conditions(entry.request, rejected.current);
-  });
-  if (nameless && entries.size() > 1) one_by_one_ = true;
-  for (Entry& entry : entries) {
-    const Row* proof = FindRow(rejected.current, entry.request.proof);
-    if (Proves(entry.request, proof)) {
-      entry.request.done(Applied{{*proof}});
-    } else if (!Conditions(entry.request, rejected.current) && !(nameless && entries.size() == 1)) {
-      Requeue(std::move(entry));
-    } else if (entry.maybe_applied && proof == nullptr) {
-      ReadProof(std::move(entry), true);
+  std::vector<PendingRequest> pending_requests = std::exchange(in_flight_, {});
+  const bool unattributed = std::none_of(pending_requests.begin(), pending_requests.end(),
+                                         [&](const PendingRequest& pending) {
+                                           return HasConditionOn(pending.request, rejected.current);
+                                         });
+  if (unattributed && pending_requests.size() > 1) send_singly_ = true;
+  for (PendingRequest& pending : pending_requests) {
+    const Row* token_row = FindRow(rejected.current, pending.request.token_key);
+    if (HasToken(pending.request, token_row)) {
+      pending.request.done(Applied{{*token_row}});
+    } else if (!HasConditionOn(pending.request, rejected.current) &&
+               !(unattributed && pending_requests.size() == 1)) {
+      Requeue(std::move(pending));
+    } else if (pending.maybe_applied && token_row == nullptr) {
+      ReadTokenRow(std::move(pending), true);
     } else {
-      entry.request.done(Superseded{});
+      pending.request.done(Superseded{});
     }
   }
 }
 
 void CommitQueue::OnNotWritten(const NotWritten& refused) {
-  backoff_ = std::clamp(backoff_ * 2, kFirstBackoff, kMaxBackoff);
+  backoff_ = std::clamp(backoff_ * 2, kInitialBackoff, kMaxBackoff);
   send_at_ = store_.now() + backoff_;
-  for (Entry& entry : std::exchange(flying_, {})) {
-    const bool give_up = give_up_ && (!entry.maybe_applied || store_.now() >= *give_up_);
-    if (give_up) {
-      entry.request.done(GaveUp{entry.maybe_applied, refused.why});
+  for (PendingRequest& pending : std::exchange(in_flight_, {})) {
+    const bool abandon = deadline_ && (!pending.maybe_applied || store_.now() >= *deadline_);
+    if (abandon) {
+      pending.request.done(CommitFailed{pending.maybe_applied, refused.why});
     } else {
-      Requeue(std::move(entry));
+      Requeue(std::move(pending));
     }
   }
 }
 
 void CommitQueue::OnFateUnknown() {
-  backoff_ = std::clamp(backoff_ * 2, kFirstBackoff, kMaxBackoff);
+  backoff_ = std::clamp(backoff_ * 2, kInitialBackoff, kMaxBackoff);
   send_at_ = store_.now() + backoff_;
-  for (Entry& entry : std::exchange(flying_, {})) {
-    entry.maybe_applied = true;
-    ReadProof(std::move(entry), false);
+  for (PendingRequest& pending : std::exchange(in_flight_, {})) {
+    pending.maybe_applied = true;
+    ReadTokenRow(std::move(pending), false);
   }
 }
 
-void CommitQueue::ReadProof(Entry entry, bool lost_if_absent) {
-  ++unsettled_;
-  std::string key = entry.request.proof;
-  store_.Read(std::move(key), [this, entry = std::move(entry),
-                               lost_if_absent](const Result<std::optional<Row>>& answer) mutable {
-    --unsettled_;
+void CommitQueue::ReadTokenRow(PendingRequest pending, bool superseded_if_absent) {
+  ++token_reads_;
+  std::string key = pending.request.token_key;
+  store_.Read(std::move(key), [this, pending = std::move(pending), superseded_if_absent](
+                                  const Result<std::optional<Row>>& answer) mutable {
+    --token_reads_;
     if (!IsOk(answer)) {
-      entry.request.done(GaveUp{true, ErrorOf(answer).detail});
-    } else if (const auto& row = ValueOf(answer); row && Proves(entry.request, &*row)) {
-      entry.request.done(Applied{{*row}});
-    } else if (lost_if_absent) {
-      entry.request.done(Superseded{});
-    } else if (give_up_ && store_.now() >= *give_up_) {
-      entry.request.done(GaveUp{true, "the store's answer was lost"});
+      pending.request.done(CommitFailed{true, ErrorOf(answer).detail});
+    } else if (const auto& row = ValueOf(answer); row && HasToken(pending.request, &*row)) {
+      pending.request.done(Applied{{*row}});
+    } else if (superseded_if_absent) {
+      pending.request.done(Superseded{});
+    } else if (deadline_ && store_.now() >= *deadline_) {
+      pending.request.done(CommitFailed{true, "the store's answer was lost"});
     } else {
-      // The write may still be on its way: the same attempt again either takes
-      // effect or is rejected by the first, whose token then shows.
-      Requeue(std::move(entry));
+      // The write may still be in transit. A retry is either applied, or rejected
+      // because the first attempt was applied and its token is in the row.
+      Requeue(std::move(pending));
     }
-    Pump();
+    SendNextGroup();
   });
 }
 
-void CommitQueue::Requeue(Entry entry) {
-  waiting_.push_front(std::move(entry));
+void CommitQueue::Requeue(PendingRequest pending) {
+  queue_.push_front(std::move(pending));
 }
 
 }  // namespace figmill::detail
--- a/src/batch/items.cc
+++ b/src/batch/items.cc
@@ -12,10 +12,10 @@
 
 constexpr std::string_view kServicesPrefix = "/v1/services/";
 constexpr std::size_t kMaxCustomIdLength = 256;
-constexpr std::uint32_t kUnknownAnswerTokens = 1024;
+constexpr std::uint32_t kAssumedAnswerTokens = 1024;
 constexpr std::size_t kAnswerBytesPerToken = 8;
 
-Error BadLine(std::size_t line, const std::string& what) {
+Error LineError(std::size_t line, const std::string& what) {
   return Error{ErrorKind::kBadRequest, "line " + std::to_string(line) + ": " + what};
 }
 
@@ -23,8 +23,8 @@
   return url == "/v1/completions" || url == "/v1/chat/completions";
 }
 
-// Splits "/v1/services/{service}/{path}". False when the url has another form.
-bool ReadServiceUrl(std::string_view url, BatchItem& item) {
+// Parses "/v1/services/{service}/{path}". Returns false for any other url.
+bool ParseServiceUrl(std::string_view url, BatchItem& item) {
   if (!url.starts_with(kServicesPrefix)) return false;
   url.remove_prefix(kServicesPrefix.size());
   const std::size_t slash = url.find('/');
@@ -34,7 +34,7 @@
   return IsOk(ParseId(item.service.value, "service"));
 }
 
-std::uint32_t TokensOf(const Json& body) {
+std::uint32_t MaxTokensOf(const Json& body) {
   for (const char* name : {"max_tokens", "max_completion_tokens"}) {
     const auto found = body.find(name);
     if (found != body.end() && found->is_number_unsigned()) return found->get<std::uint32_t>();
@@ -42,20 +42,20 @@
   return 0;
 }
 
-// Returns what is wrong; empty when nothing is.
-std::string ReadModelCall(const std::string& url, const Json& body, BatchItem& item) {
+// Returns an error message, or an empty string on success.
+std::string ParseModelCall(const std::string& url, const Json& body, BatchItem& item) {
   if (!body.is_object()) return "body must be an object";
   const auto model = body.find("model");
   if (model == body.end() || !model->is_string()) return "body must name its model";
   item.service.value = model->get<std::string>();
   if (!IsOk(ParseId(item.service.value, "model"))) return "body names a malformed model";
-  if (body.value("stream", Json(false)) != Json(false)) return "stream is not offered in a job";
+  if (body.value("stream", Json(false)) != Json(false)) return "stream is not supported in a job";
   item.path = url;
-  item.tokens = TokensOf(body);
+  item.tokens = MaxTokensOf(body);
   return {};
 }
 
-std::string ReadFields(const Json& line, BatchItem& item) {
+std::string ParseFields(const Json& line, BatchItem& item) {
   if (!line.is_object()) return "an object is expected";
   for (const auto& [name, value] : line.items()) {
     if (name != "custom_id" && name != "url" && name != "body" && name != "repeatable") {
@@ -79,9 +79,9 @@
   if (body == line.end()) return "body is missing";
   const auto& path = url->get_ref<const std::string&>();
   if (IsModelPath(path)) {
-    if (std::string wrong = ReadModelCall(path, *body, item); !wrong.empty()) return wrong;
-  } else if (!ReadServiceUrl(path, item)) {
-    return "url '" + path + "' is not offered in a job";
+    if (std::string error = ParseModelCall(path, *body, item); !error.empty()) return error;
+  } else if (!ParseServiceUrl(path, item)) {
+    return "url '" + path + "' is not supported in a job";
   }
   item.body = body->dump();
   return {};
@@ -89,23 +89,23 @@
 
 Result<BatchItem> ParseLine(std::string_view text, std::size_t number) {
   const Json line = Json::parse(text, nullptr, false);
-  if (line.is_discarded()) return BadLine(number, "no JSON");
+  if (line.is_discarded()) return LineError(number, "no JSON");
   BatchItem item;
-  if (std::string wrong = ReadFields(line, item); !wrong.empty()) return BadLine(number, wrong);
+  if (std::string error = ParseFields(line, item); !error.empty()) return LineError(number, error);
   return item;
 }
 
-// Hands out the lines that hold something.
-class Lines {
+// Iterates over the non-blank lines of a text.
+class LineReader {
  public:
-  explicit Lines(std::string_view text) : text_(text) {}
+  explicit LineReader(std::string_view text) : text_(text) {}
 
   bool Next() {
-    while (at_ < text_.size()) {
-      const std::size_t end = std::min(text_.find('\n', at_), text_.size());
-      begin_ = at_;
-      line_ = text_.substr(at_, end - at_);
-      at_ = std::min(end + 1, text_.size());
+    while (position_ < text_.size()) {
+      const std::size_t end = std::min(text_.find('\n', position_), text_.size());
+      begin_ = position_;
+      line_ = text_.substr(position_, end - position_);
+      position_ = std::min(end + 1, text_.size());
       ++number_;
       if (line_.find_first_not_of(" \t\r") != std::string_view::npos) return true;
     }
@@ -114,33 +114,33 @@
   [[nodiscard]] std::string_view line() const { return line_; }
   [[nodiscard]] std::size_t number() const { return number_; }
   [[nodiscard]] std::size_t begin() const { return begin_; }
-  [[nodiscard]] std::size_t end() const { return at_; }
+  [[nodiscard]] std::size_t end() const { return position_; }
 
  private:
   std::string_view text_;
   std::string_view line_;
-  std::size_t at_ = 0;
+  std::size_t position_ = 0;
   std::size_t begin_ = 0;
   std::size_t number_ = 0;
 };
 
-// Cuts a text into chunks by the bounds on items and bytes.
-class ChunkCutter {
+// Splits a text into chunks within the limits on items and bytes.
+class ChunkSplitter {
  public:
-  ChunkCutter(std::string_view text, SplitPart& out) : text_(text), out_(out) {}
+  ChunkSplitter(std::string_view text, SplitPart& out) : text_(text), out_(out) {}
 
   void Add(std::size_t begin, std::size_t end, std::uint32_t tokens, bool repeatable) {
     const std::size_t answer =
-        std::size_t{tokens == 0 ? kUnknownAnswerTokens : tokens} * kAnswerBytesPerToken;
+        std::size_t{tokens == 0 ? kAssumedAnswerTokens : tokens} * kAnswerBytesPerToken;
     const bool full = items_ >= kMaxChunkItems || not_repeatable_ >= kMaxNotRepeatablePerChunk ||
                       (items_ > 0 && end - begin_ > kMaxChunkBytes) ||
                       (items_ > 0 && answer_bytes_ + answer > kMaxChunkAnswerBytes);
-    if (full) Cut(begin);
+    if (full) EndChunk(begin);
     ++items_;
     answer_bytes_ += answer;
     if (!repeatable) ++not_repeatable_;
   }
-  void Cut(std::size_t end) {
+  void EndChunk(std::size_t end) {
     if (items_ == 0) return;
     const std::string_view chunk = text_.substr(begin_, end - begin_);
     out_.texts.push_back(chunk);
@@ -168,7 +168,7 @@
 
 Result<std::vector<BatchItem>> ParseItems(std::string_view text) {
   std::vector<BatchItem> items;
-  Lines lines(text);
+  LineReader lines(text);
   while (lines.Next()) {
     Result<BatchItem> item = ParseLine(lines.line(), lines.number());
     if (!IsOk(item)) return ErrorOf(item);
@@ -179,8 +179,8 @@
 
 Result<SplitPart> SplitItems(std::string_view text, const RepeatableRule& rule) {
   SplitPart part;
-  ChunkCutter cutter(text, part);
-  Lines lines(text);
+  ChunkSplitter splitter(text, part);
+  LineReader lines(text);
   while (lines.Next()) {
     const Result<BatchItem> parsed = ParseLine(lines.line(), lines.number());
     if (!IsOk(parsed)) return ErrorOf(parsed);
@@ -190,10 +190,10 @@
                    "a job holds at most " + std::to_string(kMaxJobItems) + " items"};
     }
     const bool repeatable = item.repeatable && (!rule || rule(item.service, item.path));
-    cutter.Add(lines.begin(), lines.end(), item.tokens, repeatable);
-    part.index.marks.push_back(ItemMark{Hash(item.custom_id), Hash(lines.line())});
+    splitter.Add(lines.begin(), lines.end(), item.tokens, repeatable);
+    part.index.marks.push_back(ItemHashes{Hash(item.custom_id), Hash(lines.line())});
   }
-  cutter.Cut(text.size());
+  splitter.EndChunk(text.size());
   if (part.texts.empty()) return Error{ErrorKind::kBadRequest, "there is no item"};
   return part;
 }
--- a/src/batch/job_run.cc
+++ b/src/batch/job_run.cc
@@ -5,7 +5,8 @@
 namespace figmill::detail {
 namespace {
 
-// Guards the fair share against an item that claims to be without bound.
+// Limits the cost of an item that declares a huge token limit, to keep the team's
+// fair share.
 constexpr std::uint32_t kMaxCost = 1U << 16;
 constexpr std::size_t kBytesPerToken = 4;
 
@@ -23,11 +24,11 @@
 
 }  // namespace
 
-JobRun::JobRun(JobHost& host, JobId job, JobRow row, RowVersion version)
-    : host_(host), job_(std::move(job)), row_(std::move(row)), version_(version) {}
+JobRun::JobRun(JobRunDelegate& delegate, JobId job, JobRow row, RowVersion version)
+    : delegate_(delegate), job_(std::move(job)), row_(std::move(row)), version_(version) {}
 
 template <typename F>
-auto JobRun::Guarded(F callback) {
+auto JobRun::IfNotEnded(F callback) {
   return [weak = weak_from_this(), callback = std::move(callback)](const auto& answer) {
     const auto self = weak.lock();
     if (self && self->phase_ != Phase::kEnded) callback(answer);
@@ -38,36 +39,37 @@
   row_.owner = self;
   row_.owner_lease = lease;
   ++row_.epoch;
-  row_.token = host_.NewToken();
+  row_.token = delegate_.NewToken();
   CommitRequest request;
   request.conditions = {RowCondition{JobKey(job_), version_}};
-  request.writes = {PutRow{JobKey(job_), EncodeJobRow(row_)},
-                    PutRow{OpenKey(job_), EncodeOpenRow(OpenRow{row_.token, self, lease})}};
-  request.proof = JobKey(job_);
+  request.writes = {
+      PutRow{JobKey(job_), EncodeJobRow(row_)},
+      PutRow{OpenJobKey(job_), EncodeOpenJobRow(OpenJobRow{row_.token, self, lease})}};
+  request.token_key = JobKey(job_);
   request.token = row_.token;
-  request.done = Guarded([this](const CommitResult& result) {
+  request.done = IfNotEnded([this](const CommitResult& result) {
     const auto* applied = std::get_if<Applied>(&result);
     if (applied == nullptr) return End(JobNote::What::kFenced);
     version_ = VersionOf(*applied, JobKey(job_));
-    phase_ = Phase::kIdle;
-    host_.Claimed(job_, row_.epoch);
+    phase_ = Phase::kClaimed;
+    delegate_.OnJobClaimed(job_, row_.epoch);
   });
-  host_.commits.Submit(std::move(request));
+  delegate_.commits.Submit(std::move(request));
 }
 
-// A claim, a cancellation or our own last commit changes the row's version, and
-// nothing else does.
-void JobRun::Verify() {
+// Only a claim, a cancellation or this run's own final commit changes the version of
+// the job's row.
+void JobRun::VerifyOwnership() {
   if (verifying_ || phase_ == Phase::kClaiming || phase_ == Phase::kReleasing) return;
   verifying_ = true;
-  host_.store.Read(JobKey(job_), Guarded([this](const Result<std::optional<Row>>& answer) {
-                     verifying_ = false;
-                     if (IsOk(answer)) TakeVerification(ValueOf(answer));
-                   }));
+  delegate_.store.Read(JobKey(job_), IfNotEnded([this](const Result<std::optional<Row>>& answer) {
+                         verifying_ = false;
+                         if (IsOk(answer)) OnOwnershipRead(ValueOf(answer));
+                       }));
 }
 
-void JobRun::TakeVerification(const std::optional<Row>& found) {
-  if (found && found->version == version_ && !lost_) return;
+void JobRun::OnOwnershipRead(const std::optional<Row>& found) {
+  if (found && found->version == version_ && !commit_conflicted_) return;
   const Result<JobRow> row = ParseJobRow(found ? found->value : "");
   if (!IsOk(row)) return End(JobNote::What::kFenced);
   switch (ValueOf(row).state) {
@@ -75,64 +77,64 @@
       return End(JobNote::What::kCancelled);
     case JobState::kDone:
       return End(JobNote::What::kDone);
-    // After a lost commit the run is given up even if the job is still ours: the
-    // next scan claims it afresh, from what the rows say.
+    // After a superseded commit the run ends even if this process still owns the job:
+    // the next scan claims the job again and reloads its state from the rows.
     case JobState::kRunning:
       return End(JobNote::What::kFenced);
   }
 }
 
-void JobRun::VerifyLoss() {
-  lost_ = true;
-  Verify();
+void JobRun::VerifyAfterConflict() {
+  commit_conflicted_ = true;
+  VerifyOwnership();
 }
 
 void JobRun::Release() {
   phase_ = Phase::kReleasing;
   JobRow row = row_;
   row.owner = {};
-  row.token = host_.NewToken();
+  row.token = delegate_.NewToken();
   CommitRequest request;
   request.conditions = {RowCondition{JobKey(job_), version_}};
   request.writes = {PutRow{JobKey(job_), EncodeJobRow(row)},
-                    PutRow{OpenKey(job_), EncodeOpenRow(OpenRow{row.token, {}, 0})}};
-  request.proof = JobKey(job_);
+                    PutRow{OpenJobKey(job_), EncodeOpenJobRow(OpenJobRow{row.token, {}, 0})}};
+  request.token_key = JobKey(job_);
   request.token = row.token;
-  request.done = Guarded([this](const CommitResult& result) {
+  request.done = IfNotEnded([this](const CommitResult& result) {
     const bool applied = std::holds_alternative<Applied>(result);
     End(applied ? JobNote::What::kReleased : JobNote::What::kFenced);
   });
-  host_.commits.Submit(std::move(request));
+  delegate_.commits.Submit(std::move(request));
 }
 
 void JobRun::OpenNext() {
-  if (phase_ == Phase::kIdle) return Load();
-  if (phase_ != Phase::kRunning || next_ >= chunks_.size()) return;
-  const std::uint32_t chunk = next_++;
-  while (next_ < chunks_.size() && committed_[next_]) ++next_;
+  if (phase_ == Phase::kClaimed) return LoadManifest();
+  if (phase_ != Phase::kRunning || next_chunk_ >= chunks_.size()) return;
+  const std::uint32_t chunk = next_chunk_++;
+  while (next_chunk_ < chunks_.size() && committed_[next_chunk_]) ++next_chunk_;
   LoadChunk(chunk);
 }
 
 bool JobRun::has_more() const {
-  return phase_ == Phase::kIdle || (phase_ == Phase::kRunning && next_ < chunks_.size());
+  return phase_ == Phase::kClaimed || (phase_ == Phase::kRunning && next_chunk_ < chunks_.size());
 }
 
 bool JobRun::idle() const {
-  const bool settled = phase_ == Phase::kIdle || phase_ == Phase::kRunning;
+  const bool settled = phase_ == Phase::kClaimed || phase_ == Phase::kRunning;
   return settled && open_chunks() == 0 && stored_.empty() && !committing_ && !verifying_;
 }
 
-void JobRun::Load() {
+void JobRun::LoadManifest() {
   phase_ = Phase::kLoading;
-  host_.store.Get(ManifestObject(job_, row_.digest),
-                  Guarded([this](const Result<std::string>& bytes) { TakeManifest(bytes); }));
+  delegate_.store.Get(ManifestObjectKey(job_, row_.digest),
+                      IfNotEnded([this](const Result<std::string>& bytes) { OnManifest(bytes); }));
 }
 
-void JobRun::TakeManifest(const Result<std::string>& bytes) {
+void JobRun::OnManifest(const Result<std::string>& bytes) {
   Result<std::vector<ChunkEntry>> parsed =
       IsOk(bytes) ? ParseManifest(ValueOf(bytes)) : Result<std::vector<ChunkEntry>>(ErrorOf(bytes));
-  // The row was only written after the manifest, so this is a fault of the object
-  // store; the job is left as it is and found again by the next scan.
+  // The job's row is written after the manifest, so a missing manifest is a fault of
+  // the object store. The job is left unchanged and the next scan finds it again.
   if (!IsOk(parsed)) return End(JobNote::What::kFenced);
   chunks_ = std::move(ValueOf(parsed));
   std::uint32_t index = 0;
@@ -141,13 +143,14 @@
     index += chunk.items;
   }
   committed_.assign(chunks_.size(), false);
-  host_.store.ScanAll(ChunkPrefix(job_), Guarded([this](const Result<std::vector<Row>>& rows) {
-                        if (!IsOk(rows)) return End(JobNote::What::kFenced);
-                        TakeChunkRows(ValueOf(rows));
-                      }));
+  delegate_.store.ScanAll(ChunkPrefix(job_),
+                          IfNotEnded([this](const Result<std::vector<Row>>& rows) {
+                            if (!IsOk(rows)) return End(JobNote::What::kFenced);
+                            OnChunkRows(ValueOf(rows));
+                          }));
 }
 
-void JobRun::TakeChunkRows(const std::vector<Row>& rows) {
+void JobRun::OnChunkRows(const std::vector<Row>& rows) {
   for (const Row& row : rows) {
     const Result<ChunkRow> parsed = ParseChunkRow(row.value);
     const auto chunk =
@@ -157,23 +160,23 @@
       committed_[chunk] = true;
       ++committed_count_;
     } else {
-      intended_[chunk] = row.version;
+      intent_versions_[chunk] = row.version;
     }
   }
   phase_ = Phase::kRunning;
-  while (next_ < chunks_.size() && committed_[next_]) ++next_;
+  while (next_chunk_ < chunks_.size() && committed_[next_chunk_]) ++next_chunk_;
 }
 
 void JobRun::LoadChunk(std::uint32_t chunk) {
-  ++loading_;
-  host_.store.Get(ItemsObject(job_, chunks_[chunk].digest),
-                  Guarded([this, chunk](const Result<std::string>& text) {
-                    --loading_;
-                    TakeChunk(chunk, text);
-                  }));
+  ++loading_count_;
+  delegate_.store.Get(ItemsObject(job_, chunks_[chunk].digest),
+                      IfNotEnded([this, chunk](const Result<std::string>& text) {
+                        --loading_count_;
+                        OnChunkItems(chunk, text);
+                      }));
 }
 
-void JobRun::TakeChunk(std::uint32_t chunk, const Result<std::string>& text) {
+void JobRun::OnChunkItems(std::uint32_t chunk, const Result<std::string>& text) {
   Result<std::vector<BatchItem>> items =
       IsOk(text) ? ParseItems(ValueOf(text)) : Result<std::vector<BatchItem>>(ErrorOf(text));
   const std::uint32_t count = chunks_[chunk].items;
@@ -186,64 +189,66 @@
   if (!whole) {
     const Error error{ErrorKind::kInternal, "the items can't be read from the object store"};
     for (std::uint32_t i = 0; i < count; ++i) open.Fail(open.first_index() + i, error);
-    return StoreIfFinished(chunk);
+    return StoreResultsIfFinished(chunk);
   }
-  const bool needs_intent = open.ForbidRepeats(host_.repeatable());
-  if (const auto found = intended_.find(chunk); found != intended_.end()) {
-    // An earlier owner may have sent these, so they are never sent again.
+  const bool needs_intent = open.ApplyRepeatableRule(delegate_.repeatable());
+  if (const auto found = intent_versions_.find(chunk); found != intent_versions_.end()) {
+    // An earlier owner may have sent the not-repeatable items: never send them again.
     open.row_version = found->second;
     const Error unknown{ErrorKind::kOutcomeUnknown,
-                        "its owner was lost after it may have been sent", Ran::kUnknown};
+                        "the owner was lost after the item may have been sent", Ran::kUnknown};
     for (std::uint32_t i = 0; i < count; ++i) {
       const std::uint32_t index = open.first_index() + i;
       if (!open.item(index).repeatable) open.Fail(index, unknown);
     }
   } else if (needs_intent) {
-    has_once_ = true;
+    has_not_repeatable_ = true;
     for (std::uint32_t i = 0; i < count; ++i) {
-      if (!open.item(open.first_index() + i).repeatable) ++unsent_once_;
+      if (!open.item(open.first_index() + i).repeatable) ++unsent_intents_;
     }
-    Intend(chunk);
+    RecordIntent(chunk);
   }
-  OfferItems(chunk, true);
-  StoreIfFinished(chunk);
+  EnqueueItems(chunk, true);
+  StoreResultsIfFinished(chunk);
 }
 
-// Marks the chunk before any of its not-repeatable items is sent: whoever finds
-// the mark without results knows that they may have run.
-void JobRun::Intend(std::uint32_t chunk) {
+// Records the intent in the chunk's row before any of its not-repeatable items is
+// sent. A later owner that finds an intent without results knows that these items may
+// have run.
+void JobRun::RecordIntent(std::uint32_t chunk) {
   ChunkRow row;
-  row.token = host_.NewToken();
+  row.token = delegate_.NewToken();
   row.state = ChunkState::kIntended;
   row.epoch = row_.epoch;
   CommitRequest request;
   request.conditions = {RowCondition{JobKey(job_), version_},
                         RowCondition{ChunkKey(job_, chunk), 0}};
   request.writes = {PutRow{ChunkKey(job_, chunk), EncodeChunkRow(row)}};
-  request.proof = ChunkKey(job_, chunk);
+  request.token_key = ChunkKey(job_, chunk);
   request.token = row.token;
-  request.done = Guarded([this, chunk](const CommitResult& result) {
+  request.done = IfNotEnded([this, chunk](const CommitResult& result) {
     const auto* applied = std::get_if<Applied>(&result);
-    if (applied == nullptr) return VerifyLoss();
+    if (applied == nullptr) return VerifyAfterConflict();
     const auto open = open_.find(chunk);
     if (open == open_.end()) return;
     open->second.row_version = VersionOf(*applied, ChunkKey(job_, chunk));
-    OfferItems(chunk, false);
+    EnqueueItems(chunk, false);
   });
-  host_.commits.Submit(std::move(request));
+  delegate_.commits.Submit(std::move(request));
 }
 
-void JobRun::OfferItems(std::uint32_t chunk, bool repeatable) {
+void JobRun::EnqueueItems(std::uint32_t chunk, bool repeatable) {
   const OpenChunk& open = open_.at(chunk);
   for (std::uint32_t i = 0; i < open.size(); ++i) {
     const std::uint32_t index = open.first_index() + i;
-    if (open.item(index).repeatable == repeatable) Offer(index, {});
+    if (open.item(index).repeatable == repeatable) EnqueueItem(index, {});
   }
 }
 
-void JobRun::Offer(std::uint32_t index, const NodeId& avoid) {
-  const BatchItem& item = *Find(index);
-  host_.Ready(ReadyItem{job_, index, row_.team, row_.due, item.service, CostOf(item), avoid});
+void JobRun::EnqueueItem(std::uint32_t index, const NodeId& avoid) {
+  const BatchItem& item = *FindItem(index);
+  delegate_.EnqueueItem(
+      ReadyItem{job_, index, row_.team, row_.due, item.service, CostOf(item), avoid});
 }
 
 std::uint32_t JobRun::ChunkOf(std::uint32_t index) const {
@@ -251,7 +256,7 @@
   return static_cast<std::uint32_t>(after - first_index_.begin()) - 1;
 }
 
-const BatchItem* JobRun::Find(std::uint32_t index) const {
+const BatchItem* JobRun::FindItem(std::uint32_t index) const {
   const auto open = open_.find(ChunkOf(index));
   return open == open_.end() || open->second.finished() ? nullptr : &open->second.item(index);
 }
@@ -259,48 +264,50 @@
 void JobRun::OnSent(std::uint32_t index) {
   OpenChunk& open = open_.at(ChunkOf(index));
   open.CountAttempt(index);
-  if (!open.item(index).repeatable) --unsent_once_;
+  if (!open.item(index).repeatable) --unsent_intents_;
 }
 
 void JobRun::OnOutcome(std::uint32_t index, const ItemOutcome& outcome, const NodeId& agent) {
   const std::uint32_t chunk = ChunkOf(index);
   const auto open = open_.find(chunk);
   if (open == open_.end() || open->second.finished()) return;
-  if (open->second.Take(index, outcome, host_.limits().max_attempts) == AfterAttempt::kTryAgain) {
-    if (!open->second.item(index).repeatable) ++unsent_once_;
-    return Offer(index, agent);
+  if (open->second.RecordOutcome(index, outcome, delegate_.limits().max_attempts) ==
+      AttemptResult::kRetry) {
+    if (!open->second.item(index).repeatable) ++unsent_intents_;
+    return EnqueueItem(index, agent);
   }
-  StoreIfFinished(chunk);
+  StoreResultsIfFinished(chunk);
 }
 
-void JobRun::StoreIfFinished(std::uint32_t chunk) {
+void JobRun::StoreResultsIfFinished(std::uint32_t chunk) {
   OpenChunk& open = open_.at(chunk);
   if (!open.finished()) return;
-  // The token keeps a paused earlier owner from writing over these results.
+  // The token in the key keeps a paused earlier owner from overwriting these results.
   StoredResults results{chunk, "results/" + job_.value + "/" + std::to_string(chunk) + "-" +
-                                   std::to_string(row_.epoch) + "-" + host_.NewToken().value};
+                                   std::to_string(row_.epoch) + "-" + delegate_.NewToken().value};
   std::vector<std::string> pieces = open.TakeResults();
   results.pieces = static_cast<std::uint32_t>(pieces.size());
-  const auto left = std::make_shared<std::uint32_t>(results.pieces);
+  const auto remaining = std::make_shared<std::uint32_t>(results.pieces);
   for (std::uint32_t i = 0; i < results.pieces; ++i) {
-    host_.store.Put(results.object + "-" + std::to_string(i), std::move(pieces[i]),
-                    Retry::kWhileDown, Guarded([this, results, left](const Result<Ok>& stored) {
-                      if (!IsOk(stored)) return End(JobNote::What::kFenced);
-                      if (--*left > 0) return;
-                      open_.at(results.chunk).ForgetBytes();
-                      stored_.push_back(results);
-                      CommitStored();
-                    }));
+    delegate_.store.Put(results.object + "-" + std::to_string(i), std::move(pieces[i]),
+                        Retry::kWhileDown,
+                        IfNotEnded([this, results, remaining](const Result<Ok>& stored) {
+                          if (!IsOk(stored)) return End(JobNote::What::kFenced);
+                          if (--*remaining > 0) return;
+                          open_.at(results.chunk).ClearHeldBytes();
+                          stored_.push_back(results);
+                          CommitStoredResults();
+                        }));
   }
 }
 
-// All chunks whose results are stored go into one request; the one that covers
-// the last of them ends the job in the same transaction.
-void JobRun::CommitStored() {
+// Commits all chunks whose results are stored in one request. The request that
+// commits the job's last chunk also ends the job in the same transaction.
+void JobRun::CommitStoredResults() {
   if (committing_ || stored_.empty()) return;
   committing_ = true;
   CommitRequest request;
-  request.token = host_.NewToken();
+  request.token = delegate_.NewToken();
   request.conditions = {RowCondition{JobKey(job_), version_}};
   std::vector<std::uint32_t> chunks;
   for (const StoredResults& stored : std::exchange(stored_, {})) {
@@ -312,35 +319,35 @@
     request.writes.emplace_back(PutRow{key, EncodeChunkRow(row)});
     chunks.push_back(stored.chunk);
   }
-  request.proof = ChunkKey(job_, chunks.front());
+  request.token_key = ChunkKey(job_, chunks.front());
   const bool ends_job = committed_count_ + chunks.size() == chunks_.size();
   if (ends_job) {
     JobRow row = row_;
     row.state = JobState::kDone;
     row.token = request.token;
     request.writes.emplace_back(PutRow{JobKey(job_), EncodeJobRow(row)});
-    request.writes.emplace_back(DeleteRow{OpenKey(job_)});
+    request.writes.emplace_back(DeleteRow{OpenJobKey(job_)});
   }
-  request.done = Guarded([this, chunks, ends_job](const CommitResult& result) {
-    TakeCommit(chunks, ends_job, result);
+  request.done = IfNotEnded([this, chunks, ends_job](const CommitResult& result) {
+    OnCommitResult(chunks, ends_job, result);
   });
-  host_.commits.Submit(std::move(request));
+  delegate_.commits.Submit(std::move(request));
 }
 
-void JobRun::TakeCommit(const std::vector<std::uint32_t>& chunks, bool ends_job,
-                        const CommitResult& result) {
-  // While `committing_` stays set nothing more is committed.
-  if (!std::holds_alternative<Applied>(result)) return VerifyLoss();
+void JobRun::OnCommitResult(const std::vector<std::uint32_t>& chunks, bool ends_job,
+                            const CommitResult& result) {
+  // On failure `committing_` remains set, so that nothing more is committed.
+  if (!std::holds_alternative<Applied>(result)) return VerifyAfterConflict();
   committing_ = false;
   for (const std::uint32_t chunk : chunks) {
     const auto open = open_.find(chunk);
-    host_.CountCommitted(open->second.succeeded() + open->second.failed());
+    delegate_.CountCommitted(open->second.succeeded() + open->second.failed());
     committed_[chunk] = true;
     ++committed_count_;
     open_.erase(open);
   }
   if (ends_job) return End(JobNote::What::kDone);
-  CommitStored();
+  CommitStoredResults();
 }
 
 std::size_t JobRun::held_bytes() const {
@@ -349,10 +356,10 @@
   return bytes;
 }
 
-void JobRun::End(JobNote::What how) {
+void JobRun::End(JobNote::What transition) {
   phase_ = Phase::kEnded;
   open_.clear();
-  host_.Ended(job_, how);
+  delegate_.OnJobEnded(job_, transition);
 }
 
 }  // namespace figmill::detail
--- a/src/batch/job_run.h
+++ b/src/batch/job_run.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// One job in the hands of its owner: claim, chunks, commits, end.
+// The execution of one job by its owner: claim, chunks, commits, end.
 
 #include <functional>
 #include <map>
@@ -14,14 +14,14 @@
 
 namespace figmill::detail {
 
-// What a job needs of its owner. Outlives every JobRun.
-class JobHost {
+// The interface through which a JobRun uses its owner. Outlives every JobRun.
+class JobRunDelegate {
  public:
-  virtual ~JobHost() = default;
-  virtual void Ready(ReadyItem item) = 0;
-  virtual void Claimed(const JobId& job, Epoch epoch) = 0;
-  // The job is out of this owner's hands; the JobRun is dropped afterwards.
-  virtual void Ended(const JobId& job, JobNote::What how) = 0;
+  virtual ~JobRunDelegate() = default;
+  virtual void EnqueueItem(ReadyItem item) = 0;
+  virtual void OnJobClaimed(const JobId& job, Epoch epoch) = 0;
+  // The owner stops processing the job and drops its JobRun.
+  virtual void OnJobEnded(const JobId& job, JobNote::What transition) = 0;
   [[nodiscard]] virtual const BatchLimits& limits() const = 0;
   [[nodiscard]] virtual const RepeatableRule& repeatable() const = 0;
   [[nodiscard]] virtual Token NewToken() = 0;
@@ -31,36 +31,39 @@
   CommitQueue& commits;
 
  protected:
-  JobHost(StoreClient& store_client, CommitQueue& commit_queue)
+  JobRunDelegate(StoreClient& store_client, CommitQueue& commit_queue)
       : store(store_client), commits(commit_queue) {}
 };
 
 class JobRun : public std::enable_shared_from_this<JobRun> {
  public:
-  // `row` as read at `version`.
-  JobRun(JobHost& host, JobId job, JobRow row, RowVersion version);
+  // `row` is the job's row as read at `version`.
+  JobRun(JobRunDelegate& delegate, JobId job, JobRow row, RowVersion version);
 
-  // Becomes the owner by compare-and-set; every earlier owner is fenced by it.
+  // Takes ownership by compare-and-set, which fences every earlier owner.
   void Claim(const NodeId& self, Epoch lease);
-  // Looks whether the job is still ours; ends this run when it isn't.
-  void Verify();
-  // Gives the job up to whom it may concern. Only while idle().
+  // Reads the job's row and ends this run if the job was claimed, cancelled or
+  // finished elsewhere.
+  void VerifyOwnership();
+  // Clears the job's owner so that any process may claim it. Requires idle().
   void Release();
 
-  // Loads one more chunk ahead, if there is one.
+  // Loads the job's manifest, or prefetches its next chunk if there is one.
   void OpenNext();
+  // Whether OpenNext() has anything to load.
   [[nodiscard]] bool has_more() const;
-  // Not-repeatable items are intended and not sent yet. What goes wrong if more of
-  // them are intended ahead: an owner's death ends them all as unknown although
-  // they never ran, which shows as far more `outcome-unknown` than runs.
-  [[nodiscard]] bool awaits_sending_once() const {
-    return unsent_once_ > 0 || (has_once_ && loading_ > 0);
+  // Some not-repeatable items have a recorded intent but were not sent yet. No further
+  // chunks are opened meanwhile: if the owner dies, all items with an intent end as
+  // unknown although they never ran, which shows as far more `outcome-unknown` results
+  // than runs.
+  [[nodiscard]] bool has_unsent_intents() const {
+    return unsent_intents_ > 0 || (has_not_repeatable_ && loading_count_ > 0);
   }
-  // Nothing is open, loading, or on its way to the store.
+  // No chunk is open or loading, and no commit or verification is pending.
   [[nodiscard]] bool idle() const;
 
-  // Null when the item has ended.
-  [[nodiscard]] const BatchItem* Find(std::uint32_t index) const;
+  // Null when the item's chunk is not open or has finished.
+  [[nodiscard]] const BatchItem* FindItem(std::uint32_t index) const;
   void OnSent(std::uint32_t index);
   void OnOutcome(std::uint32_t index, const ItemOutcome& outcome, const NodeId& agent);
 
@@ -68,9 +71,9 @@
   [[nodiscard]] const JobId& job() const { return job_; }
   [[nodiscard]] const JobRow& row() const { return row_; }
   [[nodiscard]] std::uint32_t open_chunks() const {
-    return static_cast<std::uint32_t>(open_.size()) + loading_;
+    return static_cast<std::uint32_t>(open_.size()) + loading_count_;
   }
-  [[nodiscard]] std::uint32_t loading() const { return loading_; }
+  [[nodiscard]] std::uint32_t loading() const { return loading_count_; }
   [[nodiscard]] std::size_t held_bytes() const;
 
  private:
@@ -79,50 +82,51 @@
     std::string object;
     std::uint32_t pieces = 0;
   };
-  enum class Phase : std::uint8_t { kClaiming, kIdle, kLoading, kRunning, kReleasing, kEnded };
+  enum class Phase : std::uint8_t { kClaiming, kClaimed, kLoading, kRunning, kReleasing, kEnded };
 
-  // Wraps a callback so that it is dropped once this run has ended.
+  // Wraps a callback so that it does nothing after this run has ended.
   template <typename F>
-  auto Guarded(F callback);
-  void TakeVerification(const std::optional<Row>& found);
-  // A commit or an intent was superseded.
-  void VerifyLoss();
-  void Load();
-  void TakeManifest(const Result<std::string>& bytes);
-  void TakeChunkRows(const std::vector<Row>& rows);
+  auto IfNotEnded(F callback);
+  void OnOwnershipRead(const std::optional<Row>& found);
+  // Verifies after a superseded commit or intent; ends the run even if the job is still
+  // owned.
+  void VerifyAfterConflict();
+  void LoadManifest();
+  void OnManifest(const Result<std::string>& bytes);
+  void OnChunkRows(const std::vector<Row>& rows);
   void LoadChunk(std::uint32_t chunk);
-  void TakeChunk(std::uint32_t chunk, const Result<std::string>& text);
-  void Intend(std::uint32_t chunk);
-  void OfferItems(std::uint32_t chunk, bool repeatable);
-  void Offer(std::uint32_t index, const NodeId& avoid);
-  void StoreIfFinished(std::uint32_t chunk);
-  void CommitStored();
-  void TakeCommit(const std::vector<std::uint32_t>& chunks, bool ends_job,
-                  const CommitResult& result);
+  void OnChunkItems(std::uint32_t chunk, const Result<std::string>& text);
+  void RecordIntent(std::uint32_t chunk);
+  void EnqueueItems(std::uint32_t chunk, bool repeatable);
+  void EnqueueItem(std::uint32_t index, const NodeId& avoid);
+  void StoreResultsIfFinished(std::uint32_t chunk);
+  void CommitStoredResults();
+  void OnCommitResult(const std::vector<std::uint32_t>& chunks, bool ends_job,
+                      const CommitResult& result);
   [[nodiscard]] std::uint32_t ChunkOf(std::uint32_t index) const;
-  void End(JobNote::What how);
+  void End(JobNote::What transition);
 
-  JobHost& host_;
+  JobRunDelegate& delegate_;
   JobId job_;
   JobRow row_;
   RowVersion version_;
   Phase phase_ = Phase::kClaiming;
 
   std::vector<ChunkEntry> chunks_;
-  std::vector<std::uint32_t> first_index_;  // of each chunk
+  std::vector<std::uint32_t> first_index_;  // index of each chunk's first item
   std::vector<bool> committed_;
   std::uint32_t committed_count_ = 0;
-  std::map<std::uint32_t, RowVersion> intended_;  // by an earlier owner
-  std::uint32_t next_ = 0;                        // first chunk not opened yet
-  std::uint32_t loading_ = 0;
+  std::map<std::uint32_t, RowVersion> intent_versions_;  // intents of earlier owners, by chunk
+  std::uint32_t next_chunk_ = 0;                         // next chunk to open
+  std::uint32_t loading_count_ = 0;
   std::map<std::uint32_t, OpenChunk> open_;
 
-  std::vector<StoredResults> stored_;  // results in the object store, not committed
-  std::uint32_t unsent_once_ = 0;      // not-repeatable items of intended chunks
-  bool has_once_ = false;
+  std::vector<StoredResults> stored_;  // in the object store, not committed yet
+  std::uint32_t unsent_intents_ = 0;   // not-repeatable items with an intent, not sent yet
+  bool has_not_repeatable_ = false;
   bool committing_ = false;
   bool verifying_ = false;
-  bool lost_ = false;
+  bool commit_conflicted_ = false;
 };
 
 }  // namespace figmill::detail
--- a/src/batch/manifest.cc
+++ b/src/batch/manifest.cc
@@ -14,9 +14,9 @@
 constexpr std::size_t kMaxParts = 4096;
 
 static_assert(std::endian::native == std::endian::little,
-              "item marks are stored as they lie in memory");
+              "item hashes are stored in native byte order");
 
-Error Unreadable(const char* what) {
+Error ParseError(const char* what) {
   return Error{ErrorKind::kInternal, std::string(what) + " can't be read"};
 }
 
@@ -35,10 +35,10 @@
   if (!list.is_array()) return std::nullopt;
   std::vector<ChunkEntry> chunks;
   for (const Json& entry : list) {
-    const bool good = entry.is_array() && entry.size() == 2 && entry[0].is_string() &&
-                      entry[1].is_number_unsigned() &&
-                      IsDigest(entry[0].get_ref<const std::string&>());
-    if (!good) return std::nullopt;
+    const bool valid = entry.is_array() && entry.size() == 2 && entry[0].is_string() &&
+                       entry[1].is_number_unsigned() &&
+                       IsDigest(entry[0].get_ref<const std::string&>());
+    if (!valid) return std::nullopt;
     chunks.push_back(ChunkEntry{entry[0].get<std::string>(), entry[1].get<std::uint32_t>()});
   }
   return chunks;
@@ -46,73 +46,75 @@
 
 }  // namespace
 
-// One line of JSON (the chunks), then the marks.
+// Format: one line of JSON with the chunks, then the binary item item.
 std::string EncodePartIndex(const PartIndex& index) {
   std::string bytes = ChunksToJson(index.chunks).dump();
   bytes.push_back('\n');
   const std::size_t head = bytes.size();
-  bytes.resize(head + index.marks.size() * sizeof(ItemMark));
-  std::memcpy(bytes.data() + head, index.marks.data(), index.marks.size() * sizeof(ItemMark));
+  bytes.resize(head + index.marks.size() * sizeof(ItemHashes));
+  std::memcpy(bytes.data() + head, index.marks.data(), index.marks.size() * sizeof(ItemHashes));
   return bytes;
 }
 
 Result<PartIndex> ParsePartIndex(std::string_view bytes) {
   const std::size_t newline = bytes.find('\n');
-  if (newline == std::string_view::npos) return Unreadable("a part's index");
+  if (newline == std::string_view::npos) return ParseError("a part's index");
   auto chunks = ChunksFromJson(Json::parse(bytes.substr(0, newline), nullptr, false));
-  const std::string_view marks = bytes.substr(newline + 1);
-  if (!chunks || marks.size() % sizeof(ItemMark) != 0) return Unreadable("a part's index");
+  const std::string_view hash_bytes = bytes.substr(newline + 1);
+  if (!chunks || hash_bytes.size() % sizeof(ItemHashes) != 0) return ParseError("a part's index");
   PartIndex index;
   index.chunks = std::move(*chunks);
-  index.marks.resize(marks.size() / sizeof(ItemMark));
-  std::memcpy(index.marks.data(), marks.data(), marks.size());
+  index.marks.resize(hash_bytes.size() / sizeof(ItemHashes));
+  std::memcpy(index.marks.data(), hash_bytes.data(), hash_bytes.size());
   return index;
 }
 
 Result<std::vector<std::string>> ParsePartsManifest(std::string_view body) {
-  const Error bad{ErrorKind::kBadRequest,
-                  R"(the body must be {"parts": [...]} with the digests of 1 to 4096 parts)"};
+  const Error error{ErrorKind::kBadRequest,
+                    R"(the body must be {"parts": [...]} with the digests of 1 to 4096 parts)"};
   const Json json = Json::parse(body, nullptr, false);
-  if (!json.is_object() || json.size() != 1 || !json.contains("parts")) return bad;
+  if (!json.is_object() || json.size() != 1 || !json.contains("parts")) return error;
   const Json& parts = json["parts"];
-  if (!parts.is_array() || parts.empty() || parts.size() > kMaxParts) return bad;
+  if (!parts.is_array() || parts.empty() || parts.size() > kMaxParts) return error;
   std::vector<std::string> digests;
   for (const Json& part : parts) {
-    if (!part.is_string() || !IsDigest(part.get_ref<const std::string&>())) return bad;
+    if (!part.is_string() || !IsDigest(part.get_ref<const std::string&>())) return error;
     digests.push_back(part.get<std::string>());
   }
   return digests;
 }
 
 Result<Ok> JobAssembly::Add(const PartIndex& part) {
-  if (marks_.size() + part.marks.size() > kMaxJobItems) {
+  if (item_hashes_.size() + part.marks.size() > kMaxJobItems) {
     return Error{ErrorKind::kTooLarge,
                  "a job holds at most " + std::to_string(kMaxJobItems) + " items"};
   }
-  const std::size_t middle = sorted_ids_.size();
-  for (const ItemMark& mark : part.marks) sorted_ids_.push_back(mark.custom_id_hash);
-  const auto begin = sorted_ids_.begin();
-  const auto first_new = begin + static_cast<std::ptrdiff_t>(middle);
-  std::sort(first_new, sorted_ids_.end());
-  std::inplace_merge(begin, first_new, sorted_ids_.end());
-  marks_.insert(marks_.end(), part.marks.begin(), part.marks.end());
+  const std::size_t old_size = sorted_id_hashes_.size();
+  for (const ItemHashes& item : part.marks) sorted_id_hashes_.push_back(item.custom_id_hash);
+  const auto begin = sorted_id_hashes_.begin();
+  const auto first_new = begin + static_cast<std::ptrdiff_t>(old_size);
+  std::sort(first_new, sorted_id_hashes_.end());
+  std::inplace_merge(begin, first_new, sorted_id_hashes_.end());
+  item_hashes_.insert(item_hashes_.end(), part.marks.begin(), part.marks.end());
   chunks_.insert(chunks_.end(), part.chunks.begin(), part.chunks.end());
 
-  const auto twice = std::adjacent_find(sorted_ids_.begin(), sorted_ids_.end());
-  if (twice == sorted_ids_.end()) return Ok{};
-  const auto is_it = [&](const ItemMark& mark) { return mark.custom_id_hash == *twice; };
-  const auto first = std::find_if(marks_.begin(), marks_.end(), is_it);
-  const auto second = std::find_if(first + 1, marks_.end(), is_it);
-  return Error{ErrorKind::kBadRequest, "item " + std::to_string(second - marks_.begin() + 1) +
+  const auto duplicate = std::adjacent_find(sorted_id_hashes_.begin(), sorted_id_hashes_.end());
+  if (duplicate == sorted_id_hashes_.end()) return Ok{};
+  const auto has_duplicate_id = [&](const ItemHashes& item) {
+    return item.custom_id_hash == *duplicate;
+  };
+  const auto first = std::find_if(item_hashes_.begin(), item_hashes_.end(), has_duplicate_id);
+  const auto second = std::find_if(first + 1, item_hashes_.end(), has_duplicate_id);
+  return Error{ErrorKind::kBadRequest, "item " + std::to_string(second - item_hashes_.begin() + 1) +
                                            " has the custom_id of item " +
-                                           std::to_string(first - marks_.begin() + 1)};
+                                           std::to_string(first - item_hashes_.begin() + 1)};
 }
 
 std::string JobAssembly::ContentDigest(const TeamId& team, WallTime due) const {
   std::string bytes = team.value + '\n' + std::to_string(due.time_since_epoch().count()) + '\n';
   const std::size_t head = bytes.size();
-  bytes.resize(head + marks_.size() * sizeof(ItemMark));
-  std::memcpy(bytes.data() + head, marks_.data(), marks_.size() * sizeof(ItemMark));
+  bytes.resize(head + item_hashes_.size() * sizeof(ItemHashes));
+  std::memcpy(bytes.data() + head, item_hashes_.data(), item_hashes_.size() * sizeof(ItemHashes));
   return DigestOf(bytes);
 }
 
@@ -122,7 +124,7 @@
 
 Result<std::vector<ChunkEntry>> ParseManifest(std::string_view bytes) {
   auto chunks = ChunksFromJson(Json::parse(bytes, nullptr, false));
-  if (!chunks) return Unreadable("a job's manifest");
+  if (!chunks) return ParseError("a job's manifest");
   return std::move(*chunks);
 }
 
--- a/src/batch/open_chunk.cc
+++ b/src/batch/open_chunk.cc
@@ -5,15 +5,15 @@
 namespace figmill::detail {
 namespace {
 
-// The agent says so of its own state, not of the item.
-bool IsAboutTheAgent(ErrorKind kind) {
+// Errors caused by the state of the agent and not by the item.
+bool IsAgentError(ErrorKind kind) {
   return kind == ErrorKind::kOverloaded || kind == ErrorKind::kLeaving ||
          kind == ErrorKind::kStaleOrders || kind == ErrorKind::kNoBackend ||
          kind == ErrorKind::kTeamLimit || kind == ErrorKind::kUnknownService;
 }
 
-// Refused before it ran, and would be again.
-bool IsAboutTheItem(ErrorKind kind) {
+// Errors for which every agent would refuse the item before running it.
+bool IsItemError(ErrorKind kind) {
   return kind == ErrorKind::kBadRequest || kind == ErrorKind::kTooLarge ||
          kind == ErrorKind::kNotFound || kind == ErrorKind::kMethodNotAllowed;
 }
@@ -21,14 +21,14 @@
 }  // namespace
 
 OpenChunk::OpenChunk(std::uint32_t first_index, std::vector<BatchItem> items)
-    : first_index_(first_index), left_(items.size()) {
+    : first_index_(first_index), unfinished_(items.size()) {
   for (BatchItem& item : items) {
     held_bytes_ += sizeof(ItemState) + item.body.size() + item.custom_id.size();
     items_.push_back(ItemState{std::move(item), {}, 0, false});
   }
 }
 
-bool OpenChunk::ForbidRepeats(const RepeatableRule& rule) {
+bool OpenChunk::ApplyRepeatableRule(const RepeatableRule& rule) {
   bool any = false;
   for (ItemState& state : items_) {
     BatchItem& item = state.item;
@@ -38,66 +38,67 @@
   return any;
 }
 
-AfterAttempt OpenChunk::Take(std::uint32_t index, const ItemOutcome& outcome, int max_attempts) {
-  if (items_[index - first_index_].ended) return AfterAttempt::kEnded;
+AttemptResult OpenChunk::RecordOutcome(std::uint32_t index, const ItemOutcome& outcome,
+                                       int max_attempts) {
+  if (items_[index - first_index_].ended) return AttemptResult::kEnded;
   return std::visit(
       Overloaded{
-          [&](const ItemAnswer& answer) { return TakeAnswer(index, answer, max_attempts); },
-          [&](const Error& error) { return TakeError(index, error, max_attempts); },
+          [&](const ItemAnswer& answer) { return RecordAnswer(index, answer, max_attempts); },
+          [&](const Error& error) { return RecordError(index, error, max_attempts); },
       },
       outcome);
 }
 
-AfterAttempt OpenChunk::TakeAnswer(std::uint32_t index, const ItemAnswer& answer,
-                                   int max_attempts) {
+AttemptResult OpenChunk::RecordAnswer(std::uint32_t index, const ItemAnswer& answer,
+                                      int max_attempts) {
   ItemState& state = items_[index - first_index_];
-  const Verdict verdict = Judge(state.item, answer);
-  const bool last = !state.item.repeatable || state.attempts >= max_attempts;
-  if (verdict == Verdict::kRetry && !last) return AfterAttempt::kTryAgain;
-  if (verdict == Verdict::kSuccess) {
-    End(state, AnswerLine(index, state.item, answer), true);
-    return AfterAttempt::kEnded;
+  const AnswerClass answer_class = ClassifyAnswer(state.item, answer);
+  const bool last_attempt = !state.item.repeatable || state.attempts >= max_attempts;
+  if (answer_class == AnswerClass::kRetryable && !last_attempt) return AttemptResult::kRetry;
+  if (answer_class == AnswerClass::kSuccess) {
+    EndItem(state, AnswerLine(index, state.item, answer), true);
+    return AttemptResult::kEnded;
   }
-  const bool cut_short = answer.status >= 200 && answer.status < 300;
-  Error error{cut_short ? ErrorKind::kBrokenAnswer : ErrorKind::kBackendFailed,
-              cut_short
-                  ? "the backend server cut its answer short"
+  const bool truncated = answer.status >= 200 && answer.status < 300;
+  Error error{truncated ? ErrorKind::kBrokenAnswer : ErrorKind::kBackendFailed,
+              truncated
+                  ? "the backend server truncated its answer"
                   : "status " + std::to_string(answer.status) + ": " + answer.body.substr(0, 500),
               Ran::kYes};
-  End(state, FailureLine(index, state.item, error, state.attempts), false);
-  return AfterAttempt::kEnded;
+  EndItem(state, FailureLine(index, state.item, error, state.attempts), false);
+  return AttemptResult::kEnded;
 }
 
-AfterAttempt OpenChunk::TakeError(std::uint32_t index, const Error& error, int max_attempts) {
+AttemptResult OpenChunk::RecordError(std::uint32_t index, const Error& error, int max_attempts) {
   ItemState& state = items_[index - first_index_];
   const bool not_run = error.ran == Ran::kNo;
   if (not_run && state.attempts > 0) --state.attempts;
-  if (not_run && !IsAboutTheItem(error.kind)) return AfterAttempt::kTryAgain;
+  if (not_run && !IsItemError(error.kind)) return AttemptResult::kRetry;
   if (!not_run && state.item.repeatable) {
-    if (IsAboutTheAgent(error.kind)) {
+    if (IsAgentError(error.kind)) {
       --state.attempts;
-      return AfterAttempt::kTryAgain;
+      return AttemptResult::kRetry;
     }
-    if (state.attempts < max_attempts) return AfterAttempt::kTryAgain;
+    if (state.attempts < max_attempts) return AttemptResult::kRetry;
   }
   Error cause = error;
   if (!state.item.repeatable && error.ran == Ran::kUnknown) cause.kind = ErrorKind::kOutcomeUnknown;
-  End(state, FailureLine(index, state.item, cause, state.attempts), false);
-  return AfterAttempt::kEnded;
+  EndItem(state, FailureLine(index, state.item, cause, state.attempts), false);
+  return AttemptResult::kEnded;
 }
 
 void OpenChunk::Fail(std::uint32_t index, const Error& error) {
   ItemState& state = items_[index - first_index_];
-  if (!state.ended) End(state, FailureLine(index, state.item, error, state.attempts), false);
+  if (!state.ended) EndItem(state, FailureLine(index, state.item, error, state.attempts), false);
 }
 
-void OpenChunk::End(ItemState& state, std::string line, bool success) {
+void OpenChunk::EndItem(ItemState& state, std::string line, bool success) {
   state.ended = true;
   held_bytes_ += line.size();
   held_bytes_ -= state.item.body.size();
   state.item.body = std::string();
   state.result = std::move(line);
-  --left_;
+  --unfinished_;
   ++(success ? succeeded_ : failed_);
 }
 
--- a/src/batch/open_chunk.h
+++ b/src/batch/open_chunk.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// The items of one chunk while they are worked: attempts, endings, results.
+// The items of one chunk that is being processed: attempts, outcomes, results.
 
 #include <optional>
 #include <string>
@@ -10,16 +10,16 @@
 
 namespace figmill::detail {
 
-// What to do with an item after an attempt.
-enum class AfterAttempt : std::uint8_t { kEnded, kTryAgain };
+// Whether an item has ended or needs another attempt.
+enum class AttemptResult : std::uint8_t { kEnded, kRetry };
 
 class OpenChunk {
  public:
   OpenChunk(std::uint32_t first_index, std::vector<BatchItem> items);
 
-  // Applies the configuration's word to each item; true when one of them may not
-  // be repeated.
-  bool ForbidRepeats(const RepeatableRule& rule);
+  // Applies the configuration's rule to each item. Returns whether any item of the
+  // chunk is not repeatable.
+  bool ApplyRepeatableRule(const RepeatableRule& rule);
 
   [[nodiscard]] std::size_t size() const { return items_.size(); }
   [[nodiscard]] std::uint32_t first_index() const { return first_index_; }
@@ -31,38 +31,39 @@
   }
 
   void CountAttempt(std::uint32_t index) { ++items_[index - first_index_].attempts; }
-  // An ended item stays as it ended: a late second outcome changes nothing.
-  [[nodiscard]] AfterAttempt Take(std::uint32_t index, const ItemOutcome& outcome,
-                                  int max_attempts);
+  // The first final outcome of an item counts; later ones are ignored.
+  [[nodiscard]] AttemptResult RecordOutcome(std::uint32_t index, const ItemOutcome& outcome,
+                                            int max_attempts);
   void Fail(std::uint32_t index, const Error& error);
 
-  [[nodiscard]] bool finished() const { return left_ == 0; }
+  [[nodiscard]] bool finished() const { return unfinished_ == 0; }
   [[nodiscard]] std::uint32_t succeeded() const { return succeeded_; }
   [[nodiscard]] std::uint32_t failed() const { return failed_; }
   [[nodiscard]] std::size_t held_bytes() const { return held_bytes_; }
-  // All result lines in item order, in pieces of at most kMaxResultObjectBytes
-  // where a line isn't longer; gives their memory away.
+  // Moves out all result lines in item order, in pieces of at most
+  // kMaxResultObjectBytes, except that a longer line forms a piece by itself.
   [[nodiscard]] std::vector<std::string> TakeResults();
-  // The results lie in the object store now.
-  void ForgetBytes() { held_bytes_ = 0; }
+  // Called when the results are in the object store and no longer in memory.
+  void ClearHeldBytes() { held_bytes_ = 0; }
 
-  RowVersion row_version = 0;  // of the chunk's row: that of the intent, or 0
+  RowVersion row_version = 0;  // of the chunk's intent row; 0 when it has none
 
  private:
   struct ItemState {
     BatchItem item;
     std::string result;
-    int attempts = 0;  // that may have run
+    int attempts = 0;  // attempts that may have run
     bool ended = false;
   };
-  void End(ItemState& state, std::string line, bool success);
-  [[nodiscard]] AfterAttempt TakeAnswer(std::uint32_t index, const ItemAnswer& answer,
-                                        int max_attempts);
-  [[nodiscard]] AfterAttempt TakeError(std::uint32_t index, const Error& error, int max_attempts);
+  void EndItem(ItemState& state, std::string line, bool success);
+  [[nodiscard]] AttemptResult RecordAnswer(std::uint32_t index, const ItemAnswer& answer,
+                                           int max_attempts);
+  [[nodiscard]] AttemptResult RecordError(std::uint32_t index, const Error& error,
+                                          int max_attempts);
 
   std::uint32_t first_index_;
   std::vector<ItemState> items_;
-  std::size_t left_;
+  std::size_t unfinished_;
   std::size_t held_bytes_ = 0;
   std::uint32_t succeeded_ = 0;
   std::uint32_t failed_ = 0;
--- a/src/batch/owner_core.cc
+++ b/src/batch/owner_core.cc
@@ -5,24 +5,25 @@
 namespace figmill::detail {
 namespace {
 
-// How often the open jobs are scanned; a cancellation whose notice got lost is
-// seen this much later.
-constexpr Duration kRoundPeriod{1'000'000};
-// Longer than the time between two attempts to renew a lease.
-constexpr Duration kOutageMemory{5'000'000};
-constexpr Duration kRefusalPause{200'000};
-// A team may open this many chunks whatever the others hold.
-constexpr std::uint32_t kLeastOpenPerTeam = 2;
+// How often the open jobs are scanned, which bounds the delay until a cancellation
+// whose notification was lost is noticed.
+constexpr Duration kScanPeriod{1'000'000};
+// How long after a failed renewal the store is considered down. Longer than the time
+// between two attempts to renew a lease.
+constexpr Duration kOutageTimeout{5'000'000};
+constexpr Duration kDefaultRetryAfter{200'000};
+// A team may open this many chunks regardless of the other teams.
+constexpr std::uint32_t kMinOpenChunksPerTeam = 2;
 
 }  // namespace
 
 OwnerCore::OwnerCore(NodeId self, BatchLimits limits, RandomBits random)
-    : JobHost(store_, commits_),
+    : JobRunDelegate(store_, commits_),
       self_(std::move(self)),
       limits_(limits),
       random_(std::move(random)),
       commits_(store_),
-      board_(self_) {}
+      planner_(self_) {}
 
 std::vector<BatchAction> OwnerCore::Handle(const BatchEvent& event, Time now) {
   now_ = now;
@@ -31,8 +32,8 @@
   std::visit([this](const auto& e) { On(e); }, event);
   OpenChunks();
   Dispatch();
-  if (draining_) GoOnDraining();
-  for (StoreCall& call : store_.Take()) {
+  if (draining_) ContinueDraining();
+  for (StoreCall& call : store_.TakeCalls()) {
     std::visit([this](auto& c) { out_.emplace_back(std::move(c)); }, call);
   }
   return std::exchange(out_, {});
@@ -41,41 +42,41 @@
 // --- Lease and fleet ---------------------------------------------------------------
 
 void OwnerCore::On(const BatchTick&) {
-  if (now_ >= next_round_ && scans_left_ == 0 && !draining_) StartRound();
+  if (now_ >= next_scan_round_ && scans_left_ == 0 && !draining_) StartScanRound();
 }
 
 void OwnerCore::On(const OwnerLeaseHeld& event) {
   if (event.epoch != lease_) DropRuns();
   lease_ = event.epoch;
-  act_until_ = event.act_until;
-  board_.SetLease(lease_);
-  for (ReadyItem& item : std::exchange(held_back_, {})) scheduler_.Add(std::move(item));
+  lease_valid_until_ = event.valid_until;
+  planner_.SetLease(lease_);
+  for (ReadyItem& item : std::exchange(deferred_items_, {})) scheduler_.Add(std::move(item));
 }
 
 void OwnerCore::On(const OwnerLeaseLost&) {
-  act_until_ = {};
+  lease_valid_until_ = {};
   DropRuns();
 }
 
 void OwnerCore::On(const StoreSilent&) {
-  outage_until_ = now_ + kOutageMemory;
+  outage_until_ = now_ + kOutageTimeout;
 }
 
 void OwnerCore::On(const OwnerLapsed& event) {
-  board_.OnLapsed(OwnerToWatch{event.owner, event.epoch});
-  next_round_ = now_;
+  planner_.OnLeaseExpired(OwnerToWatch{event.owner, event.epoch});
+  next_scan_round_ = now_;
 }
 
 void OwnerCore::On(const FleetSeen& event) {
-  if (board_.SetEntries(event.entries)) next_round_ = now_;
+  if (planner_.SetEntries(event.entries)) next_scan_round_ = now_;
   repeatable_ = event.repeatable;
   scheduler_.SetAgents(event.agents);
-  TakeBackFrom(event.agents);
+  RetryItemsOfLostAgents(event.agents);
 }
 
 void OwnerCore::On(const JobChanged& event) {
   const auto run = runs_.find(event.job);
-  if (run != runs_.end()) run->second->Verify();
+  if (run != runs_.end()) run->second->VerifyOwnership();
 }
 
 void OwnerCore::On(const DrainBatch&) {
@@ -83,77 +84,78 @@
 }
 
 void OwnerCore::DropRuns() {
-  while (!runs_.empty()) Ended(runs_.begin()->first, JobNote::What::kFenced);
+  while (!runs_.empty()) OnJobEnded(runs_.begin()->first, JobNote::What::kFenced);
 }
 
-// A dead agent may not close its connections: its host is gone, or it is
-// stopped. Its items would wait for ever; those that may be repeated go elsewhere.
-void OwnerCore::TakeBackFrom(const std::vector<BatchAgent>& agents) {
-  const auto lost = [&](const Flying& flying) {
+// A lost agent may not close its connections, for example when its host failed or its
+// process is stopped. Its items would wait forever, so the repeatable ones are retried
+// on other agents.
+void OwnerCore::RetryItemsOfLostAgents(const std::vector<BatchAgent>& agents) {
+  const auto lost = [&](const InFlightItem& item) {
     return std::none_of(agents.begin(), agents.end(), [&](const BatchAgent& agent) {
-      return agent.node == flying.agent && agent.incarnation == flying.incarnation;
+      return agent.node == item.agent && agent.incarnation == item.incarnation;
     });
   };
-  std::vector<RequestId> taken_back;
-  for (const auto& [request, flying] : flying_) {
-    if (flying.repeatable && lost(flying)) taken_back.push_back(request);
+  std::vector<RequestId> lost_requests;
+  for (const auto& [request, item] : in_flight_) {
+    if (item.repeatable && lost(item)) lost_requests.push_back(request);
   }
-  for (const RequestId& request : taken_back) {
-    const Flying& flying = flying_.at(request);
-    out_.emplace_back(CancelItem{request, flying.agent, flying.incarnation});
+  for (const RequestId& request : lost_requests) {
+    const InFlightItem& item = in_flight_.at(request);
+    out_.emplace_back(CancelItem{request, item.agent, item.incarnation});
     On(ItemEnded{request, Error{ErrorKind::kBackendFailed, "the agent was lost", Ran::kUnknown}});
   }
 }
 
 // --- Finding jobs ------------------------------------------------------------------
 
-void OwnerCore::StartRound() {
-  next_round_ = now_ + kRoundPeriod;
+void OwnerCore::StartScanRound() {
+  next_scan_round_ = now_ + kScanPeriod;
   std::vector<JobId> held;
   held_at_start_.clear();
   for (const auto& [job, run] : runs_) {
     held.push_back(job);
     if (run->claimed()) held_at_start_.insert(job);
   }
-  seen_.clear();
-  const std::vector<std::string> prefixes = board_.Prefixes(held);
+  scanned_jobs_.clear();
+  const std::vector<std::string> prefixes = planner_.ScanPrefixes(held);
   scans_left_ = prefixes.size();
-  ++round_;
-  for (const std::string& prefix : prefixes) ScanOne(round_, prefix);
+  ++scan_round_;
+  for (const std::string& prefix : prefixes) ScanPrefix(scan_round_, prefix);
 }
 
-void OwnerCore::ScanOne(std::size_t round, const std::string& prefix) {
+void OwnerCore::ScanPrefix(std::size_t round, const std::string& prefix) {
   store_.ScanAll(prefix, [this, round](const Result<std::vector<Row>>& rows) {
-    if (round != round_ || !IsOk(rows)) return;
+    if (round != scan_round_ || !IsOk(rows)) return;
     for (const Row& row : ValueOf(rows)) {
-      if (auto job = ReadOpenRow(row)) seen_.push_back(std::move(*job));
+      if (auto job = ParseOpenJob(row)) scanned_jobs_.push_back(std::move(*job));
     }
-    if (--scans_left_ == 0) FinishRound();
+    if (--scans_left_ == 0) FinishScanRound();
   });
 }
 
-void OwnerCore::FinishRound() {
+void OwnerCore::FinishScanRound() {
   std::set<JobId> busy = claiming_;
   for (const auto& [job, run] : runs_) busy.insert(job);
-  const JobBoard::Verdict verdict = board_.Judge(seen_, held_at_start_, busy);
-  seen_.clear();
-  for (const JobId& job : verdict.doubtful) {
+  const ClaimPlanner::ClaimPlan plan = planner_.MakePlan(scanned_jobs_, held_at_start_, busy);
+  scanned_jobs_.clear();
+  for (const JobId& job : plan.verify) {
     const auto run = runs_.find(job);
-    if (run != runs_.end()) run->second->Verify();
+    if (run != runs_.end()) run->second->VerifyOwnership();
   }
-  if (auto owners = board_.TakeWatchList()) out_.emplace_back(WatchOwners{std::move(*owners)});
-  if (!acting() || draining_) return;
-  for (const JobId& job : verdict.claim) ClaimJob(job);
+  if (auto owners = planner_.TakeWatchList()) out_.emplace_back(WatchOwners{std::move(*owners)});
+  if (!has_valid_lease() || draining_) return;
+  for (const JobId& job : plan.claim) ClaimJob(job);
 }
 
 void OwnerCore::ClaimJob(const JobId& job) {
   claiming_.insert(job);
   store_.Read(JobKey(job), [this, job](const Result<std::optional<Row>>& answer) {
     claiming_.erase(job);
-    if (!IsOk(answer) || !ValueOf(answer) || !acting() || draining_) return;
+    if (!IsOk(answer) || !ValueOf(answer) || !has_valid_lease() || draining_) return;
     Result<JobRow> row = ParseJobRow(ValueOf(answer)->value);
     if (!IsOk(row) || ValueOf(row).state != JobState::kRunning) return;
-    if (!board_.Claimable(ValueOf(row).owner, ValueOf(row).owner_lease)) return;
+    if (!planner_.Claimable(ValueOf(row).owner, ValueOf(row).owner_lease)) return;
     auto run =
         std::make_shared<JobRun>(*this, job, std::move(ValueOf(row)), ValueOf(answer)->version);
     runs_[job] = run;
@@ -163,13 +165,13 @@
 
 // --- Work --------------------------------------------------------------------------
 
-void OwnerCore::Ready(ReadyItem item) {
+void OwnerCore::EnqueueItem(ReadyItem item) {
   scheduler_.Add(std::move(item));
 }
 
-// Opens chunks ahead so that each team has items ready, earliest due job first.
+// Prefetches chunks so that each team has ready items, earliest due job first.
 void OwnerCore::OpenChunks() {
-  if (!acting() || draining_) return;
+  if (!has_valid_lease() || draining_) return;
   std::map<TeamId, std::size_t> ready;
   std::size_t held = 0;
   std::uint32_t open = 0;
@@ -180,42 +182,45 @@
   }
   if (ready.empty() || held >= limits_.max_held_bytes || open >= limits_.max_open_chunks) return;
   const auto teams = static_cast<std::uint32_t>(ready.size());
-  const std::uint32_t most = std::max(kLeastOpenPerTeam, limits_.max_open_chunks / teams);
+  const std::uint32_t max_open_per_team =
+      std::max(kMinOpenChunksPerTeam, limits_.max_open_chunks / teams);
   for (const auto& [team, loading] : ready) {
-    OpenFor(team, loading + scheduler_.ReadyOf(team), most);
+    OpenChunkForTeam(team, loading + scheduler_.ReadyOf(team), max_open_per_team);
   }
 }
 
-// A job with no chunk open gets one even when its team has enough ready: what is
-// ready may all be for one model, while the engines of another stand idle.
-void OwnerCore::OpenFor(const TeamId& team, std::size_t ready, std::uint32_t most_open) {
-  const bool enough = ready >= limits_.ready_per_team;
-  JobRun* first = nullptr;
+// A job without an open chunk gets one even if its team has enough ready items: these
+// may all be for one model while the engines of another are idle.
+void OwnerCore::OpenChunkForTeam(const TeamId& team, std::size_t ready, std::uint32_t max_open) {
+  const bool enough = ready >= limits_.ready_items_per_team;
+  JobRun* earliest = nullptr;
   std::uint32_t open = 0;
   for (const auto& [job, run] : runs_) {
     if (run->row().team != team) continue;
     open += run->open_chunks();
-    // A job whose items nobody serves now must not draw in ever more of them.
-    if (!run->has_more() || run->awaits_sending_once() || scheduler_.StuckOf(job) > 0) continue;
+    // Open no further chunks of a job while some of its items can't be served.
+    if (!run->has_more() || run->has_unsent_intents() || scheduler_.UnservedOf(job) > 0) continue;
     if (enough && run->open_chunks() > 0) continue;
-    if (first == nullptr || run->row().due < first->row().due) first = run.get();
+    if (earliest == nullptr || run->row().due < earliest->row().due) earliest = run.get();
   }
-  if (first != nullptr && open < most_open) first->OpenNext();
+  if (earliest != nullptr && open < max_open) earliest->OpenNext();
 }
 
 void OwnerCore::Dispatch() {
-  if (!acting() && !riding_out_outage()) return;
-  while (auto assignment = scheduler_.Next(now_)) Send(std::move(*assignment));
+  if (!has_valid_lease() && !in_store_outage()) return;
+  while (auto assignment = scheduler_.Next(now_)) SendItem(std::move(*assignment));
 }
 
-void OwnerCore::Send(Assignment assignment) {
+void OwnerCore::SendItem(Assignment assignment) {
   const auto run = runs_.find(assignment.item.job);
-  const BatchItem* item = run == runs_.end() ? nullptr : run->second->Find(assignment.item.index);
+  const BatchItem* item =
+      run == runs_.end() ? nullptr : run->second->FindItem(assignment.item.index);
   if (item == nullptr) return scheduler_.OnEnded(assignment.agent);
-  // A successor may have judged these already; it must not be proved wrong.
-  if (!item->repeatable && !acting()) {
+  // A new owner may already have recorded the item's outcome as unknown, so it must not
+  // be sent now.
+  if (!item->repeatable && !has_valid_lease()) {
     scheduler_.OnEnded(assignment.agent);
-    held_back_.push_back(std::move(assignment.item));
+    deferred_items_.push_back(std::move(assignment.item));
     return;
   }
   const JobRow& row = run->second->row();
@@ -223,69 +228,69 @@
   run->second->OnSent(index);
   RequestId request{assignment.item.job.value + ":" + std::to_string(row.epoch) + ":" +
                     std::to_string(index) + ":" + std::to_string(++attempts_)};
-  flying_[request] = Flying{assignment.item.job, index, assignment.agent, assignment.incarnation,
-                            item->repeatable};
+  in_flight_[request] = InFlightItem{assignment.item.job, index, assignment.agent,
+                                     assignment.incarnation, item->repeatable};
   out_.emplace_back(DispatchItem{std::move(request), std::move(assignment.agent),
                                  assignment.incarnation, std::move(assignment.item.job), row.team,
                                  row.epoch, index, *item});
 }
 
 void OwnerCore::On(const ItemStarted& event) {
-  const auto flying = flying_.find(event.request);
-  if (flying != flying_.end()) scheduler_.OnRoom(flying->second.agent, event.room);
+  const auto found = in_flight_.find(event.request);
+  if (found != in_flight_.end()) scheduler_.OnFreeSlots(found->second.agent, event.free_slots);
 }
 
 void OwnerCore::On(const ItemEnded& event) {
-  const auto found = flying_.find(event.request);
-  if (found == flying_.end()) return;  // late: of a cancelled or lost job
-  const Flying flying = std::move(found->second);
-  flying_.erase(found);
+  const auto found = in_flight_.find(event.request);
+  if (found == in_flight_.end()) return;  // late outcome of a cancelled or lost job
+  const InFlightItem item = std::move(found->second);
+  in_flight_.erase(found);
   std::visit(Overloaded{
                  [&](const ItemAnswer& answer) {
                    if (answer.status >= 500) {
-                     scheduler_.OnFailed(flying.agent, now_);
+                     scheduler_.OnFailed(item.agent, now_);
                    } else {
-                     scheduler_.OnEnded(flying.agent);
+                     scheduler_.OnEnded(item.agent);
                    }
                  },
                  [&](const Error& error) {
                    if (error.ran == Ran::kNo && error.kind != ErrorKind::kBackendFailed) {
-                     scheduler_.OnRefused(flying.agent, error.retry_after.value_or(kRefusalPause),
-                                          now_);
+                     scheduler_.OnRefused(item.agent,
+                                          error.retry_after.value_or(kDefaultRetryAfter), now_);
                    } else {
-                     scheduler_.OnFailed(flying.agent, now_);
+                     scheduler_.OnFailed(item.agent, now_);
                    }
                  },
              },
              event.outcome);
-  const auto run = runs_.find(flying.job);
-  if (run != runs_.end()) run->second->OnOutcome(flying.index, event.outcome, flying.agent);
+  const auto run = runs_.find(item.job);
+  if (run != runs_.end()) run->second->OnOutcome(item.index, event.outcome, item.agent);
 }
 
-void OwnerCore::CancelFlying(const JobId& job) {
-  for (auto it = flying_.begin(); it != flying_.end();) {
+void OwnerCore::CancelInFlight(const JobId& job) {
+  for (auto it = in_flight_.begin(); it != in_flight_.end();) {
     if (it->second.job != job) {
       ++it;
       continue;
     }
     out_.emplace_back(CancelItem{it->first, it->second.agent, it->second.incarnation});
     scheduler_.OnEnded(it->second.agent);
-    it = flying_.erase(it);
+    it = in_flight_.erase(it);
   }
 }
 
-void OwnerCore::Ended(const JobId& job, JobNote::What how) {
+void OwnerCore::OnJobEnded(const JobId& job, JobNote::What transition) {
   const auto run = runs_.find(job);
   if (run == runs_.end()) return;
-  out_.emplace_back(JobNote{job, run->second->row().epoch, how});
+  out_.emplace_back(JobNote{job, run->second->row().epoch, transition});
   scheduler_.RemoveJob(job);
-  std::erase_if(held_back_, [&](const ReadyItem& item) { return item.job == job; });
-  CancelFlying(job);
+  std::erase_if(deferred_items_, [&](const ReadyItem& item) { return item.job == job; });
+  CancelInFlight(job);
   runs_.erase(run);
 }
 
-// Open chunks are finished, so that no work is lost; then the jobs are released.
-void OwnerCore::GoOnDraining() {
+// Finishes open chunks so that no work is lost, then releases the jobs.
+void OwnerCore::ContinueDraining() {
   std::vector<std::shared_ptr<JobRun>> idle;
   for (const auto& [job, run] : runs_) {
     if (run->idle()) idle.push_back(run);
@@ -299,7 +304,7 @@
 BatchCounts OwnerCore::counts() const {
   BatchCounts counts;
   counts.jobs = static_cast<std::uint32_t>(runs_.size());
-  counts.in_flight = static_cast<std::uint32_t>(flying_.size());
+  counts.in_flight = static_cast<std::uint32_t>(in_flight_.size());
   for (const auto& [job, run] : runs_) {
     counts.open_chunks += run->open_chunks();
     counts.held_bytes += run->held_bytes();
--- a/src/batch/owner_core.h
+++ b/src/batch/owner_core.h
@@ -1,6 +1,7 @@
 #pragma once
 
-// Joins the parts of one owner: board, runs, scheduler, store client.
+// The implementation of BatchOwner: connects the claim planner, the job runs, the
+// scheduler and the store client.
 
 #include <map>
 #include <memory>
@@ -8,31 +9,31 @@
 #include <string>
 #include <vector>
 
-#include "batch/job_board.h"
+#include "batch/claim_planner.h"
 #include "batch/job_run.h"
 
 namespace figmill::detail {
 
-class OwnerCore final : public JobHost {
+class OwnerCore final : public JobRunDelegate {
  public:
   OwnerCore(NodeId self, BatchLimits limits, RandomBits random);
 
   std::vector<BatchAction> Handle(const BatchEvent& event, Time now);
   [[nodiscard]] BatchCounts counts() const;
 
-  // JobHost
-  void Ready(ReadyItem item) override;
-  void Claimed(const JobId& job, Epoch epoch) override {
+  // JobRunDelegate
+  void EnqueueItem(ReadyItem item) override;
+  void OnJobClaimed(const JobId& job, Epoch epoch) override {
     out_.emplace_back(JobNote{job, epoch, JobNote::What::kClaimed});
   }
-  void Ended(const JobId& job, JobNote::What how) override;
+  void OnJobEnded(const JobId& job, JobNote::What transition) override;
   [[nodiscard]] const BatchLimits& limits() const override { return limits_; }
   [[nodiscard]] const RepeatableRule& repeatable() const override { return repeatable_; }
   [[nodiscard]] Token NewToken() override { return FreshToken(random_); }
   void CountCommitted(std::uint32_t items) override { items_committed_ += items; }
 
  private:
-  struct Flying {
+  struct InFlightItem {
     JobId job;
     std::uint32_t index = 0;
     NodeId agent;
@@ -55,26 +56,26 @@
     store_.Handle(answer, now_);
   }
 
-  // The lease lets this process begin something new.
-  [[nodiscard]] bool acting() const { return now_ < act_until_; }
-  // The lease ran out because the store is down, not because we were paused. An
-  // owner that wakes from a pause must look at its lease before it sends again:
-  // its jobs may be cancelled.
-  [[nodiscard]] bool riding_out_outage() const { return now_ < outage_until_; }
+  // The lease is valid, so this process may start new work.
+  [[nodiscard]] bool has_valid_lease() const { return now_ < lease_valid_until_; }
+  // The lease expired because the store is down and not because this process was
+  // paused. An owner that resumes after a pause must check its lease before it sends
+  // again, since its jobs may have been cancelled.
+  [[nodiscard]] bool in_store_outage() const { return now_ < outage_until_; }
   void DropRuns();
-  void CancelFlying(const JobId& job);
-  void TakeBackFrom(const std::vector<BatchAgent>& agents);
+  void CancelInFlight(const JobId& job);
+  void RetryItemsOfLostAgents(const std::vector<BatchAgent>& agents);
 
-  void StartRound();
-  void ScanOne(std::size_t round, const std::string& prefix);
-  void FinishRound();
+  void StartScanRound();
+  void ScanPrefix(std::size_t round, const std::string& prefix);
+  void FinishScanRound();
   void ClaimJob(const JobId& job);
 
   void OpenChunks();
-  void OpenFor(const TeamId& team, std::size_t ready, std::uint32_t most_open);
+  void OpenChunkForTeam(const TeamId& team, std::size_t ready, std::uint32_t max_open);
   void Dispatch();
-  void Send(Assignment assignment);
-  void GoOnDraining();
+  void SendItem(Assignment assignment);
+  void ContinueDraining();
 
   NodeId self_;
   BatchLimits limits_;
@@ -83,26 +84,26 @@
   Time now_;
   StoreClient store_;
   CommitQueue commits_;
-  JobBoard board_;
-  FillScheduler scheduler_;
+  ClaimPlanner planner_;
+  ItemScheduler scheduler_;
 
   Epoch lease_ = 0;
-  Time act_until_;
+  Time lease_valid_until_;
   Time outage_until_;
   bool draining_ = false;
   bool drained_ = false;
 
   std::map<JobId, std::shared_ptr<JobRun>> runs_;
-  std::set<JobId> claiming_;  // their row is being read
-  std::map<RequestId, Flying> flying_;
-  std::vector<ReadyItem> held_back_;  // not repeatable, waiting for the lease
+  std::set<JobId> claiming_;  // jobs whose row is being read for a claim
+  std::map<RequestId, InFlightItem> in_flight_;
+  std::vector<ReadyItem> deferred_items_;  // not repeatable; sent once the lease is valid
 
-  // One round of scans.
-  std::size_t round_ = 0;
+  // State of the current scan round.
+  std::size_t scan_round_ = 0;
   std::size_t scans_left_ = 0;
-  std::vector<OpenJob> seen_;
+  std::vector<OpenJob> scanned_jobs_;
   std::set<JobId> held_at_start_;
-  Time next_round_;
+  Time next_scan_round_;
 
   std::uint64_t items_committed_ = 0;
   std::uint64_t attempts_ = 0;
--- a/src/batch/rows.cc
+++ b/src/batch/rows.cc
@@ -15,15 +15,15 @@
 constexpr std::array<std::string_view, 3> kStateNames = {"running", "done", "cancelled"};
 constexpr std::size_t kChunkDigits = 6;
 
-std::optional<JobState> StateNamed(std::string_view name) {
+std::optional<JobState> ParseJobState(std::string_view name) {
   for (std::size_t i = 0; i < kStateNames.size(); ++i) {
     if (kStateNames[i] == name) return static_cast<JobState>(i);
   }
   return std::nullopt;
 }
 
-// Runs `read` over a parsed value. A row of another form is a defect or a
-// foreign writer: it gives an error, never a guess.
+// Parses `value` as JSON and converts it with `read`. A malformed row indicates a
+// defect or an unknown writer, so it is an error and no defaults are filled in.
 template <typename T, typename Read>
 Result<T> Parse(std::string_view value, const char* what, Read read) {
   const Error error{ErrorKind::kInternal, std::string("a ") + what + " row can't be read"};
@@ -38,7 +38,7 @@
   }
 }
 
-std::string Numbered(const char* format, unsigned value) {
+std::string FormatNumber(const char* format, unsigned value) {
   std::array<char, 16> text{};
   std::snprintf(text.data(), text.size(), format, value);
   return text.data();
@@ -61,7 +61,7 @@
 
 Result<JobRow> ParseJobRow(std::string_view value) {
   return Parse<JobRow>(value, "job", [](const Json& json, JobRow& row) {
-    const auto state = StateNamed(json.at("state").get_ref<const std::string&>());
+    const auto state = ParseJobState(json.at("state").get_ref<const std::string&>());
     if (!state) return false;
     row.token.value = json.at("token");
     row.state = *state;
@@ -101,14 +101,14 @@
   });
 }
 
-std::string EncodeOpenRow(const OpenRow& row) {
+std::string EncodeOpenJobRow(const OpenJobRow& row) {
   return Json{
       {"token", row.token.value}, {"owner", row.owner.value}, {"owner_lease", row.owner_lease}}
       .dump();
 }
 
-Result<OpenRow> ParseOpenRow(std::string_view value) {
-  return Parse<OpenRow>(value, "open job", [](const Json& json, OpenRow& row) {
+Result<OpenJobRow> ParseOpenJobRow(std::string_view value) {
+  return Parse<OpenJobRow>(value, "open job", [](const Json& json, OpenJobRow& row) {
     row.token.value = json.at("token");
     row.owner.value = json.at("owner");
     row.owner_lease = json.at("owner_lease");
@@ -121,15 +121,16 @@
 }
 
 std::uint32_t ShardOf(const JobId& job) {
-  return static_cast<std::uint32_t>(XXH3_64bits(job.value.data(), job.value.size()) % kOpenShards);
+  return static_cast<std::uint32_t>(XXH3_64bits(job.value.data(), job.value.size()) %
+                                    kOpenJobShards);
 }
 
-std::string OpenPrefix(std::uint32_t shard) {
-  return "open/" + Numbered("%02x", shard) + "/";
+std::string OpenJobPrefix(std::uint32_t shard) {
+  return "open/" + FormatNumber("%02x", shard) + "/";
 }
 
-std::string OpenKey(const JobId& job) {
-  return OpenPrefix(ShardOf(job)) + job.value;
+std::string OpenJobKey(const JobId& job) {
+  return OpenJobPrefix(ShardOf(job)) + job.value;
 }
 
 std::string ChunkPrefix(const JobId& job) {
@@ -138,7 +139,7 @@
 
 std::string ChunkKey(const JobId& job, std::uint32_t chunk) {
   static_assert(kChunkDigits == 6);
-  return ChunkPrefix(job) + Numbered("%06u", chunk);
+  return ChunkPrefix(job) + FormatNumber("%06u", chunk);
 }
 
 std::string PartObject(const JobId& job, std::uint32_t part, std::string_view digest) {
@@ -149,7 +150,7 @@
   return "jobs/" + job.value + "/items/" + std::string(chunk_digest);
 }
 
-std::string ManifestObject(const JobId& job, std::string_view content_digest) {
+std::string ManifestObjectKey(const JobId& job, std::string_view content_digest) {
   return "jobs/" + job.value + "/manifest/" + std::string(content_digest);
 }
 
--- a/src/batch/store_client.cc
+++ b/src/batch/store_client.cc
@@ -5,7 +5,7 @@
 namespace figmill::detail {
 namespace {
 
-constexpr Duration kFirstBackoff{100'000};
+constexpr Duration kInitialBackoff{100'000};
 constexpr Duration kMaxBackoff{2'000'000};
 constexpr std::uint32_t kPageRows = 1000;
 
@@ -68,11 +68,11 @@
   if (found == pending_.end()) return;
   Pending& pending = found->second;
   const bool down = !IsOk(result) && ErrorOf(result).kind == ErrorKind::kStoreUnavailable;
-  const bool patient = !give_up_ || now_ < *give_up_;
-  if (down && patient && pending.retry == Retry::kWhileDown) {
-    pending.backoff = std::clamp(pending.backoff * 2, kFirstBackoff, kMaxBackoff);
-    pending.repeat_at = now_ + pending.backoff;
-    pending.waiting = true;
+  const bool before_deadline = !deadline_ || now_ < *deadline_;
+  if (down && before_deadline && pending.retry == Retry::kWhileDown) {
+    pending.backoff = std::clamp(pending.backoff * 2, kInitialBackoff, kMaxBackoff);
+    pending.retry_at = now_ + pending.backoff;
+    pending.awaiting_retry = true;
     return;
   }
   Callback done = std::move(pending.done);
@@ -101,8 +101,8 @@
 void StoreClient::Tick(Time now) {
   now_ = now;
   for (auto& [op, pending] : pending_) {
-    if (!pending.waiting || now < pending.repeat_at) continue;
-    pending.waiting = false;
+    if (!pending.awaiting_retry || now < pending.retry_at) continue;
+    pending.awaiting_retry = false;
     out_.push_back(pending.call);
   }
 }
--- a/src/batch/store_client.h
+++ b/src/batch/store_client.h
@@ -1,6 +1,7 @@
 #pragma once
 
-// Store calls with answers as callbacks, repeated while the store is down.
+// Store calls that report their results to callbacks and are retried while the store
+// is down.
 
 #include <functional>
 #include <map>
@@ -17,20 +18,21 @@
 
 class StoreClient {
  public:
-  // After `give_up` errors reach the callbacks; without it only final ones do.
-  explicit StoreClient(std::optional<Time> give_up = std::nullopt) : give_up_(give_up) {}
+  // After `deadline`, calls are no longer retried and callbacks receive the error.
+  // Without it, they receive only errors other than an unavailable store.
+  explicit StoreClient(std::optional<Time> deadline = std::nullopt) : deadline_(deadline) {}
 
   void Put(std::string key, std::string bytes, Retry retry, std::function<void(Result<Ok>)> done);
   void Get(std::string key, std::function<void(Result<std::string>)> done);
   void Read(std::string key, std::function<void(Result<std::optional<Row>>)> done);
-  // All rows of the prefix, page by page.
+  // Reads all rows with the prefix, page by page.
   void ScanAll(std::string prefix, std::function<void(Result<std::vector<Row>>)> done);
-  // Never repeated here: only the writer knows how to.
+  // Not retried here: only the writer knows how to retry safely.
   void Commit(Transaction transaction, std::function<void(TransactionOutcome)> done);
 
   void Handle(const StoreAnswer& answer, Time now);
   void Tick(Time now);
-  [[nodiscard]] std::vector<StoreCall> Take() { return std::exchange(out_, {}); }
+  [[nodiscard]] std::vector<StoreCall> TakeCalls() { return std::exchange(out_, {}); }
   [[nodiscard]] Time now() const { return now_; }
 
  private:
@@ -40,12 +42,12 @@
                    std::function<void(Result<std::vector<Row>>)>,
                    std::function<void(TransactionOutcome)>>;
   struct Pending {
-    StoreCall call;  // kept for a repetition
+    StoreCall call;  // kept for retries
     Callback done;
     Retry retry = Retry::kNo;
     Duration backoff{0};
-    Time repeat_at;
-    bool waiting = false;  // for repeat_at
+    Time retry_at;
+    bool awaiting_retry = false;  // until retry_at
   };
 
   void Start(StoreCall call, Callback done, Retry retry);
@@ -54,7 +56,7 @@
   void ScanPage(std::string prefix, std::vector<Row> rows,
                 std::function<void(Result<std::vector<Row>>)> done);
 
-  std::optional<Time> give_up_;
+  std::optional<Time> deadline_;
   Time now_;
   OpId last_op_ = 0;
   std::map<OpId, Pending> pending_;
--- a/test/batch-items-test.cc
+++ b/test/batch-items-test.cc
@@ -4,16 +4,16 @@
 
 namespace {
 
-std::string Refusal(const std::string& text) {
+std::string ErrorDetail(const std::string& text) {
   const Result<SplitPart> part = SplitItems(text);
   REQUIRE_FALSE(IsOk(part));
   return ErrorOf(part).detail;
 }
 
-JobAssembly Assemble(const std::vector<std::string>& parts) {
+JobAssembly AssembleJob(const std::vector<std::string>& parts) {
   JobAssembly assembly;
   for (const std::string& text : parts) {
-    // Through the codec, as the entry that assembles reads it from the store.
+    // Encode and parse, as an entry reads the index back from the store.
     const PartIndex index = ValueOf(SplitItems(text)).index;
     const PartIndex read = ValueOf(ParsePartIndex(EncodePartIndex(index)));
     REQUIRE(read == index);
@@ -24,36 +24,37 @@
 
 }  // namespace
 
-TEST_CASE("a line that can't be taken is named with what is wrong") {
+TEST_CASE("an invalid line is reported with its line number and the error") {
   const std::string good = ItemLine("a");
-  CHECK(Refusal(good + "{\n") == "line 2: no JSON");
-  CHECK(Refusal(good + "\n[]\n").starts_with("line 3: an object"));
-  CHECK(Refusal(R"({"custom_id":"a","url":"/v1/completions","body":{},"prio":1})")
+  CHECK(ErrorDetail(good + "{\n") == "line 2: no JSON");
+  CHECK(ErrorDetail(good + "\n[]\n").starts_with("line 3: an object"));
+  CHECK(ErrorDetail(R"({"custom_id":"a","url":"/v1/completions","body":{},"prio":1})")
             .ends_with("'prio'"));
-  CHECK(Refusal(R"({"custom_id":"a","url":"/v1/completions","body":{}})").find("model") !=
+  CHECK(ErrorDetail(R"({"custom_id":"a","url":"/v1/completions","body":{}})").find("model") !=
         std::string::npos);
-  CHECK(Refusal(R"({"custom_id":"a","url":"/etc","body":{}})").find("'/etc'") != std::string::npos);
-  CHECK(Refusal("\n") == "there is no item");
+  CHECK(ErrorDetail(R"({"custom_id":"a","url":"/etc","body":{}})").find("'/etc'") !=
+        std::string::npos);
+  CHECK(ErrorDetail("\n") == "there is no item");
 }
 
-TEST_CASE("the same items are the same job, however they were divided") {
+TEST_CASE("the content digest doesn't depend on how items are divided into parts") {
   const std::string a = ItemLine("a");
   const std::string b = ItemLine("b");
   const TeamId team{"t"};
-  const std::string whole = Assemble({a + b}).ContentDigest(team, {});
-  CHECK(Assemble({a, b}).ContentDigest(team, {}) == whole);
-  CHECK(Assemble({b, a}).ContentDigest(team, {}) != whole);
-  CHECK(Assemble({a + b}).ContentDigest(TeamId{"u"}, {}) != whole);
+  const std::string whole = AssembleJob({a + b}).ContentDigest(team, {});
+  CHECK(AssembleJob({a, b}).ContentDigest(team, {}) == whole);
+  CHECK(AssembleJob({b, a}).ContentDigest(team, {}) != whole);
+  CHECK(AssembleJob({a + b}).ContentDigest(TeamId{"u"}, {}) != whole);
 }
 
-TEST_CASE("a custom_id that comes twice is refused, also over parts") {
-  JobAssembly assembly = Assemble({ItemLine("a") + ItemLine("b")});
+TEST_CASE("a duplicate custom_id is rejected, also across parts") {
+  JobAssembly assembly = AssembleJob({ItemLine("a") + ItemLine("b")});
   const Result<Ok> added = assembly.Add(ValueOf(SplitItems(ItemLine("c") + ItemLine("b"))).index);
   REQUIRE_FALSE(IsOk(added));
   CHECK(ErrorOf(added).detail == "item 4 has the custom_id of item 2");
 }
 
-TEST_CASE("chunks join to the upload and keep their bounds") {
+TEST_CASE("concatenated chunks equal the upload and each chunk is within its limits") {
   std::string text;
   for (int i = 0; i < 1000; ++i) text += ItemLine("r" + std::to_string(i));
   for (int i = 0; i < 100; ++i) text += ItemLine("n" + std::to_string(i), false);
@@ -71,23 +72,23 @@
   CHECK(ValueOf(ParseManifest(EncodeManifest(part.index.chunks))) == part.index.chunks);
 }
 
-TEST_CASE("a job whose acceptance answer was lost is accepted once, by token or by content") {
-  // Symptom: a client is told "refused" about a job that runs, or its resend
-  // makes a second job. Sequence: the row is written, the answer lost, an owner
-  // claims the job at once and so replaces the token.
+TEST_CASE("a job whose acceptance response was lost is accepted once, by token or by content") {
+  // Guards against reporting a running job as refused, or creating a second job when
+  // the client retries. The row is written but the response is lost, and an owner
+  // immediately claims the job, which replaces the token.
   for (std::uint64_t seed = 0; seed < 60; ++seed) {
     CAPTURE(seed);
-    World world(seed, 1, 1);
-    world.store.lost_answers = 0.5;
-    const Result<JobAccepted> first = world.Put(JobId{"j"}, ItemLine("a"));
-    world.store.lost_answers = 0;
+    Simulation simulation(seed, 1, 1);
+    simulation.store.lost_response_rate = 0.5;
+    const Result<JobAccepted> first = simulation.Put(JobId{"j"}, ItemLine("a"));
+    simulation.store.lost_response_rate = 0;
     if (!IsOk(first)) CHECK(ErrorOf(first).ran == Ran::kUnknown);
-    const Result<JobAccepted> again = world.Put(JobId{"j"}, ItemLine("a"));
+    const Result<JobAccepted> again = simulation.Put(JobId{"j"}, ItemLine("a"));
     REQUIRE(IsOk(again));
     if (IsOk(first)) CHECK_FALSE(ValueOf(again).created);
-    const Result<JobAccepted> other = world.Put(JobId{"j"}, ItemLine("b"));
+    const Result<JobAccepted> other = simulation.Put(JobId{"j"}, ItemLine("b"));
     CHECK(ErrorOf(other).kind == ErrorKind::kConflict);
-    REQUIRE(world.RunUntil([&] { return world.Done(JobId{"j"}); }, 60s));
-    world.CheckResults(JobId{"j"}, {"a"});
+    REQUIRE(simulation.RunUntil([&] { return simulation.Done(JobId{"j"}); }, 60s));
+    simulation.CheckResults(JobId{"j"}, {"a"});
   }
 }
--- a/test/batch-scheduler-test.cc
+++ b/test/batch-scheduler-test.cc
@@ -18,22 +18,22 @@
                    cost,       {}};
 }
 
-FillScheduler With(const std::vector<std::string>& agents, std::uint32_t room) {
-  FillScheduler scheduler;
+ItemScheduler MakeScheduler(const std::vector<std::string>& agents, std::uint32_t free_slots) {
+  ItemScheduler scheduler;
   std::vector<BatchAgent> list;
   list.reserve(agents.size());
   for (const std::string& name : agents) list.push_back(BatchAgent{NodeId{name}, 1, {kModel}});
   scheduler.SetAgents(list);
-  for (const std::string& name : agents) scheduler.OnRoom(NodeId{name}, 2 * room);
+  for (const std::string& name : agents) scheduler.OnFreeSlots(NodeId{name}, 2 * free_slots);
   return scheduler;
 }
 
 }  // namespace
 
-TEST_CASE("teams share by tokens, whatever they queue and however long their items are") {
-  // Symptom: a team with a job of 150,000 items, or with long ones, leaves the
-  // others waiting until it is done.
-  FillScheduler scheduler = With({"a"}, 200);
+TEST_CASE("teams get equal shares of tokens, regardless of queue and item length") {
+  // Guards against a team with a job of 150,000 items, or with long items, that blocks
+  // the other teams until it is done.
+  ItemScheduler scheduler = MakeScheduler({"a"}, 200);
   for (std::uint32_t i = 0; i < 5000; ++i) scheduler.Add(Item("crowd", "big", i, 100));
   for (std::uint32_t i = 0; i < 500; ++i) scheduler.Add(Item("long", "l", i, 1000));
   for (std::uint32_t i = 0; i < 500; ++i) scheduler.Add(Item("small", "s", i, 100));
@@ -43,7 +43,7 @@
     REQUIRE(next);
     tokens[next->item.team.value] += next->item.cost;
   }
-  CHECK_FALSE(scheduler.Next(kNow));  // the room is used up
+  CHECK_FALSE(scheduler.Next(kNow));  // no free slots left
   for (const auto& [team, sum] : tokens) {
     const std::string shown = team;
     CAPTURE(shown);
@@ -52,8 +52,8 @@
   }
 }
 
-TEST_CASE("within a team the job that is due first goes first") {
-  FillScheduler scheduler = With({"a"}, 10);
+TEST_CASE("within a team the job with the earliest due time is scheduled first") {
+  ItemScheduler scheduler = MakeScheduler({"a"}, 10);
   scheduler.Add(Item("t", "later", 0, 10, 200));
   scheduler.Add(Item("t", "sooner", 1, 10, 100));
   scheduler.Add(Item("t", "sooner", 0, 10, 100));
@@ -62,10 +62,10 @@
   CHECK(scheduler.Next(kNow)->item.job.value == "later");
 }
 
-TEST_CASE("an agent that fails everything at once doesn't draw the items to it") {
-  // Symptom: items use up their attempts within seconds. Cause: an agent whose
-  // engine is gone fails at once, so it always has the most room.
-  FillScheduler scheduler = With({"bad", "good"}, 8);
+TEST_CASE("an agent that fails every item immediately doesn't attract all items") {
+  // Guards against items that use up their attempts within seconds. An agent whose
+  // engine is gone fails immediately, so it always has the most free slots.
+  ItemScheduler scheduler = MakeScheduler({"bad", "good"}, 8);
   for (std::uint32_t i = 0; i < 1000; ++i) scheduler.Add(Item("t", "j", i, 10));
   int bad = 0;
   for (Time now = kNow; now < kNow + 4s; now += 10ms) {
@@ -83,14 +83,14 @@
   CHECK(bad <= 20);
 }
 
-TEST_CASE("a leaving or unknown agent gets nothing, and items for no agent are told apart") {
-  FillScheduler scheduler = With({"a"}, 4);
+TEST_CASE("a leaving or unknown agent gets no items, and unserved items are counted separately") {
+  ItemScheduler scheduler = MakeScheduler({"a"}, 4);
   scheduler.Add(Item("t", "j", 0));
   BatchAgent leaving{NodeId{"a"}, 1, {kModel}};
   leaving.leaving = true;
   scheduler.SetAgents(std::vector{leaving});
   CHECK_FALSE(scheduler.Next(kNow));
-  CHECK(scheduler.StuckOf(JobId{"j"}) == 1);
+  CHECK(scheduler.UnservedOf(JobId{"j"}) == 1);
   CHECK(scheduler.ReadyOf(TeamId{"t"}) == 0);
   scheduler.SetAgents(std::vector{BatchAgent{NodeId{"b"}, 7, {kModel}}});
   const auto next = scheduler.Next(kNow);
--- a/test/batch_model.h
+++ b/test/batch_model.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// A small model of the world around batch owners: a store that loses answers,
-// agents that run items, owners that die, pause and wake. Time is simulated.
+// A simulation of the environment of batch owners: a store that loses responses,
+// agents that run items, and owners that crash, pause and resume. Time is simulated.
 
 #include <doctest/doctest.h>
 
@@ -27,19 +27,19 @@
   TransactionOutcome Commit(const Transaction& transaction, Time now) {
     if (down) return NotWritten{"down"};
     ++commits;
-    if (!Chance(lost_answers)) return Apply(transaction);
+    if (!Chance(lost_response_rate)) return Apply(transaction);
     switch (random_() % 3) {
       case 0:
-        return FateUnknown{"lost before it took effect"};
+        return FateUnknown{"lost before it was applied"};
       case 1:
         Apply(transaction);
-        return FateUnknown{"lost after it took effect"};
+        return FateUnknown{"response lost after it was applied"};
       default:
         delayed_.emplace(now + 1ms * (random_() % 3000), transaction);
-        return FateUnknown{"still on its way"};
+        return FateUnknown{"delayed in transit"};
     }
   }
-  void LandDelayed(Time now) {
+  void ApplyDelayed(Time now) {
     while (!delayed_.empty() && delayed_.begin()->first <= now) {
       Apply(delayed_.begin()->second);
       delayed_.erase(delayed_.begin());
@@ -93,7 +93,7 @@
   }
 
   bool down = false;
-  double lost_answers = 0;
+  double lost_response_rate = 0;
   std::uint64_t commits = 0;
   std::map<std::string, Row> rows;
   std::map<std::string, std::string> objects;
@@ -127,12 +127,12 @@
   std::multimap<Time, Transaction> delayed_;
 };
 
-// Items named "poison..." always fail, "cut..." come back truncated once.
-inline ItemAnswer Run(const std::string& custom_id, int earlier_runs) {
+// Items named "poison..." always fail; "truncated..." items are truncated on their first run.
+inline ItemAnswer RunItem(const std::string& custom_id, int earlier_runs) {
   if (custom_id.starts_with("poison")) return ItemAnswer{500, "poison"};
-  const bool cut = custom_id.starts_with("cut") && earlier_runs == 0;
-  return ItemAnswer{200, cut ? R"({"choices":[{"text":"o","finish_reason":null}]})"
-                             : R"({"choices":[{"text":"ok","finish_reason":"stop"}]})"};
+  const bool truncated = custom_id.starts_with("cut") && earlier_runs == 0;
+  return ItemAnswer{200, truncated ? R"({"choices":[{"text":"o","finish_reason":null}]})"
+                                   : R"({"choices":[{"text":"ok","finish_reason":"stop"}]})"};
 }
 
 inline std::string ItemLine(const std::string& custom_id, bool repeatable = true,
@@ -144,18 +144,18 @@
   return line.dump() + "\n";
 }
 
-class World {
+class Simulation {
  public:
   struct Owner {
     NodeId node;
-    std::unique_ptr<BatchOwner> batch;  // null: the process is dead
+    std::unique_ptr<BatchOwner> batch;  // null when the process is dead
     Epoch lease = 0;
     Time renewed;
     bool paused = false;
     bool drained = false;
     std::uint64_t generation = 0;
-    std::vector<BatchEvent> inbox;  // kept while paused
-    std::set<OwnerToWatch> watches;
+    std::vector<BatchEvent> events;  // accumulates while paused
+    std::set<OwnerToWatch> watched_leases;
   };
   struct Agent {
     NodeId node;
@@ -170,7 +170,7 @@
     Time at;
   };
 
-  World(std::uint64_t seed, std::size_t owner_count, std::size_t agent_count)
+  Simulation(std::uint64_t seed, std::size_t owner_count, std::size_t agent_count)
       : random(seed), store(random) {
     for (std::size_t i = 0; i < owner_count; ++i) {
       owners.emplace_back().node.value = "entry-" + std::to_string(i);
@@ -181,18 +181,18 @@
     }
   }
 
-  RandomBits Bits() {
+  RandomBits RandomSource() {
     return [this] { return random(); };
   }
   void StartOwner(std::size_t i) {
     Owner& owner = owners[i];
-    owner.batch = std::make_unique<BatchOwner>(owner.node, limits, Bits());
+    owner.batch = std::make_unique<BatchOwner>(owner.node, limits, RandomSource());
     ++owner.lease;
     ++owner.generation;
     owner.renewed = now;
     owner.paused = owner.drained = false;
-    owner.inbox.clear();
-    owner.watches.clear();
+    owner.events.clear();
+    owner.watched_leases.clear();
   }
   void KillOwner(std::size_t i) { owners[i].batch.reset(); }
   void KillAgent(std::size_t i) {
@@ -201,23 +201,23 @@
     ++agents[i].incarnation;
   }
 
-  template <typename Machine>
-  auto Drive(Machine& machine) {
-    std::vector<StoreCall> calls = machine.Start(now);
-    while (!machine.outcome()) {
+  template <typename Operation>
+  auto RunToOutcome(Operation& operation) {
+    std::vector<StoreCall> calls = operation.Start(now);
+    while (!operation.outcome()) {
       for (const StoreCall& call : std::exchange(calls, {})) {
         const StoreAnswer answer = store.Answer(call, now);
-        for (StoreCall& more : machine.Handle(answer, now)) calls.push_back(std::move(more));
+        for (StoreCall& more : operation.Handle(answer, now)) calls.push_back(std::move(more));
       }
-      if (calls.empty() && !machine.outcome()) {
+      if (calls.empty() && !operation.outcome()) {
         Step();
-        calls = machine.Tick(now);
+        calls = operation.Tick(now);
       }
     }
-    return *machine.outcome();
+    return *operation.outcome();
   }
 
-  // The outcome of putting this job in, with the store as it is.
+  // Submits this job to the store in its current state and returns the outcome.
   Result<JobAccepted> Put(const JobId& job, const std::string& text, const std::string& team = "t",
                           WallTime due = {}) {
     const SplitPart part = ValueOf(SplitItems(text));
@@ -226,26 +226,26 @@
     }
     JobAssembly assembly;
     REQUIRE(IsOk(assembly.Add(part.index)));
-    JobAcceptance acceptance({job, TeamId{team}, due}, assembly, now + 10s, Bits());
-    return Drive(acceptance);
+    JobAcceptance acceptance({job, TeamId{team}, due}, assembly, now + 10s, RandomSource());
+    return RunToOutcome(acceptance);
   }
   Result<JobRow> Cancel(const JobId& job) {
-    JobCancellation cancellation(job, now + 10s, Bits());
-    return Drive(cancellation);
+    JobCancellation cancellation(job, now + 10s, RandomSource());
+    return RunToOutcome(cancellation);
   }
   void Step() {
     now += 20ms;
-    store.LandDelayed(now);
-    if (now >= next_beat_) Beat();
+    store.ApplyDelayed(now);
+    if (now >= next_heartbeat_) Heartbeat();
     while (!queue_.empty() && queue_.begin()->first <= now) {
-      auto happening = std::move(queue_.begin()->second);
+      auto callback = std::move(queue_.begin()->second);
       queue_.erase(queue_.begin());
-      happening();
+      callback();
     }
     for (std::size_t i = 0; i < owners.size(); ++i) {
       if (!owners[i].batch || owners[i].paused) continue;
-      for (const BatchEvent& event : std::exchange(owners[i].inbox, {})) Feed(i, event);
-      Feed(i, BatchTick{});
+      for (const BatchEvent& event : std::exchange(owners[i].events, {})) Handle(i, event);
+      Handle(i, BatchTick{});
     }
   }
   template <typename Condition>
@@ -256,7 +256,7 @@
   }
   bool Done(const JobId& job) const { return store.Job(job).state == JobState::kDone; }
 
-  // Every item of the job once in the results, in item order.
+  // Checks that the results contain every item of the job once, in item order.
   void CheckResults(const JobId& job, const std::vector<std::string>& ids) const {
     std::size_t index = 0;
     const JobProgress progress = store.Progress(job);
@@ -281,16 +281,16 @@
   BatchLimits limits;
   std::vector<Owner> owners;
   std::vector<Agent> agents;
-  std::map<std::pair<std::string, std::uint32_t>, int> runs;  // started at a backend server
-  std::set<std::pair<std::string, std::size_t>> unknown;      // allowed to end so
+  std::map<std::pair<std::string, std::uint32_t>, int> runs;  // runs started on a backend server
+  std::set<std::pair<std::string, std::size_t>> unknown;      // items that may end as unknown
   std::vector<Dispatched> dispatched;
   std::vector<JobNote> notes;
   Duration item_time{50ms};
 
  private:
-  // Renewals, lapses and fleet views, once a second.
-  void Beat() {
-    next_beat_ = now + 1s;
+  // Once per second: reports the fleet, renews leases and reports expired ones.
+  void Heartbeat() {
+    next_heartbeat_ = now + 1s;
     FleetSeen fleet;
     for (const Owner& owner : owners) {
       if (owner.batch && !owner.paused && !owner.drained) fleet.entries.push_back(owner.node);
@@ -303,16 +303,16 @@
     for (std::size_t i = 0; i < owners.size(); ++i) {
       Owner& owner = owners[i];
       if (!owner.batch || owner.paused) continue;
-      Feed(i, fleet);
+      Handle(i, fleet);
       if (store.down) {
-        Feed(i, StoreSilent{});
+        Handle(i, StoreSilent{});
         continue;
       }
-      // One that was silent for longer than a term starts over under a new epoch.
+      // An owner that did not renew for longer than a term gets a new epoch.
       if (now - owner.renewed > 5s) ++owner.lease;
       owner.renewed = now;
-      Feed(i, OwnerLeaseHeld{owner.lease, now + 3s});
-      TellLapses(i);
+      Handle(i, OwnerLeaseHeld{owner.lease, now + 3s});
+      ReportExpiredLeases(i);
     }
     if (store.down) {
       for (Owner& owner : owners) {
@@ -320,29 +320,29 @@
       }
     }
   }
-  void TellLapses(std::size_t i) {
-    for (const OwnerToWatch& watch : std::set<OwnerToWatch>(owners[i].watches)) {
+  void ReportExpiredLeases(std::size_t i) {
+    for (const OwnerToWatch& watch : std::set<OwnerToWatch>(owners[i].watched_leases)) {
       for (const Owner& other : owners) {
         const bool silent = now - other.renewed > 5s || other.lease > watch.epoch;
-        if (other.node == watch.owner && silent) Feed(i, OwnerLapsed{watch.owner, watch.epoch});
+        if (other.node == watch.owner && silent) Handle(i, OwnerLapsed{watch.owner, watch.epoch});
       }
     }
   }
-  void Feed(std::size_t i, const BatchEvent& event) {
-    for (BatchAction& action : owners[i].batch->Handle(event, now)) Carry(i, std::move(action));
+  void Handle(std::size_t i, const BatchEvent& event) {
+    for (BatchAction& action : owners[i].batch->Handle(event, now)) Execute(i, std::move(action));
   }
-  void Later(Duration delay, std::function<void()> happening) {
-    queue_.emplace(now + delay, std::move(happening));
+  void Schedule(Duration delay, std::function<void()> callback) {
+    queue_.emplace(now + delay, std::move(callback));
   }
-  // To a process that may be paused or gone when it arrives.
+  // Queues the event unless the process was restarted or has died since.
   void Deliver(std::size_t i, std::uint64_t generation, BatchEvent event) {
     Owner& owner = owners[i];
-    if (owner.batch && owner.generation == generation) owner.inbox.push_back(std::move(event));
+    if (owner.batch && owner.generation == generation) owner.events.push_back(std::move(event));
   }
-  void Carry(std::size_t i, BatchAction action) {
+  void Execute(std::size_t i, BatchAction action) {
     std::visit(Overloaded{
                    [&](WatchOwners& a) {
-                     owners[i].watches = {a.owners.begin(), a.owners.end()};
+                     owners[i].watched_leases = {a.owners.begin(), a.owners.end()};
                    },
                    [&](BatchDrained&) { owners[i].drained = true; },
                    [&](JobNote& a) { notes.push_back(a); },
@@ -350,7 +350,7 @@
                    [&](DispatchItem& a) { StartItem(i, std::move(a)); },
                    [&](auto& call) {
                      const std::uint64_t generation = owners[i].generation;
-                     Later(1ms * (random() % 40), [this, i, generation, c = StoreCall(call)] {
+                     Schedule(1ms * (random() % 40), [this, i, generation, c = StoreCall(call)] {
                        const StoreAnswer answer = store.Answer(c, now);
                        std::visit([&](const auto& a) { Deliver(i, generation, a); }, answer);
                      });
@@ -367,31 +367,31 @@
       Deliver(i, generation, ItemEnded{request, std::move(outcome)});
     };
     if (!agent->alive || agent->incarnation != a.incarnation) {
-      return Later(5ms, [end] { end(Error{ErrorKind::kStaleOrders, "gone", Ran::kNo}); });
+      return Schedule(5ms, [end] { end(Error{ErrorKind::kStaleOrders, "gone", Ran::kNo}); });
     }
-    if (agent->running >= kSlots) {
-      return Later(5ms, [end] { end(Error{ErrorKind::kOverloaded, "full", Ran::kNo}); });
+    if (agent->running >= kAgentSlots) {
+      return Schedule(5ms, [end] { end(Error{ErrorKind::kOverloaded, "full", Ran::kNo}); });
     }
     ++agent->running;
     const int earlier = runs[{a.job.value, a.index}]++;
     if (!a.item.repeatable) CHECK(earlier == 0);
-    Later(5ms, [this, i, generation, agent, request = a.request] {
-      Deliver(i, generation, ItemStarted{request, kSlots - agent->running});
+    Schedule(5ms, [this, i, generation, agent, request = a.request] {
+      Deliver(i, generation, ItemStarted{request, kAgentSlots - agent->running});
     });
-    const Duration takes = item_time + 1ms * (random() % 50);
-    Later(takes, [this, agent, end, earlier, a = std::move(a)] {
+    const Duration run_time = item_time + 1ms * (random() % 50);
+    Schedule(run_time, [this, agent, end, earlier, a = std::move(a)] {
       if (!agent->alive || agent->incarnation != a.incarnation) {
         if (!a.item.repeatable) unknown.insert({a.job.value, a.index});
-        return end(Error{ErrorKind::kBackendFailed, "broke off", Ran::kUnknown});
+        return end(Error{ErrorKind::kBackendFailed, "connection closed", Ran::kUnknown});
       }
       --agent->running;
-      if (!cancelled_.contains(a.request)) end(Run(a.item.custom_id, earlier));
+      if (!cancelled_.contains(a.request)) end(RunItem(a.item.custom_id, earlier));
     });
   }
 
-  static constexpr std::uint32_t kSlots = 32;
+  static constexpr std::uint32_t kAgentSlots = 32;
   std::multimap<Time, std::function<void()>> queue_;
-  Time next_beat_;
+  Time next_heartbeat_;
   std::set<RequestId> cancelled_;
 };
 
