--- a/include/figmill/batch.h
+++ b/include/figmill/batch.h
@@ -77,7 +77,7 @@
 
 struct PartIndex {
   std::vector<ChunkEntry> chunks;
-  std::vector<ItemHashes> marks;
+  std::vector<ItemHashes> item_hashes;
   bool operator==(const PartIndex&) const = default;
 };
 
@@ -176,8 +176,9 @@
 [[nodiscard]] std::string OpenJobKey(const JobId& job);
 [[nodiscard]] std::string ChunkPrefix(const JobId& job);
 [[nodiscard]] std::string ChunkKey(const JobId& job, std::uint32_t chunk);
-[[nodiscard]] std::string PartObject(const JobId& job, std::uint32_t part, std::string_view digest);
-[[nodiscard]] std::string ItemsObject(const JobId& job, std::string_view chunk_digest);
+[[nodiscard]] std::string PartObjectKey(const JobId& job, std::uint32_t part,
+                                        std::string_view digest);
+[[nodiscard]] std::string ItemsObjectKey(const JobId& job, std::string_view chunk_digest);
 [[nodiscard]] std::string ManifestObjectKey(const JobId& job, std::string_view content_digest);
 
 // The progress recorded in a job's chunk rows, which must be in key order.
@@ -216,28 +217,28 @@
 };
 using StoreCall = std::variant<BatchCommit, BatchRead, BatchScan, BatchPut, BatchGet>;
 
-struct BatchCommitted {
+struct BatchCommitResult {
   OpId op = 0;
   TransactionOutcome outcome;
 };
-struct BatchRowRead {
+struct BatchReadResult {
   OpId op = 0;
   Result<std::optional<Row>> row;
 };
-struct BatchScanned {
+struct BatchScanResult {
   OpId op = 0;
   Result<std::vector<Row>> rows;
 };
-struct BatchPutDone {
+struct BatchPutResult {
   OpId op = 0;
   Result<Ok> result;
 };
-struct BatchGot {
+struct BatchGetResult {
   OpId op = 0;
   Result<std::string> bytes;
 };
-using StoreAnswer =
-    std::variant<BatchCommitted, BatchRowRead, BatchScanned, BatchPutDone, BatchGot>;
+using StoreResult = std::variant<BatchCommitResult, BatchReadResult, BatchScanResult,
+                                 BatchPutResult, BatchGetResult>;
 
 // Interval at which the caller must invoke Tick(), which drives retries.
 inline constexpr Duration kBatchTick{100'000};
@@ -270,7 +271,7 @@
                 const RandomBits& random);
   ~JobAcceptance();
   [[nodiscard]] std::vector<StoreCall> Start(Time now);
-  [[nodiscard]] std::vector<StoreCall> Handle(const StoreAnswer& answer, Time now);
+  [[nodiscard]] std::vector<StoreCall> Handle(const StoreResult& answer, Time now);
   [[nodiscard]] std::vector<StoreCall> Tick(Time now);
   // Errors: kConflict (same id, different content), kStoreUnavailable with `ran` no
   // (nothing was written) or unknown (retry: the same id and content identify the
@@ -288,7 +289,7 @@
   JobCancellation(JobId job, Time deadline, RandomBits random);
   ~JobCancellation();
   [[nodiscard]] std::vector<StoreCall> Start(Time now);
-  [[nodiscard]] std::vector<StoreCall> Handle(const StoreAnswer& answer, Time now);
+  [[nodiscard]] std::vector<StoreCall> Handle(const StoreResult& answer, Time now);
   [[nodiscard]] std::vector<StoreCall> Tick(Time now);
   // The current row of the job. Errors: kNotFound, kStoreUnavailable with `ran` no
   // or unknown.
@@ -405,14 +406,14 @@
 // A lease renewal failed because the store is down. No other process can take over
 // during the outage, so repeatable items of open chunks are still sent after
 // `valid_until`.
-struct StoreSilent {};
+struct StoreUnavailable {};
 // The lease of `owner` was not renewed for a full term, or its epoch has advanced
 // past `epoch`.
-struct OwnerLapsed {
+struct LeaseExpired {
   NodeId owner;
   Epoch epoch = 0;
 };
-struct FleetSeen {
+struct FleetUpdate {
   std::vector<NodeId> entries;  // alive and not leaving, including this process
   std::vector<BatchAgent> agents;
   RepeatableRule repeatable;
@@ -432,9 +433,10 @@
   RequestId request;
   ItemOutcome outcome;
 };
-using BatchEvent = std::variant<BatchTick, OwnerLeaseHeld, OwnerLeaseLost, StoreSilent, OwnerLapsed,
-                                FleetSeen, JobChanged, DrainBatch, ItemStarted, ItemEnded,
-                                BatchCommitted, BatchRowRead, BatchScanned, BatchPutDone, BatchGot>;
+using BatchEvent =
+    std::variant<BatchTick, OwnerLeaseHeld, OwnerLeaseLost, StoreUnavailable, LeaseExpired,
+                 FleetUpdate, JobChanged, DrainBatch, ItemStarted, ItemEnded, BatchCommitResult,
+                 BatchReadResult, BatchScanResult, BatchPutResult, BatchGetResult>;
 
 // Actions.
 struct DispatchItem {
@@ -453,25 +455,26 @@
   NodeId agent;
   Incarnation incarnation = 0;
 };
-struct OwnerToWatch {
+struct OwnerLease {
   NodeId owner;
   Epoch epoch = 0;
-  auto operator<=>(const OwnerToWatch&) const = default;
+  auto operator<=>(const OwnerLease&) const = default;
 };
 // The complete list of leases to watch; replaces the previous list.
-struct WatchOwners {
-  std::vector<OwnerToWatch> owners;
+struct WatchLeases {
+  std::vector<OwnerLease> leases;
 };
 struct BatchDrained {};
 // A job's change of ownership or state, for logs and counters.
-struct JobNote {
-  enum class What : std::uint8_t { kClaimed, kDone, kCancelled, kFenced, kReleased };
+struct JobTransition {
+  enum class Kind : std::uint8_t { kClaimed, kDone, kCancelled, kFenced, kReleased };
   JobId job;
   Epoch epoch = 0;
-  What what = What::kClaimed;
+  Kind kind = Kind::kClaimed;
 };
-using BatchAction = std::variant<BatchCommit, BatchRead, BatchScan, BatchPut, BatchGet,
-                                 DispatchItem, CancelItem, WatchOwners, BatchDrained, JobNote>;
+using BatchAction =
+    std::variant<BatchCommit, BatchRead, BatchScan, BatchPut, BatchGet, DispatchItem, CancelItem,
+                 WatchLeases, BatchDrained, JobTransition>;
 
 struct BatchCounts {
   std::uint32_t jobs = 0;
--- a/src/batch/acceptance.cc
+++ b/src/batch/acceptance.cc
@@ -155,7 +155,7 @@
 }
 
 template <typename Core>
-std::vector<StoreCall> HandleCore(Core& core, const StoreAnswer& answer, Time now) {
+std::vector<StoreCall> HandleCore(Core& core, const StoreResult& answer, Time now) {
   core.store().Handle(answer, now);
   return core.store().TakeCalls();
 }
@@ -178,7 +178,7 @@
 std::vector<StoreCall> JobAcceptance::Start(Time now) {
   return detail::StartCore(*core_, now);
 }
-std::vector<StoreCall> JobAcceptance::Handle(const StoreAnswer& answer, Time now) {
+std::vector<StoreCall> JobAcceptance::Handle(const StoreResult& answer, Time now) {
   return detail::HandleCore(*core_, answer, now);
 }
 std::vector<StoreCall> JobAcceptance::Tick(Time now) {
@@ -195,7 +195,7 @@
 std::vector<StoreCall> JobCancellation::Start(Time now) {
   return detail::StartCore(*core_, now);
 }
-std::vector<StoreCall> JobCancellation::Handle(const StoreAnswer& answer, Time now) {
+std::vector<StoreCall> JobCancellation::Handle(const StoreResult& answer, Time now) {
   return detail::HandleCore(*core_, answer, now);
 }
 std::vector<StoreCall> JobCancellation::Tick(Time now) {
--- a/src/batch/claim_planner.cc
+++ b/src/batch/claim_planner.cc
@@ -51,7 +51,7 @@
   // A row that names this process but has no run was left by an earlier incarnation,
   // or its run was ended after a superseded commit.
   return owner.empty() || owner == self_ ||
-         expired_leases_.contains(OwnerToWatch{owner, owner_lease});
+         expired_leases_.contains(OwnerLease{owner, owner_lease});
 }
 
 ClaimPlanner::ClaimPlan ClaimPlanner::MakePlan(const std::vector<OpenJob>& open,
@@ -59,7 +59,7 @@
                                                const std::set<JobId>& busy) {
   ClaimPlan plan;
   std::set<JobId> confirmed;
-  std::set<OwnerToWatch> watched;
+  std::set<OwnerLease> watched;
   for (const OpenJob& job : open) {
     const bool owned_here = job.row.owner == self_ && job.row.owner_lease == lease_;
     if (owned_here) confirmed.insert(job.job);
@@ -67,7 +67,7 @@
     if (Claimable(job.row.owner, job.row.owner_lease)) {
       plan.claim.push_back(job.job);
     } else {
-      watched.insert(OwnerToWatch{job.row.owner, job.row.owner_lease});
+      watched.insert(OwnerLease{job.row.owner, job.row.owner_lease});
     }
   }
   std::set_difference(held.begin(), held.end(), confirmed.begin(), confirmed.end(),
@@ -77,9 +77,9 @@
   return plan;
 }
 
-std::optional<std::vector<OwnerToWatch>> ClaimPlanner::TakeWatchList() {
+std::optional<std::vector<OwnerLease>> ClaimPlanner::TakeWatchList() {
   if (!std::exchange(watch_list_changed_, false)) return std::nullopt;
-  return std::vector<OwnerToWatch>(watched_leases_.begin(), watched_leases_.end());
+  return std::vector<OwnerLease>(watched_leases_.begin(), watched_leases_.end());
 }
 
 }  // namespace figmill::detail
--- a/src/batch/claim_planner.h
+++ b/src/batch/claim_planner.h
@@ -30,7 +30,7 @@
   // Returns whether the set of shards assigned to this process changed.
   bool SetEntries(const std::vector<NodeId>& entries);
   void SetLease(Epoch lease) { lease_ = lease; }
-  void OnLeaseExpired(const OwnerToWatch& owner) { expired_leases_.insert(owner); }
+  void OnLeaseExpired(const OwnerLease& owner) { expired_leases_.insert(owner); }
 
   // Row prefixes to scan next: those of the assigned shards and of the `held` jobs.
   [[nodiscard]] std::vector<std::string> ScanPrefixes(const std::vector<JobId>& held) const;
@@ -44,7 +44,7 @@
   [[nodiscard]] ClaimPlan MakePlan(const std::vector<OpenJob>& open, const std::set<JobId>& held,
                                    const std::set<JobId>& busy);
   // The new watch list if it changed in the last round.
-  [[nodiscard]] std::optional<std::vector<OwnerToWatch>> TakeWatchList();
+  [[nodiscard]] std::optional<std::vector<OwnerLease>> TakeWatchList();
 
   // Whether this process may take over a job with this owner and owner lease.
   [[nodiscard]] bool Claimable(const NodeId& owner, Epoch owner_lease) const;
@@ -54,8 +54,8 @@
   Epoch lease_ = 0;
   std::vector<NodeId> entries_;
   std::set<std::uint32_t> shards_;
-  std::set<OwnerToWatch> expired_leases_;
-  std::set<OwnerToWatch> watched_leases_;
+  std::set<OwnerLease> expired_leases_;
+  std::set<OwnerLease> watched_leases_;
   bool watch_list_changed_ = false;
 };
 
--- a/src/batch/items.cc
+++ b/src/batch/items.cc
@@ -185,13 +185,13 @@
     const Result<BatchItem> parsed = ParseLine(lines.line(), lines.number());
     if (!IsOk(parsed)) return ErrorOf(parsed);
     const BatchItem& item = ValueOf(parsed);
-    if (part.index.marks.size() == kMaxJobItems) {
+    if (part.index.item_hashes.size() == kMaxJobItems) {
       return Error{ErrorKind::kTooLarge,
                    "a job holds at most " + std::to_string(kMaxJobItems) + " items"};
     }
     const bool repeatable = item.repeatable && (!rule || rule(item.service, item.path));
     splitter.Add(lines.begin(), lines.end(), item.tokens, repeatable);
-    part.index.marks.push_back(ItemHashes{Hash(item.custom_id), Hash(lines.line())});
+    part.index.item_hashes.push_back(ItemHashes{Hash(item.custom_id), Hash(lines.line())});
   }
   splitter.EndChunk(text.size());
   if (part.texts.empty()) return Error{ErrorKind::kBadRequest, "there is no item"};
--- a/src/batch/job_run.cc
+++ b/src/batch/job_run.cc
@@ -49,7 +49,7 @@
   request.token = row_.token;
   request.done = IfNotEnded([this](const CommitResult& result) {
     const auto* applied = std::get_if<Applied>(&result);
-    if (applied == nullptr) return End(JobNote::What::kFenced);
+    if (applied == nullptr) return End(JobTransition::Kind::kFenced);
     version_ = VersionOf(*applied, JobKey(job_));
     phase_ = Phase::kClaimed;
     delegate_.OnJobClaimed(job_, row_.epoch);
@@ -71,16 +71,16 @@
 void JobRun::OnOwnershipRead(const std::optional<Row>& found) {
   if (found && found->version == version_ && !commit_conflicted_) return;
   const Result<JobRow> row = ParseJobRow(found ? found->value : "");
-  if (!IsOk(row)) return End(JobNote::What::kFenced);
+  if (!IsOk(row)) return End(JobTransition::Kind::kFenced);
   switch (ValueOf(row).state) {
     case JobState::kCancelled:
-      return End(JobNote::What::kCancelled);
+      return End(JobTransition::Kind::kCancelled);
     case JobState::kDone:
-      return End(JobNote::What::kDone);
+      return End(JobTransition::Kind::kDone);
     // After a superseded commit the run ends even if this process still owns the job:
     // the next scan claims the job again and reloads its state from the rows.
     case JobState::kRunning:
-      return End(JobNote::What::kFenced);
+      return End(JobTransition::Kind::kFenced);
   }
 }
 
@@ -102,7 +102,7 @@
   request.token = row.token;
   request.done = IfNotEnded([this](const CommitResult& result) {
     const bool applied = std::holds_alternative<Applied>(result);
-    End(applied ? JobNote::What::kReleased : JobNote::What::kFenced);
+    End(applied ? JobTransition::Kind::kReleased : JobTransition::Kind::kFenced);
   });
   delegate_.commits.Submit(std::move(request));
 }
@@ -135,7 +135,7 @@
       IsOk(bytes) ? ParseManifest(ValueOf(bytes)) : Result<std::vector<ChunkEntry>>(ErrorOf(bytes));
   // The job's row is written after the manifest, so a missing manifest is a fault of
   // the object store. The job is left unchanged and the next scan finds it again.
-  if (!IsOk(parsed)) return End(JobNote::What::kFenced);
+  if (!IsOk(parsed)) return End(JobTransition::Kind::kFenced);
   chunks_ = std::move(ValueOf(parsed));
   std::uint32_t index = 0;
   for (const ChunkEntry& chunk : chunks_) {
@@ -145,7 +145,7 @@
   committed_.assign(chunks_.size(), false);
   delegate_.store.ScanAll(ChunkPrefix(job_),
                           IfNotEnded([this](const Result<std::vector<Row>>& rows) {
-                            if (!IsOk(rows)) return End(JobNote::What::kFenced);
+                            if (!IsOk(rows)) return End(JobTransition::Kind::kFenced);
                             OnChunkRows(ValueOf(rows));
                           }));
 }
@@ -169,7 +169,7 @@
 
 void JobRun::LoadChunk(std::uint32_t chunk) {
   ++loading_count_;
-  delegate_.store.Get(ItemsObject(job_, chunks_[chunk].digest),
+  delegate_.store.Get(ItemsObjectKey(job_, chunks_[chunk].digest),
                       IfNotEnded([this, chunk](const Result<std::string>& text) {
                         --loading_count_;
                         OnChunkItems(chunk, text);
@@ -292,7 +292,7 @@
     delegate_.store.Put(results.object + "-" + std::to_string(i), std::move(pieces[i]),
                         Retry::kWhileDown,
                         IfNotEnded([this, results, remaining](const Result<Ok>& stored) {
-                          if (!IsOk(stored)) return End(JobNote::What::kFenced);
+                          if (!IsOk(stored)) return End(JobTransition::Kind::kFenced);
                           if (--*remaining > 0) return;
                           open_.at(results.chunk).ClearHeldBytes();
                           stored_.push_back(results);
@@ -346,7 +346,7 @@
     ++committed_count_;
     open_.erase(open);
   }
-  if (ends_job) return End(JobNote::What::kDone);
+  if (ends_job) return End(JobTransition::Kind::kDone);
   CommitStoredResults();
 }
 
@@ -356,7 +356,7 @@
   return bytes;
 }
 
-void JobRun::End(JobNote::What transition) {
+void JobRun::End(JobTransition::Kind transition) {
   phase_ = Phase::kEnded;
   open_.clear();
   delegate_.OnJobEnded(job_, transition);
--- a/src/batch/job_run.h
+++ b/src/batch/job_run.h
@@ -21,7 +21,7 @@
   virtual void EnqueueItem(ReadyItem item) = 0;
   virtual void OnJobClaimed(const JobId& job, Epoch epoch) = 0;
   // The owner stops processing the job and drops its JobRun.
-  virtual void OnJobEnded(const JobId& job, JobNote::What transition) = 0;
+  virtual void OnJobEnded(const JobId& job, JobTransition::Kind transition) = 0;
   [[nodiscard]] virtual const BatchLimits& limits() const = 0;
   [[nodiscard]] virtual const RepeatableRule& repeatable() const = 0;
   [[nodiscard]] virtual Token NewToken() = 0;
@@ -104,7 +104,7 @@
   void OnCommitResult(const std::vector<std::uint32_t>& chunks, bool ends_job,
                       const CommitResult& result);
   [[nodiscard]] std::uint32_t ChunkOf(std::uint32_t index) const;
-  void End(JobNote::What transition);
+  void End(JobTransition::Kind transition);
 
   JobRunDelegate& delegate_;
   JobId job_;
--- a/src/batch/manifest.cc
+++ b/src/batch/manifest.cc
@@ -51,8 +51,9 @@
   std::string bytes = ChunksToJson(index.chunks).dump();
   bytes.push_back('\n');
   const std::size_t head = bytes.size();
-  bytes.resize(head + index.marks.size() * sizeof(ItemHashes));
-  std::memcpy(bytes.data() + head, index.marks.data(), index.marks.size() * sizeof(ItemHashes));
+  bytes.resize(head + index.item_hashes.size() * sizeof(ItemHashes));
+  std::memcpy(bytes.data() + head, index.item_hashes.data(),
+              index.item_hashes.size() * sizeof(ItemHashes));
   return bytes;
 }
 
@@ -64,8 +65,8 @@
   if (!chunks || hash_bytes.size() % sizeof(ItemHashes) != 0) return ParseError("a part's index");
   PartIndex index;
   index.chunks = std::move(*chunks);
-  index.marks.resize(hash_bytes.size() / sizeof(ItemHashes));
-  std::memcpy(index.marks.data(), hash_bytes.data(), hash_bytes.size());
+  index.item_hashes.resize(hash_bytes.size() / sizeof(ItemHashes));
+  std::memcpy(index.item_hashes.data(), hash_bytes.data(), hash_bytes.size());
   return index;
 }
 
@@ -85,17 +86,17 @@
 }
 
 Result<Ok> JobAssembly::Add(const PartIndex& part) {
-  if (item_hashes_.size() + part.marks.size() > kMaxJobItems) {
+  if (item_hashes_.size() + part.item_hashes.size() > kMaxJobItems) {
     return Error{ErrorKind::kTooLarge,
                  "a job holds at most " + std::to_string(kMaxJobItems) + " items"};
   }
   const std::size_t old_size = sorted_id_hashes_.size();
-  for (const ItemHashes& item : part.marks) sorted_id_hashes_.push_back(item.custom_id_hash);
+  for (const ItemHashes& item : part.item_hashes) sorted_id_hashes_.push_back(item.custom_id_hash);
   const auto begin = sorted_id_hashes_.begin();
   const auto first_new = begin + static_cast<std::ptrdiff_t>(old_size);
   std::sort(first_new, sorted_id_hashes_.end());
   std::inplace_merge(begin, first_new, sorted_id_hashes_.end());
-  item_hashes_.insert(item_hashes_.end(), part.marks.begin(), part.marks.end());
+  item_hashes_.insert(item_hashes_.end(), part.item_hashes.begin(), part.item_hashes.end());
   chunks_.insert(chunks_.end(), part.chunks.begin(), part.chunks.end());
 
   const auto duplicate = std::adjacent_find(sorted_id_hashes_.begin(), sorted_id_hashes_.end());
--- a/src/batch/owner_core.cc
+++ b/src/batch/owner_core.cc
@@ -58,16 +58,16 @@
   DropRuns();
 }
 
-void OwnerCore::On(const StoreSilent&) {
+void OwnerCore::On(const StoreUnavailable&) {
   outage_until_ = now_ + kOutageTimeout;
 }
 
-void OwnerCore::On(const OwnerLapsed& event) {
-  planner_.OnLeaseExpired(OwnerToWatch{event.owner, event.epoch});
+void OwnerCore::On(const LeaseExpired& event) {
+  planner_.OnLeaseExpired(OwnerLease{event.owner, event.epoch});
   next_scan_round_ = now_;
 }
 
-void OwnerCore::On(const FleetSeen& event) {
+void OwnerCore::On(const FleetUpdate& event) {
   if (planner_.SetEntries(event.entries)) next_scan_round_ = now_;
   repeatable_ = event.repeatable;
   scheduler_.SetAgents(event.agents);
@@ -84,7 +84,7 @@
 }
 
 void OwnerCore::DropRuns() {
-  while (!runs_.empty()) OnJobEnded(runs_.begin()->first, JobNote::What::kFenced);
+  while (!runs_.empty()) OnJobEnded(runs_.begin()->first, JobTransition::Kind::kFenced);
 }
 
 // A lost agent may not close its connections, for example when its host failed or its
@@ -143,7 +143,7 @@
     const auto run = runs_.find(job);
     if (run != runs_.end()) run->second->VerifyOwnership();
   }
-  if (auto owners = planner_.TakeWatchList()) out_.emplace_back(WatchOwners{std::move(*owners)});
+  if (auto owners = planner_.TakeWatchList()) out_.emplace_back(WatchLeases{std::move(*owners)});
   if (!has_valid_lease() || draining_) return;
   for (const JobId& job : plan.claim) ClaimJob(job);
 }
@@ -279,10 +279,10 @@
   }
 }
 
-void OwnerCore::OnJobEnded(const JobId& job, JobNote::What transition) {
+void OwnerCore::OnJobEnded(const JobId& job, JobTransition::Kind transition) {
   const auto run = runs_.find(job);
   if (run == runs_.end()) return;
-  out_.emplace_back(JobNote{job, run->second->row().epoch, transition});
+  out_.emplace_back(JobTransition{job, run->second->row().epoch, transition});
   scheduler_.RemoveJob(job);
   std::erase_if(deferred_items_, [&](const ReadyItem& item) { return item.job == job; });
   CancelInFlight(job);
--- a/src/batch/owner_core.h
+++ b/src/batch/owner_core.h
@@ -24,9 +24,9 @@
   // JobRunDelegate
   void EnqueueItem(ReadyItem item) override;
   void OnJobClaimed(const JobId& job, Epoch epoch) override {
-    out_.emplace_back(JobNote{job, epoch, JobNote::What::kClaimed});
+    out_.emplace_back(JobTransition{job, epoch, JobTransition::Kind::kClaimed});
   }
-  void OnJobEnded(const JobId& job, JobNote::What transition) override;
+  void OnJobEnded(const JobId& job, JobTransition::Kind transition) override;
   [[nodiscard]] const BatchLimits& limits() const override { return limits_; }
   [[nodiscard]] const RepeatableRule& repeatable() const override { return repeatable_; }
   [[nodiscard]] Token NewToken() override { return FreshToken(random_); }
@@ -44,9 +44,9 @@
   void On(const BatchTick&);
   void On(const OwnerLeaseHeld& event);
   void On(const OwnerLeaseLost&);
-  void On(const StoreSilent&);
-  void On(const OwnerLapsed& event);
-  void On(const FleetSeen& event);
+  void On(const StoreUnavailable&);
+  void On(const LeaseExpired& event);
+  void On(const FleetUpdate& event);
   void On(const JobChanged& event);
   void On(const DrainBatch&);
   void On(const ItemStarted& event);
--- a/src/batch/rows.cc
+++ b/src/batch/rows.cc
@@ -142,11 +142,11 @@
   return ChunkPrefix(job) + FormatNumber("%06u", chunk);
 }
 
-std::string PartObject(const JobId& job, std::uint32_t part, std::string_view digest) {
+std::string PartObjectKey(const JobId& job, std::uint32_t part, std::string_view digest) {
   return "jobs/" + job.value + "/part/" + std::to_string(part) + "/" + std::string(digest);
 }
 
-std::string ItemsObject(const JobId& job, std::string_view chunk_digest) {
+std::string ItemsObjectKey(const JobId& job, std::string_view chunk_digest) {
   return "jobs/" + job.value + "/items/" + std::string(chunk_digest);
 }
 
--- a/src/batch/store_client.cc
+++ b/src/batch/store_client.cc
@@ -80,20 +80,20 @@
   if (auto* callback = std::get_if<std::function<void(Result<T>)>>(&done)) (*callback)(result);
 }
 
-void StoreClient::Handle(const StoreAnswer& answer, Time now) {
+void StoreClient::Handle(const StoreResult& answer, Time now) {
   now_ = now;
   std::visit(Overloaded{
-                 [this](const BatchCommitted& a) {
+                 [this](const BatchCommitResult& a) {
                    const auto found = pending_.find(a.op);
                    if (found == pending_.end()) return;
                    Callback done = std::move(found->second.done);
                    pending_.erase(found);
                    std::get<std::function<void(TransactionOutcome)>>(done)(a.outcome);
                  },
-                 [this](const BatchRowRead& a) { Finish(a.op, a.row); },
-                 [this](const BatchScanned& a) { Finish(a.op, a.rows); },
-                 [this](const BatchPutDone& a) { Finish(a.op, a.result); },
-                 [this](const BatchGot& a) { Finish(a.op, a.bytes); },
+                 [this](const BatchReadResult& a) { Finish(a.op, a.row); },
+                 [this](const BatchScanResult& a) { Finish(a.op, a.rows); },
+                 [this](const BatchPutResult& a) { Finish(a.op, a.result); },
+                 [this](const BatchGetResult& a) { Finish(a.op, a.bytes); },
              },
              answer);
 }
--- a/src/batch/store_client.h
+++ b/src/batch/store_client.h
@@ -30,7 +30,7 @@
   // Not retried here: only the writer knows how to retry safely.
   void Commit(Transaction transaction, std::function<void(TransactionOutcome)> done);
 
-  void Handle(const StoreAnswer& answer, Time now);
+  void Handle(const StoreResult& answer, Time now);
   void Tick(Time now);
   [[nodiscard]] std::vector<StoreCall> TakeCalls() { return std::exchange(out_, {}); }
   [[nodiscard]] Time now() const { return now_; }
--- a/src/figmilld/batch/batch_jobs.cc
+++ b/src/figmilld/batch/batch_jobs.cc
@@ -139,7 +139,7 @@
 void BatchJobs::NextChunk(const UploadPtr& upload, const std::function<void()>& then) {
   const std::size_t chunk = upload->next_chunk++;
   if (chunk == upload->part.texts.size()) return then();
-  links_.store.objects.Put(ItemsObject(upload->job, upload->part.index.chunks[chunk].digest),
+  links_.store.objects.Put(ItemsObjectKey(upload->job, upload->part.index.chunks[chunk].digest),
                            std::string(upload->part.texts[chunk]),
                            [this, upload, then](const Result<Ok>& stored) {
                              if (IsOk(stored)) return NextChunk(upload, then);
@@ -161,8 +161,8 @@
   PutChunks(upload, [this, upload, part] {
     const std::string digest = DigestOf(upload->body);
     const Json answer = {
-        {"part", part}, {"digest", digest}, {"items", upload->part.index.marks.size()}};
-    links_.store.objects.Put(PartObject(upload->job, part, digest),
+        {"part", part}, {"digest", digest}, {"items", upload->part.index.item_hashes.size()}};
+    links_.store.objects.Put(PartObjectKey(upload->job, part, digest),
                              EncodePartIndex(upload->part.index),
                              [upload, answer](const Result<Ok>& stored) {
                                if (IsOk(stored)) {
@@ -199,7 +199,7 @@
                             std::size_t next) {
   if (next == digests.size()) return Accept(upload);
   links_.store.objects.Get(
-      PartObject(upload->job, static_cast<std::uint32_t>(next), digests[next]),
+      PartObjectKey(upload->job, static_cast<std::uint32_t>(next), digests[next]),
       [this, upload, digests, next](const Result<std::string>& bytes) {
         if (!IsOk(bytes)) {
           Error error = ErrorOf(bytes);
--- a/src/figmilld/batch/batch_lease.cc
+++ b/src/figmilld/batch/batch_lease.cc
@@ -127,19 +127,19 @@
   if (own_.may_act() && !released_) {
     report_(OwnerLeaseHeld{*epoch, Loop::Now() + kActSlice});
   } else if (own_.store_silent()) {
-    report_(StoreSilent{});
+    report_(StoreUnavailable{});
   }
 }
 
 void BatchLeases::ReportOthers() {
   for (const auto& [owner, lease] : watched_) {
-    if (lease->Lapsed(owner.epoch)) report_(OwnerLapsed{owner.owner, owner.epoch});
+    if (lease->Lapsed(owner.epoch)) report_(LeaseExpired{owner.owner, owner.epoch});
   }
 }
 
-void BatchLeases::Watch(const std::vector<OwnerToWatch>& owners) {
-  std::map<OwnerToWatch, std::unique_ptr<BatchLease>> watched;
-  for (const OwnerToWatch& owner : owners) {
+void BatchLeases::Watch(const std::vector<OwnerLease>& owners) {
+  std::map<OwnerLease, std::unique_ptr<BatchLease>> watched;
+  for (const OwnerLease& owner : owners) {
     auto node = watched_.extract(owner);
     watched[owner] = node.empty()
                          ? std::make_unique<BatchLease>(table_, SettingsFor(owner.owner),
--- a/src/figmilld/batch/batch_lease.h
+++ b/src/figmilld/batch/batch_lease.h
@@ -56,7 +56,7 @@
   BatchLeases(TableStore& table, NodeId self, Incarnation incarnation, RandomBits random,
               Report report);
   void Tick();
-  void Watch(const std::vector<OwnerToWatch>& owners);
+  void Watch(const std::vector<OwnerLease>& owners);
   void Release();
 
  private:
@@ -71,7 +71,7 @@
   Report report_;
   BatchLease own_;
   std::optional<Epoch> held_;
-  std::map<OwnerToWatch, std::unique_ptr<BatchLease>> watched_;
+  std::map<OwnerLease, std::unique_ptr<BatchLease>> watched_;
   Time next_watch_;
   bool released_ = false;
 };
--- a/src/figmilld/batch/batch_store.cc
+++ b/src/figmilld/batch/batch_store.cc
@@ -27,34 +27,34 @@
 
 }  // namespace
 
-void CarryStoreCall(BatchStore store, StoreCall call, std::function<void(StoreAnswer)> done) {
+void CarryStoreCall(BatchStore store, StoreCall call, std::function<void(StoreResult)> done) {
   std::visit(
       Overloaded{
           [&](BatchCommit& c) {
             store.table.Commit(std::move(c.transaction),
                                [op = c.op, done](TransactionOutcome outcome) {
-                                 done(BatchCommitted{op, std::move(outcome)});
+                                 done(BatchCommitResult{op, std::move(outcome)});
                                });
           },
           [&](BatchRead& c) {
             store.table.Read(std::move(c.key), [op = c.op, done](Result<std::optional<Row>> row) {
-              done(BatchRowRead{op, std::move(row)});
+              done(BatchReadResult{op, std::move(row)});
             });
           },
           [&](BatchScan& c) {
             store.table.Scan(std::move(c.range), [op = c.op, done](Result<std::vector<Row>> rows) {
-              done(BatchScanned{op, std::move(rows)});
+              done(BatchScanResult{op, std::move(rows)});
             });
           },
           [&](BatchPut& c) {
             store.objects.Put(std::move(c.key), std::move(c.bytes),
                               [op = c.op, done](Result<Ok> result) {
-                                done(BatchPutDone{op, std::move(result)});
+                                done(BatchPutResult{op, std::move(result)});
                               });
           },
           [&](BatchGet& c) {
             store.objects.Get(std::move(c.key), [op = c.op, done](Result<std::string> bytes) {
-              done(BatchGot{op, std::move(bytes)});
+              done(BatchGetResult{op, std::move(bytes)});
             });
           },
       },
--- a/src/figmilld/batch/batch_store.h
+++ b/src/figmilld/batch/batch_store.h
@@ -20,7 +20,7 @@
 };
 
 // Makes the call; `done` gets the answer that belongs to it.
-void CarryStoreCall(BatchStore store, StoreCall call, std::function<void(StoreAnswer)> done);
+void CarryStoreCall(BatchStore store, StoreCall call, std::function<void(StoreResult)> done);
 
 // All rows of a prefix, page by page. Errors: kStoreUnavailable.
 void ScanAllRows(TableStore& table, std::string prefix,
@@ -45,7 +45,7 @@
   void Carry(std::vector<StoreCall> calls) {
     for (StoreCall& call : calls) {
       CarryStoreCall(store_, std::move(call),
-                     [self = this->shared_from_this()](StoreAnswer answer) {
+                     [self = this->shared_from_this()](StoreResult answer) {
                        if (!self->done_) return;
                        self->Carry(self->machine_->Handle(answer, Loop::Now()));
                        self->Finish();
--- a/src/figmilld/batch/entry_batch.cc
+++ b/src/figmilld/batch/entry_batch.cc
@@ -29,17 +29,17 @@
                       });
 }
 
-std::string_view NameOf(JobNote::What what) {
+std::string_view NameOf(JobTransition::Kind what) {
   switch (what) {
-    case JobNote::What::kClaimed:
+    case JobTransition::Kind::kClaimed:
       return "job-claimed";
-    case JobNote::What::kDone:
+    case JobTransition::Kind::kDone:
       return "job-done";
-    case JobNote::What::kCancelled:
+    case JobTransition::Kind::kCancelled:
       return "job-cancelled";
-    case JobNote::What::kFenced:
+    case JobTransition::Kind::kFenced:
       return "job-fenced";
-    case JobNote::What::kReleased:
+    case JobTransition::Kind::kReleased:
       return "job-released";
   }
   return "job";
@@ -82,7 +82,7 @@
   BatchJobs& jobs() { return jobs_; }
 
   void Update(const Snapshot& snapshot) {
-    FleetSeen fleet;
+    FleetUpdate fleet;
     std::map<NodeId, Address> agents;
     entries_.clear();
     for (const Member& member : snapshot.members) {
@@ -147,21 +147,21 @@
     std::visit(Overloaded{
                    [this](DispatchItem& a) { dispatcher_.Send(std::move(a)); },
                    [this](CancelItem& a) { dispatcher_.Cancel(a); },
-                   [this](WatchOwners& a) { leases_.Watch(a.owners); },
+                   [this](WatchLeases& a) { leases_.Watch(a.leases); },
                    [this](BatchDrained&) { OnDrained(); },
-                   [this](JobNote& a) { OnNote(a); },
+                   [this](JobTransition& a) { OnNote(a); },
                    [this](auto& call) {
-                     CarryStoreCall(store_, std::move(call), [this](const StoreAnswer& answer) {
+                     CarryStoreCall(store_, std::move(call), [this](const StoreResult& answer) {
                        std::visit([this](const auto& a) { Feed(a); }, answer);
                      });
                    },
                },
                action);
   }
-  void OnNote(const JobNote& note) {
-    Log(LogLevel::kInfo, NameOf(note.what),
+  void OnNote(const JobTransition& note) {
+    Log(LogLevel::kInfo, NameOf(note.kind),
         {{"job", note.job.value}, {"epoch", std::to_string(note.epoch)}});
-    const bool claimed = note.what == JobNote::What::kClaimed;
+    const bool claimed = note.kind == JobTransition::Kind::kClaimed;
     if (claimed && note.epoch > 1) dispatcher_.Supersede(note.job, note.epoch);
     if (!claimed) {
       owned_.erase(note.job);
--- a/test/batch-owner-test.cc
+++ b/test/batch-owner-test.cc
@@ -82,7 +82,7 @@
   const std::uint32_t before = Completed(simulation);
   const Time cancelled = simulation.now;
   CHECK(simulation.RunUntil(
-      [&] { return simulation.notes.back().what == JobNote::What::kCancelled; }, 2s));
+      [&] { return simulation.transitions.back().kind == JobTransition::Kind::kCancelled; }, 2s));
   CHECK(simulation.owners[OwnerIndex(simulation, kJob)].batch->counts().in_flight == 0);
   simulation.RunUntil([] { return false; }, 20s);
   CHECK(simulation.dispatched.back().at <= cancelled + 2s);
--- a/test/batch_model.h
+++ b/test/batch_model.h
@@ -60,29 +60,29 @@
     }
     return found;
   }
-  StoreAnswer Answer(const StoreCall& call, Time now) {
+  StoreResult Answer(const StoreCall& call, Time now) {
     return std::visit(Overloaded{
-                          [&](const BatchCommit& c) -> StoreAnswer {
-                            return BatchCommitted{c.op, Commit(c.transaction, now)};
+                          [&](const BatchCommit& c) -> StoreResult {
+                            return BatchCommitResult{c.op, Commit(c.transaction, now)};
                           },
-                          [&](const BatchRead& c) -> StoreAnswer {
-                            return BatchRowRead{c.op, Read(c.key)};
+                          [&](const BatchRead& c) -> StoreResult {
+                            return BatchReadResult{c.op, Read(c.key)};
                           },
-                          [&](const BatchScan& c) -> StoreAnswer {
-                            return BatchScanned{c.op, Scan(c.range)};
+                          [&](const BatchScan& c) -> StoreResult {
+                            return BatchScanResult{c.op, Scan(c.range)};
                           },
-                          [&](const BatchPut& c) -> StoreAnswer {
-                            if (down) return BatchPutDone{c.op, Down()};
+                          [&](const BatchPut& c) -> StoreResult {
+                            if (down) return BatchPutResult{c.op, Down()};
                             objects[c.key] = c.bytes;
-                            return BatchPutDone{c.op, Ok{}};
+                            return BatchPutResult{c.op, Ok{}};
                           },
-                          [&](const BatchGet& c) -> StoreAnswer {
-                            if (down) return BatchGot{c.op, Down()};
+                          [&](const BatchGet& c) -> StoreResult {
+                            if (down) return BatchGetResult{c.op, Down()};
                             const auto found = objects.find(c.key);
                             if (found == objects.end()) {
-                              return BatchGot{c.op, Error{ErrorKind::kNotFound, c.key}};
+                              return BatchGetResult{c.op, Error{ErrorKind::kNotFound, c.key}};
                             }
-                            return BatchGot{c.op, found->second};
+                            return BatchGetResult{c.op, found->second};
                           },
                       },
                       call);
@@ -155,7 +155,7 @@
     bool drained = false;
     std::uint64_t generation = 0;
     std::vector<BatchEvent> events;  // accumulates while paused
-    std::set<OwnerToWatch> watched_leases;
+    std::set<OwnerLease> watched_leases;
   };
   struct Agent {
     NodeId node;
@@ -206,7 +206,7 @@
     std::vector<StoreCall> calls = operation.Start(now);
     while (!operation.outcome()) {
       for (const StoreCall& call : std::exchange(calls, {})) {
-        const StoreAnswer answer = store.Answer(call, now);
+        const StoreResult answer = store.Answer(call, now);
         for (StoreCall& more : operation.Handle(answer, now)) calls.push_back(std::move(more));
       }
       if (calls.empty() && !operation.outcome()) {
@@ -222,7 +222,7 @@
                           WallTime due = {}) {
     const SplitPart part = ValueOf(SplitItems(text));
     for (std::size_t i = 0; i < part.texts.size(); ++i) {
-      store.objects[ItemsObject(job, part.index.chunks[i].digest)] = part.texts[i];
+      store.objects[ItemsObjectKey(job, part.index.chunks[i].digest)] = part.texts[i];
     }
     JobAssembly assembly;
     REQUIRE(IsOk(assembly.Add(part.index)));
@@ -284,14 +284,14 @@
   std::map<std::pair<std::string, std::uint32_t>, int> runs;  // runs started on a backend server
   std::set<std::pair<std::string, std::size_t>> unknown;      // items that may end as unknown
   std::vector<Dispatched> dispatched;
-  std::vector<JobNote> notes;
+  std::vector<JobTransition> transitions;
   Duration item_time{50ms};
 
  private:
   // Once per second: reports the fleet, renews leases and reports expired ones.
   void Heartbeat() {
     next_heartbeat_ = now + 1s;
-    FleetSeen fleet;
+    FleetUpdate fleet;
     for (const Owner& owner : owners) {
       if (owner.batch && !owner.paused && !owner.drained) fleet.entries.push_back(owner.node);
     }
@@ -305,7 +305,7 @@
       if (!owner.batch || owner.paused) continue;
       Handle(i, fleet);
       if (store.down) {
-        Handle(i, StoreSilent{});
+        Handle(i, StoreUnavailable{});
         continue;
       }
       // An owner that did not renew for longer than a term gets a new epoch.
@@ -321,10 +321,10 @@
     }
   }
   void ReportExpiredLeases(std::size_t i) {
-    for (const OwnerToWatch& watch : std::set<OwnerToWatch>(owners[i].watched_leases)) {
+    for (const OwnerLease& watch : std::set<OwnerLease>(owners[i].watched_leases)) {
       for (const Owner& other : owners) {
         const bool silent = now - other.renewed > 5s || other.lease > watch.epoch;
-        if (other.node == watch.owner && silent) Handle(i, OwnerLapsed{watch.owner, watch.epoch});
+        if (other.node == watch.owner && silent) Handle(i, LeaseExpired{watch.owner, watch.epoch});
       }
     }
   }
@@ -341,17 +341,17 @@
   }
   void Execute(std::size_t i, BatchAction action) {
     std::visit(Overloaded{
-                   [&](WatchOwners& a) {
-                     owners[i].watched_leases = {a.owners.begin(), a.owners.end()};
+                   [&](WatchLeases& a) {
+                     owners[i].watched_leases = {a.leases.begin(), a.leases.end()};
                    },
                    [&](BatchDrained&) { owners[i].drained = true; },
-                   [&](JobNote& a) { notes.push_back(a); },
+                   [&](JobTransition& a) { transitions.push_back(a); },
                    [&](CancelItem& a) { cancelled_.insert(a.request); },
                    [&](DispatchItem& a) { StartItem(i, std::move(a)); },
                    [&](auto& call) {
                      const std::uint64_t generation = owners[i].generation;
                      Schedule(1ms * (random() % 40), [this, i, generation, c = StoreCall(call)] {
-                       const StoreAnswer answer = store.Answer(c, now);
+                       const StoreResult answer = store.Answer(c, now);
                        std::visit([&](const auto& a) { Deliver(i, generation, a); }, answer);
                      });
                    },
