--- a/src/batch/manifest.cc
+++ b/src/batch/manifest.cc
@@ -46,7 +46,7 @@
 
 }  // namespace
 
-// Format: one line of JSON with the chunks, then the binary item item.
+// Format: one line of JSON with the chunks, then the binary item hashes.
 std::string EncodePartIndex(const PartIndex& index) {
   std::string bytes = ChunksToJson(index.chunks).dump();
   bytes.push_back('\n');
--- a/test/batch_model.h
+++ b/test/batch_model.h
@@ -127,7 +127,7 @@
   std::multimap<Time, Transaction> delayed_;
 };
 
-// Items named "poison..." always fail; "truncated..." items are truncated on their first run.
+// Items named "poison..." always fail; "cut..." items are truncated on their first run.
 inline ItemAnswer RunItem(const std::string& custom_id, int earlier_runs) {
   if (custom_id.starts_with("poison")) return ItemAnswer{500, "poison"};
   const bool truncated = custom_id.starts_with("cut") && earlier_runs == 0;
