--- a/src/gate/yield_policy.cc
+++ b/src/gate/batch_limit_policy.cc
@@ -1,4 +1,4 @@
-#include "gate/yield_policy.h"
+#include "gate/batch_limit_policy.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/gate/gate_impl.h
+++ b/src/gate/gate_impl.h
@@ -8,13 +8,13 @@
 
 #include "figmill/gate.h"
 #include "gate/admission_limit.h"
+#include "gate/batch_limit_policy.h"
 #include "gate/batch_queue.h"
 #include "gate/dispatch_table.h"
-#include "gate/engine_places.h"
+#include "gate/engine_capacity.h"
 #include "gate/online_queue.h"
 #include "gate/service_estimate.h"
 #include "gate/step_model.h"
-#include "gate/yield_policy.h"
 
 namespace figmill {
 
