--- a/src/gate/admission_limit.h
+++ b/src/gate/admission_limit.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Limits the number of concurrent online streams so that 95% of the token gaps stay
+// Limits the number of concurrent online streams so that 95 of 100 token gaps stay
 // within the target. The gap is predicted by a line fitted to the gaps over the
 // running count, plus the 95th percentile of the excess over that line (steps that
 // prefill prompts); the limit is the count at which the sum reaches the target.
--- a/src/gate/batch_queue.cc
+++ b/src/gate/batch_queue.cc
@@ -32,7 +32,7 @@
   }
   const auto next = std::find_if(
       unstarted_.begin(), unstarted_.end(),
-      [&](const UnstartedItem& fresh) { return fresh.repeatable || allow_non_repeatable; });
+      [&](const UnstartedItem& unstarted) { return unstarted.repeatable || allow_non_repeatable; });
   if (next == unstarted_.end()) return std::nullopt;
   RequestId request = std::move(next->request);
   unstarted_.erase(next);
--- a/src/gate/batch_queue.h
+++ b/src/gate/batch_queue.h
@@ -28,7 +28,7 @@
 
 class BatchQueue {
  public:
-  void Push(UnstartedItem fresh) { unstarted_.push_back(std::move(fresh)); }
+  void Push(UnstartedItem unstarted) { unstarted_.push_back(std::move(unstarted)); }
   void PushPaused(PausedItem paused);
   // Until the stop is confirmed the stream must not be resumed: a late cancel
   // would end the resumed stream.
@@ -37,7 +37,7 @@
   // The next item to run, or nothing when none may run. Non-repeatable items are
   // considered only when `allow_non_repeatable` is set.
   [[nodiscard]] std::optional<RequestId> Pop(bool allow_non_repeatable);
-  [[nodiscard]] int fresh() const { return static_cast<int>(unstarted_.size()); }
+  [[nodiscard]] int unstarted() const { return static_cast<int>(unstarted_.size()); }
   [[nodiscard]] int paused() const { return static_cast<int>(paused_.size()); }
 
  private:
--- a/src/gate/gate.cc
+++ b/src/gate/gate.cc
@@ -50,7 +50,7 @@
   counts.online_running = online_running_;
   counts.online_queued = online_queue_.size();
   counts.batch_running = batch_running_;
-  counts.batch_queued = batch_queue_.fresh();
+  counts.batch_queued = batch_queue_.unstarted();
   counts.batch_paused = batch_queue_.paused();
   counts.online_limit = OnlineLimit();
   counts.online_mark = counts.online_limit * kFillNumerator / kFillDenominator;
--- a/src/gate/gate_arrivals.cc
+++ b/src/gate/gate_arrivals.cc
@@ -80,7 +80,7 @@
 
 std::optional<Error> Gate::Impl::CheckQueues(const Dispatch& dispatch) const {
   if (dispatch.work_class == WorkClass::kBatch) {
-    if (batch_queue_.fresh() < 2 * config_.ready_batch) return std::nullopt;
+    if (batch_queue_.unstarted() < 2 * config_.ready_batch) return std::nullopt;
     return OverloadedError("the batch queue is full");
   }
   const bool starts_now = online_queue_.empty() && online_running_ < OnlineLimit();
--- a/src/gate/gate_impl.h
+++ b/src/gate/gate_impl.h
@@ -86,7 +86,7 @@
   // Backend events and the end of requests (gate_ends.cc); commands (gate_orders.cc).
   void End(const RequestId& request, std::optional<Error> error);
   void Stop(const RequestId& request, Error error);
-  void Resume(Stream& stream, Arrival reattached);
+  void Resume(Stream& stream, Arrival reattached_arrival);
   void Rerun(Stream& stream);
   void LeaveRunning(Stream& stream);
   void EndPrefill(Stream& stream);
--- a/src/gate/gate_schedule.cc
+++ b/src/gate/gate_schedule.cc
@@ -110,9 +110,9 @@
   Emit(StartBackend{stream.dispatch.request, rerun});
 }
 
-void Gate::Impl::Resume(Stream& stream, Arrival reattached) {
+void Gate::Impl::Resume(Stream& stream, Arrival reattached_arrival) {
   EnterRunning(stream);
-  Emit(ResumeBackend{stream.dispatch.request, stream.tokens, reattached});
+  Emit(ResumeBackend{stream.dispatch.request, stream.tokens, reattached_arrival});
 }
 
 void Gate::Impl::Rerun(Stream& stream) {
--- a/src/gate/online_queue.cc
+++ b/src/gate/online_queue.cc
@@ -16,7 +16,8 @@
 std::vector<RequestId> OnlineQueue::TakeTooLate(Time now) {
   std::vector<RequestId> too_late;
   std::erase_if(waiting_, [&](const QueuedRequest& waiting) {
-    if (now == waiting.queued_at || now + waiting.service_time <= waiting.deadline) return false;
+    if (now == waiting.queued_at || now + waiting.expected_service <= waiting.deadline)
+      return false;
     too_late.push_back(waiting.request);
     return true;
   });
--- a/src/gate/online_queue.h
+++ b/src/gate/online_queue.h
@@ -14,7 +14,7 @@
   RequestId request;
   Time queued_at;
   Time deadline;
-  Duration service_time;  // expected time from start to complete answer
+  Duration expected_service;  // expected time from start to complete answer
 };
 
 class OnlineQueue {
@@ -23,7 +23,7 @@
   bool Remove(const RequestId& request);
   // Removes and returns the requests that have waited so long that their answer
   // can't complete by the deadline. A request that hasn't waited is never removed,
-  // as `service_time` is only an estimate.
+  // as `expected_service` is only an estimate.
   [[nodiscard]] std::vector<RequestId> TakeTooLate(Time now);
   [[nodiscard]] RequestId Pop();
   [[nodiscard]] int size() const { return static_cast<int>(waiting_.size()); }
--- a/test/placement-engine-test.cc
+++ b/test/placement-engine-test.cc
@@ -90,7 +90,7 @@
     REQUIRE(met);
   }
   // Requests the engine's state and stores it in `last`.
-  void ReadEngineState() {
+  void RefreshState() {
     port.State([this](Result<EngineState> state) {
       if (IsOk(state)) last = ValueOf(state);
     });
@@ -142,7 +142,7 @@
     LoseOrderAnswers(fixture, 2);
     agent.OnFold(FoldWithPlacement(812, "2", "prefill", checks_fencing));
     fixture.RunUntil([&] {
-      fixture.ReadEngineState();
+      fixture.RefreshState();
       return agent.settled() && fixture.drain_ends > 0 && fixture.last.role == "prefill" &&
              fixture.last.models == std::vector<std::string>{"note-llm@2"};
     });
@@ -162,7 +162,7 @@
   bool earlier_resumed = false;
   int reads_before = 0;
   fixture.RunUntil([&] {
-    fixture.ReadEngineState();
+    fixture.RefreshState();
     if (!earlier_resumed && later.settled() && fixture.last.role == "prefill") {
       earlier_resumed = true;
       reads_before = fixture.table.reads;
