--- a/bench/yield_bench.cc
+++ b/bench/yield_bench.cc
@@ -60,7 +60,7 @@
 // One engine with its gate, and batch that never runs out.
 class Server {
  public:
-  Server(Agenda& agenda, const GateConfig& config, bool batch, Figures& figures)
+  Server(Agenda& agenda, const SchedulerConfig& config, bool batch, Figures& figures)
       : agenda_(agenda), gate_(config), batch_(batch), figures_(figures) {
     Tick();
   }
@@ -70,15 +70,15 @@
     Dispatch dispatch = DispatchOf(id, WorkClass::kOnline, kOnlineAnswer);
     arrived_[id] = agenda_.now;
     refused_ = false;
-    Do(Arrived{++arrivals_, std::move(dispatch)});
+    Do(DispatchArrived{++arrivals_, std::move(dispatch)});
     if (refused_) arrived_.erase(id);
     return !refused_;
   }
   [[nodiscard]] int online() const {
-    const GateCounts counts = gate_.counts();
+    const SchedulerStats counts = gate_.counts();
     return counts.online_running + counts.online_queued;
   }
-  [[nodiscard]] std::uint64_t stops() const { return gate_.counts().stops; }
+  [[nodiscard]] std::uint64_t stops() const { return gate_.counts().batch_stops; }
 
  private:
   struct Stream {
@@ -93,22 +93,22 @@
     dispatch.request.value = id;
     dispatch.incarnation = 1;
     dispatch.work_class = work;
-    dispatch.tokens = tokens;
+    dispatch.max_tokens = tokens;
     dispatch.prompt_tokens = kPromptTokens;
     if (work == WorkClass::kBatch) dispatch.time_left = std::chrono::hours(1);
     return dispatch;
   }
   [[nodiscard]] bool Measured() const { return agenda_.now >= Time(kWarmUp); }
 
-  void Do(const GateEvent& event) {
-    for (const GateAction& action : gate_.Step(agenda_.now, event)) {
+  void Do(const SchedulerEvent& event) {
+    for (const SchedulerAction& action : gate_.Step(agenda_.now, event)) {
       std::visit([this](const auto& each) { Carry(each); }, action);
     }
   }
-  void Carry(const StartBackend& start) { Submit(start.request, 0); }
+  void Carry(const StartStream& start) { Submit(start.request, 0); }
   // From its exported KV cache: the prompt isn't read again.
-  void Carry(const ResumeBackend& resume) { Submit(resume.request, resume.from); }
-  void Carry(const CancelBackend& cancel) {
+  void Carry(const ResumeStream& resume) { Submit(resume.request, resume.from); }
+  void Carry(const StopStream& cancel) {
     agenda_.At(agenda_.now + 2 * kHop, [this, request = cancel.request] {
       const auto found = streams_.find(request);
       if (found != streams_.end()) {
@@ -116,13 +116,13 @@
         requests_.erase(found->second.run);
         streams_.erase(found);
       }
-      Do(BackendStopped{request});
+      Do(StreamStopped{request});
     });
   }
-  void Carry(const Refuse&) { refused_ = true; }
-  void Carry(const Finish&) {}
-  void Carry(const Detach&) {}
-  void Carry(const OrderAnswer&) {}
+  void Carry(const FailRequest&) { refused_ = true; }
+  void Carry(const CompleteRequest&) {}
+  void Carry(const DetachSender&) {}
+  void Carry(const CommandReply&) {}
 
   void Submit(const RequestId& request, std::uint64_t from) {
     agenda_.At(agenda_.now + kHop, [this, request, from] {
@@ -156,12 +156,12 @@
     const RequestId request = found->second;
     Stream& stream = streams_.at(request);
     Note(request, stream);
-    Do(BackendTokens{request, 1});
+    Do(StreamTokens{request, 1});
     if (!event.last) return;
     requests_.erase(event.run);
     streams_.erase(request);
     arrived_.erase(request.value);
-    Do(BackendEnded{request});
+    Do(StreamFinished{request});
     Feed();
   }
   void Note(const RequestId& request, Stream& stream) {
@@ -182,8 +182,8 @@
   }
   void Feed() {
     while (batch_ && gate_.counts().room > 0) {
-      Do(Arrived{++arrivals_,
-                 DispatchOf("b" + std::to_string(++items_), WorkClass::kBatch, kBatchAnswer)});
+      Do(DispatchArrived{++arrivals_, DispatchOf("b" + std::to_string(++items_), WorkClass::kBatch,
+                                                 kBatchAnswer)});
     }
   }
   void Tick() {
@@ -198,7 +198,7 @@
 
   Agenda& agenda_;
   EngineModel model_{EngineCosts{}};
-  Gate gate_;
+  BackendScheduler gate_;
   bool batch_;
   Figures& figures_;
   std::unordered_map<RequestId, Stream> streams_;
@@ -207,7 +207,7 @@
   std::optional<Time> scheduled_;
   EngineLoad report_;
   RunId last_run_ = 0;
-  Arrival arrivals_ = 0;
+  ArrivalId arrivals_ = 0;
   int items_ = 0;
   int ticks_ = 0;
   bool refused_ = false;
@@ -217,7 +217,7 @@
 
 struct Policy {
   const char* name;
-  double harm;  // GateConfig::batch_harm
+  double harm;  // SchedulerConfig::max_batch_slowdown
   int packed;   // online streams on one engine before the next is used; 0: spread evenly
 };
 
@@ -232,8 +232,8 @@
 class Run {
  public:
   Run(const Policy& policy, const Load& load, bool batch) : policy_(policy), load_(load) {
-    GateConfig config;
-    config.batch_harm = policy.harm;
+    SchedulerConfig config;
+    config.max_batch_slowdown = policy.harm;
     for (int i = 0; i < load.engines; ++i) {
       servers_.push_back(std::make_unique<Server>(agenda_, config, batch, figures_));
     }
--- a/include/figmill/gate.h
+++ b/include/figmill/gate.h
@@ -17,7 +17,7 @@
 
 // Identifies one arrival of a dispatch; chosen by the caller of Step(), never 0. A
 // request id that arrives twice is two arrivals, and each gets its own answer.
-using Arrival = std::uint64_t;
+using ArrivalId = std::uint64_t;
 
 // Contents of the headers of a dispatch (docs/PROTOCOLS.md).
 struct Dispatch {
@@ -28,7 +28,7 @@
   ItemKey item;  // empty: the answer isn't stored under a key
   bool repeatable = true;
   Duration time_left{60'000'000};
-  std::uint32_t tokens = 0;         // limit on answer tokens; 0: unknown
+  std::uint32_t max_tokens = 0;     // limit on answer tokens; 0: unknown
   std::uint32_t prompt_tokens = 0;  // estimated from the size of the body
   // If set, resume the stream of this request id after so many tokens; it is never
   // started anew.
@@ -43,32 +43,32 @@
 
 // --- Events --------------------------------------------------------------------------
 
-struct Arrived {
-  Arrival arrival = 0;
+struct DispatchArrived {
+  ArrivalId arrival = 0;
   Dispatch dispatch;
 };
 // `tokens` further tokens of the answer were received.
-struct BackendTokens {
+struct StreamTokens {
   RequestId request;
   std::uint32_t tokens = 1;
 };
 // The answer is complete.
-struct BackendEnded {
+struct StreamFinished {
   RequestId request;
 };
 // The answer broke off or never started. `error.ran` is kNo only when the backend
-// server can't have received the request; kNotFound after ResumeBackend means that
+// server can't have received the request; kNotFound after ResumeStream means that
 // it holds no such stream.
-struct BackendFailed {
+struct StreamFailed {
   RequestId request;
   Error error;
 };
-// The backend server confirmed a CancelBackend, or can't be reached.
-struct BackendStopped {
+// The backend server confirmed a StopStream, or can't be reached.
+struct StreamStopped {
   RequestId request;
 };
-struct PeerGone {
-  Arrival arrival = 0;
+struct SenderDisconnected {
+  ArrivalId arrival = 0;
 };
 // Requests a promise that the request never starts here. `stamp` is a time on this
 // agent's clock before the dispatch was sent; without it, or when it is too old, the
@@ -88,7 +88,7 @@
 };
 // Membership has lost a batch owner. Its host may have failed without closing its
 // connections, which then still look open.
-struct OwnerSilent {
+struct OwnerLost {
   NodeId owner;
 };
 struct LeavingChanged {
@@ -100,63 +100,63 @@
 };
 struct Tick {};
 
-using GateEvent =
-    std::variant<Arrived, BackendTokens, BackendEnded, BackendFailed, BackendStopped, PeerGone,
-                 Revoke, Cancel, Supersede, OwnerSilent, LeavingChanged, LoadReported, Tick>;
+using SchedulerEvent = std::variant<DispatchArrived, StreamTokens, StreamFinished, StreamFailed,
+                                    StreamStopped, SenderDisconnected, Revoke, Cancel, Supersede,
+                                    OwnerLost, LeavingChanged, LoadReported, Tick>;
 
 // --- Actions -------------------------------------------------------------------------
 
 enum class RequestState : std::uint8_t { kNeverStarted, kRunning, kFinished };
 
 // Calls the backend server. `rerun`: bytes stored from an earlier run are dropped.
-struct StartBackend {
+struct StartStream {
   RequestId request;
   bool rerun = false;
 };
-// Resumes the stream after `from` tokens. If `adopted` is set, the answer goes to
+// Resumes the stream after `from` tokens. If `reattached_arrival` is set, the answer goes to
 // that new arrival, whose sender holds those tokens; otherwise the caller of Step()
 // holds them.
-struct ResumeBackend {
+struct ResumeStream {
   RequestId request;
   std::uint64_t from = 0;
-  Arrival adopted = 0;
+  ArrivalId reattached_arrival = 0;
 };
 // Stops the stream at the backend server; its events are ignored until
-// BackendStopped. `keep`: the stream will be resumed, so its state must be kept.
-struct CancelBackend {
+// StreamStopped. `keep`: the stream will be resumed, so its state must be kept.
+struct StopStream {
   RequestId request;
   bool keep = false;
 };
 // The request has ended without a complete answer; `error.ran` tells reliably whether
 // it ran. `arrival` is 0 when no sender waits for it.
-struct Refuse {
-  Arrival arrival = 0;
+struct FailRequest {
+  ArrivalId arrival = 0;
   RequestId request;
   Error error;
 };
 // The request has ended with a complete answer; `arrival` as above.
-struct Finish {
-  Arrival arrival = 0;
+struct CompleteRequest {
+  ArrivalId arrival = 0;
   RequestId request;
 };
 // Final answer to an arrival; the request itself continues without it.
-struct Detach {
-  Arrival arrival = 0;
+struct DetachSender {
+  ArrivalId arrival = 0;
   RequestId request;
   Error error;
 };
 // The answer to Revoke or Cancel.
-struct OrderAnswer {
+struct CommandReply {
   RequestId request;
   Result<RequestState> state;
 };
 
-using GateAction =
-    std::variant<StartBackend, ResumeBackend, CancelBackend, Refuse, Finish, Detach, OrderAnswer>;
+using SchedulerAction = std::variant<StartStream, ResumeStream, StopStream, FailRequest,
+                                     CompleteRequest, DetachSender, CommandReply>;
 
 // --- The scheduler -------------------------------------------------------------------
 
-struct GateConfig {
+struct SchedulerConfig {
   Incarnation incarnation = 1;
   LatencyTarget target;
   // True for a model engine, whose streams can be resumed. Otherwise a plain service:
@@ -164,15 +164,15 @@
   bool token_streams = true;
   int max_running = 256;  // hard limit on concurrent streams
   int max_online_queue = 1024;
-  int ready_batch = 64;      // batch items to keep queued in addition to the running ones
-  double batch_harm = 0.04;  // share by which batch may increase the online token gap
-  int max_records = 32'768;  // records of finished and revoked ids
-  Duration remember{120'000'000};
-  Duration keep_for_resume{10'000'000};
-  Duration batch_patience{60'000'000};  // longest uninterrupted wait of a batch item
+  int batch_queue_target = 64;       // batch items to keep queued in addition to the running ones
+  double max_batch_slowdown = 0.04;  // share by which batch may increase the online token gap
+  int max_records = 32'768;          // records of finished and revoked ids
+  Duration record_retention{120'000'000};
+  Duration resume_window{10'000'000};
+  Duration max_batch_wait{60'000'000};  // longest uninterrupted wait of a batch item
 };
 
-struct GateCounts {
+struct SchedulerStats {
   int online_running = 0;
   int online_queued = 0;
   int batch_running = 0;
@@ -184,24 +184,24 @@
   // (docs/design/gate.md).
   int online_mark = 0;
   int batch_limit = 0;
-  int room = 0;              // batch items that senders may add now
-  std::uint64_t stops = 0;   // batch streams stopped for online
-  std::uint64_t reruns = 0;  // stopped batch streams that were restarted from the beginning
-  Duration token_gap{};      // predicted at the current concurrency
+  int room = 0;                    // batch items that senders may add now
+  std::uint64_t batch_stops = 0;   // batch streams stopped for online
+  std::uint64_t batch_reruns = 0;  // stopped batch streams that were restarted from the beginning
+  Duration predicted_token_gap{};  // predicted at the current concurrency
 };
 
-class Gate {
+class BackendScheduler {
  public:
-  explicit Gate(const GateConfig& config);
-  ~Gate();
-  Gate(Gate&&) noexcept;
-  Gate& operator=(Gate&&) noexcept;
+  explicit BackendScheduler(const SchedulerConfig& config);
+  ~BackendScheduler();
+  BackendScheduler(BackendScheduler&&) noexcept;
+  BackendScheduler& operator=(BackendScheduler&&) noexcept;
 
   // The returned actions must be carried out in their order before the next step.
-  [[nodiscard]] std::vector<GateAction> Step(Time now, const GateEvent& event);
+  [[nodiscard]] std::vector<SchedulerAction> Step(Time now, const SchedulerEvent& event);
   // The service's settings changed.
   void SetTarget(const LatencyTarget& target);
-  [[nodiscard]] GateCounts counts() const;
+  [[nodiscard]] SchedulerStats counts() const;
 
  private:
   class Impl;
--- a/src/figmilld/agent/agent_gate.cc
+++ b/src/figmilld/agent/agent_gate.cc
@@ -16,8 +16,8 @@
 // revoke itself was on its way too, and its sender waits no longer than this.
 constexpr Duration kRevokeSlack{10'000'000};
 
-GateConfig ConfigOf(const AgentSettings& settings, Incarnation incarnation) {
-  GateConfig config;
+SchedulerConfig ConfigOf(const AgentSettings& settings, Incarnation incarnation) {
+  SchedulerConfig config;
   config.incarnation = incarnation;
   config.token_streams = settings.backend_kind == BackendKind::kModel;
   return config;
@@ -51,20 +51,22 @@
   }
   AgentWork work(std::move(ValueOf(parsed)), std::move(request.body), settings_.backend_kind);
   const RequestId id = work.headers().request;
-  const Arrival arrival = ++last_arrival_;
+  const ArrivalId arrival = ++last_arrival_;
   work.arrival = arrival;
   work.ResetAnswer();
   reply->OnClosed([this, arrival] { OnPeerGone(arrival); });
   answers_.emplace(arrival, AgentAnswer(std::move(reply)));
   requests_[arrival] = id;
   const Time now = Loop::Now();
-  const std::vector<GateAction> actions = gate_.Step(now, Arrived{arrival, work.ToDispatch()});
-  const bool refused = std::any_of(actions.begin(), actions.end(), [&](const GateAction& action) {
-    const auto* refuse = std::get_if<Refuse>(&action);
-    return refuse != nullptr && refuse->arrival == arrival;
-  });
+  const std::vector<SchedulerAction> actions =
+      gate_.Step(now, DispatchArrived{arrival, work.ToDispatch()});
+  const bool refused =
+      std::any_of(actions.begin(), actions.end(), [&](const SchedulerAction& action) {
+        const auto* refuse = std::get_if<FailRequest>(&action);
+        return refuse != nullptr && refuse->arrival == arrival;
+      });
   if (refused) {
-    metrics_.CountRefusal(std::get<Refuse>(actions.front()).error, work.headers().work);
+    metrics_.CountRefusal(std::get<FailRequest>(actions.front()).error, work.headers().work);
   } else if (AgentWork* known = Find(id); known && settings_.backend_kind == BackendKind::kPlain) {
     known->arrival = arrival;  // the running call goes on, its answer is held
   } else if (known != nullptr) {
@@ -82,14 +84,14 @@
   stop_clock_.reset();
 }
 
-void AgentGate::OnPeerGone(Arrival arrival) {
+void AgentGate::OnPeerGone(ArrivalId arrival) {
   const auto found = requests_.find(arrival);
   if (found == requests_.end()) return;
   AgentWork* work = Find(found->second);
   if (work != nullptr && work->arrival == arrival) work->arrival = 0;
   requests_.erase(found);
   answers_.erase(arrival);
-  Do(PeerGone{arrival});
+  Do(SenderDisconnected{arrival});
 }
 
 std::function<void(AnswerEvent)> AgentGate::Receiver(const RequestId& request) {
@@ -102,9 +104,9 @@
   std::visit(Overloaded{
                  [&](AnswerHead& head) { ReceiveHead(*work, std::move(head)); },
                  [&](const AnswerBytes& bytes) { ReceiveBytes(*work, bytes); },
-                 [&](const AnswerEnd&) { Do(BackendEnded{request}); },
+                 [&](const AnswerEnd&) { Do(StreamFinished{request}); },
                  [&](AnswerFailed& failed) {
-                   Do(BackendFailed{request, std::move(failed.error)});
+                   Do(StreamFailed{request, std::move(failed.error)});
                  },
              },
              event);
@@ -125,11 +127,11 @@
   if (AgentAnswer* answer = AnswerOf(work)) answer->Data(ready);
   if (tokens == 0) return;
   metrics_.Tokens(work.headers().work, tokens);
-  Do(BackendTokens{work.headers().request, tokens});
+  Do(StreamTokens{work.headers().request, tokens});
 }
 
 FrameHead AgentGate::HeadFor(const AgentWork& work) const {
-  const GateCounts counts = gate_.counts();
+  const SchedulerStats counts = gate_.counts();
   FrameHead head;
   head.status = work.head.status;
   head.content_type = work.content_type();
@@ -145,18 +147,18 @@
 
 // --- Out -----------------------------------------------------------------------------
 
-void AgentGate::Do(const GateEvent& event) {
+void AgentGate::Do(const SchedulerEvent& event) {
   CarryOut(gate_.Step(Loop::Now(), event));
 }
 
-void AgentGate::CarryOut(const std::vector<GateAction>& actions) {
-  for (const GateAction& action : actions) {
+void AgentGate::CarryOut(const std::vector<SchedulerAction>& actions) {
+  for (const SchedulerAction& action : actions) {
     std::visit([this](const auto& each) { Carry(each); }, action);
   }
   if (drained_ && works_.empty() && answers_.empty()) std::exchange(drained_, nullptr)();
 }
 
-void AgentGate::Carry(const StartBackend& action) {
+void AgentGate::Carry(const StartStream& action) {
   AgentWork* work = Find(action.request);
   if (work == nullptr) return;
   if (action.rerun) metrics_.TokensRerun(work->tokens());
@@ -167,10 +169,10 @@
   work->call = engine_.Call(work->ToBackend(traceparent), Receiver(action.request));
 }
 
-void AgentGate::Carry(const ResumeBackend& action) {
+void AgentGate::Carry(const ResumeStream& action) {
   AgentWork* work = Find(action.request);
   if (work == nullptr) return;
-  if (action.adopted == 0 && work->paused) {
+  if (action.reattached_arrival == 0 && work->paused) {
     ResumeExported(*work);
     return;
   }
@@ -191,7 +193,7 @@
     AgentWork* imported = Find(request);
     if (imported == nullptr || imported->paused) return;
     if (!IsOk(done)) {
-      Do(BackendFailed{request, Error{ErrorKind::kNotFound, ErrorOf(done).detail, Ran::kUnknown}});
+      Do(StreamFailed{request, Error{ErrorKind::kNotFound, ErrorOf(done).detail, Ran::kUnknown}});
       return;
     }
     metrics_.TokensKept(imported->tokens());
@@ -201,11 +203,11 @@
 
 void AgentGate::FailLater(const RequestId& request, Error error) {
   loop_.Post([this, alive = std::weak_ptr(alive_), request, error = std::move(error)] {
-    if (alive.lock()) Do(BackendFailed{request, error});
+    if (alive.lock()) Do(StreamFailed{request, error});
   });
 }
 
-void AgentGate::Carry(const CancelBackend& action) {
+void AgentGate::Carry(const StopStream& action) {
   AgentWork* work = Find(action.request);
   if (work == nullptr) return;
   if (work->call) std::exchange(work->call, nullptr)();
@@ -239,10 +241,10 @@
 
 void AgentGate::Stopped(const RequestId& request, const std::shared_ptr<StopClock>& clock) {
   if (clock && --clock->left == 0) metrics_.BatchStopped(Loop::Now() - clock->arrived);
-  Do(BackendStopped{request});
+  Do(StreamStopped{request});
 }
 
-void AgentGate::Carry(const Refuse& action) {
+void AgentGate::Carry(const FailRequest& action) {
   const AgentWork* work = Find(action.request);
   if (work != nullptr && work->arrival == action.arrival) {
     metrics_.CountRefusal(action.error, work->headers().work);
@@ -251,7 +253,7 @@
   Forget(action.request, action.arrival, true);
 }
 
-void AgentGate::Carry(const Finish& action) {
+void AgentGate::Carry(const CompleteRequest& action) {
   AgentWork* work = Find(action.request);
   if (work == nullptr) return;
   if (AgentAnswer* answer = AnswerOf(*work)) {
@@ -265,17 +267,17 @@
   Forget(action.request, action.arrival, false);
 }
 
-void AgentGate::Carry(const Detach& action) {
+void AgentGate::Carry(const DetachSender& action) {
   FailArrival(action.arrival, action.error);
   AgentWork* work = Find(action.request);
   if (work != nullptr && work->arrival == action.arrival) work->arrival = 0;
 }
 
-void AgentGate::Carry(const OrderAnswer& action) {
+void AgentGate::Carry(const CommandReply& action) {
   order_answer_ = action.state;
 }
 
-void AgentGate::FailArrival(Arrival arrival, const Error& error) {
+void AgentGate::FailArrival(ArrivalId arrival, const Error& error) {
   const auto found = answers_.find(arrival);
   if (found == answers_.end()) return;
   AgentAnswer answer = std::move(found->second);
@@ -285,7 +287,7 @@
 }
 
 // The request is over, unless it was another arrival of it that was refused.
-void AgentGate::Forget(const RequestId& request, Arrival arrival, bool failed) {
+void AgentGate::Forget(const RequestId& request, ArrivalId arrival, bool failed) {
   const auto found = works_.find(request);
   if (found == works_.end() || found->second.arrival != arrival) return;
   AgentWork& work = found->second;
@@ -343,7 +345,7 @@
   }
   entries_.swap(entries);
   for (const NodeId& before : entries) {
-    if (!entries_.contains(before)) Do(OwnerSilent{before});
+    if (!entries_.contains(before)) Do(OwnerLost{before});
   }
 }
 
--- a/src/figmilld/agent/agent_gate.h
+++ b/src/figmilld/agent/agent_gate.h
@@ -49,19 +49,19 @@
   // Calls `drained` once no request is left.
   void OnDrained(std::function<void()> drained);
 
-  [[nodiscard]] GateCounts counts() const { return gate_.counts(); }
+  [[nodiscard]] SchedulerStats counts() const { return gate_.counts(); }
   [[nodiscard]] EngineClient& engine() { return engine_; }
 
  private:
-  void Do(const GateEvent& event);
-  void CarryOut(const std::vector<GateAction>& actions);
-  void Carry(const StartBackend& action);
-  void Carry(const ResumeBackend& action);
-  void Carry(const CancelBackend& action);
-  void Carry(const Refuse& action);
-  void Carry(const Finish& action);
-  void Carry(const Detach& action);
-  void Carry(const OrderAnswer& action);
+  void Do(const SchedulerEvent& event);
+  void CarryOut(const std::vector<SchedulerAction>& actions);
+  void Carry(const StartStream& action);
+  void Carry(const ResumeStream& action);
+  void Carry(const StopStream& action);
+  void Carry(const FailRequest& action);
+  void Carry(const CompleteRequest& action);
+  void Carry(const DetachSender& action);
+  void Carry(const CommandReply& action);
 
   void Receive(const RequestId& request, AnswerEvent event);
   void ReceiveHead(AgentWork& work, AnswerHead head);
@@ -71,9 +71,9 @@
   void FailLater(const RequestId& request, Error error);
   void StopAtBackend(const RequestId& request, std::shared_ptr<StopClock> clock);
   void Stopped(const RequestId& request, const std::shared_ptr<StopClock>& clock);
-  void OnPeerGone(Arrival arrival);
-  void FailArrival(Arrival arrival, const Error& error);
-  void Forget(const RequestId& request, Arrival arrival, bool failed);
+  void OnPeerGone(ArrivalId arrival);
+  void FailArrival(ArrivalId arrival, const Error& error);
+  void Forget(const RequestId& request, ArrivalId arrival, bool failed);
   AgentWork* Find(const RequestId& request);
   AgentAnswer* AnswerOf(const AgentWork& work);
   [[nodiscard]] FrameHead HeadFor(const AgentWork& work) const;
@@ -89,13 +89,13 @@
   Sequence orders_ = 0;
   EngineClient engine_;
   AgentMetrics metrics_;
-  Gate gate_;
+  BackendScheduler gate_;
   bool leaving_ = false;
   std::set<NodeId> entries_;  // by the last snapshot
   std::function<void()> drained_;
-  Arrival last_arrival_ = 0;
-  std::unordered_map<Arrival, AgentAnswer> answers_;
-  std::unordered_map<Arrival, RequestId> requests_;  // of the answers
+  ArrivalId last_arrival_ = 0;
+  std::unordered_map<ArrivalId, AgentAnswer> answers_;
+  std::unordered_map<ArrivalId, RequestId> requests_;  // of the answers
   std::unordered_map<RequestId, AgentWork> works_;
   std::optional<Result<RequestState>> order_answer_;
   std::shared_ptr<StopClock> stop_clock_;  // of the step being carried out
--- a/src/figmilld/agent/agent_metrics.cc
+++ b/src/figmilld/agent/agent_metrics.cc
@@ -24,7 +24,7 @@
       stops_(metrics.counter("figmill_agent_batch_stops_total",
                              "Batch streams stopped to make room for online")) {}
 
-void AgentMetrics::Set(const GateCounts& counts) {
+void AgentMetrics::Set(const SchedulerStats& counts) {
   const auto set = [&](std::string_view name, std::string_view help, std::string_view labels,
                        double value) { metrics_.gauge(name, help, labels).Set(value); };
   constexpr std::string_view kRunning = "figmill_agent_running";
@@ -38,9 +38,9 @@
   set(kLimit, "Streams that may run", "class=\"online\"", counts.online_limit);
   set(kLimit, "Streams that may run", "class=\"batch\"", counts.batch_limit);
   set("figmill_agent_token_gap_seconds", "Token gap predicted at the present concurrency", "",
-      Seconds(counts.token_gap));
-  stops_.Add(counts.stops - stops_told_);
-  stops_told_ = counts.stops;
+      Seconds(counts.predicted_token_gap));
+  stops_.Add(counts.batch_stops - stops_told_);
+  stops_told_ = counts.batch_stops;
 }
 
 void AgentMetrics::CountRefusal(const Error& error, WorkClass work_class) {
--- a/src/figmilld/agent/agent_metrics.h
+++ b/src/figmilld/agent/agent_metrics.h
@@ -19,7 +19,7 @@
 class AgentMetrics {
  public:
   explicit AgentMetrics(Metrics& metrics);
-  void Set(const GateCounts& counts);
+  void Set(const SchedulerStats& counts);
   void CountRefusal(const Error& error, WorkClass work_class);
   void BatchStopped(Duration time);
   void TokensKept(std::uint64_t tokens) { kept_.Add(tokens); }
--- a/src/figmilld/agent/agent_work.cc
+++ b/src/figmilld/agent/agent_work.cc
@@ -56,7 +56,7 @@
   dispatch.item = headers_.item;
   dispatch.repeatable = headers_.repeatable;
   dispatch.time_left = headers_.time_left;
-  dispatch.tokens = max_tokens_;
+  dispatch.max_tokens = max_tokens_;
   dispatch.prompt_tokens = static_cast<std::uint32_t>(body_.size() / kBytesPerToken);
   dispatch.resume_from = headers_.resume_from;
   if (headers_.stamp) dispatch.stamp = Time(Duration(*headers_.stamp));
--- a/src/figmilld/agent/agent_work.h
+++ b/src/figmilld/agent/agent_work.h
@@ -37,7 +37,7 @@
   [[nodiscard]] TokenUsage usage() const;
   [[nodiscard]] std::string content_type() const;
 
-  Arrival arrival = 0;  // 0: nobody waits
+  ArrivalId arrival = 0;  // 0: nobody waits
   AnswerHead head;
   CancelCall call;  // of the backend server, while one runs
   std::string kv;   // exported, while it waits to go on
--- a/src/gate/gate.cc
+++ b/src/gate/gate.cc
@@ -15,38 +15,38 @@
 
 // The duration that the concurrency limits keep within the target: the gap between
 // two tokens for a model engine, the whole call for a plain service.
-Duration TargetGap(const GateConfig& config) {
+Duration TargetGap(const SchedulerConfig& config) {
   return config.token_streams ? config.target.token_gap : config.target.first_token;
 }
 
-detail::BatchLimitConfig BatchLimitConfigOf(const GateConfig& config) {
-  return {config.batch_harm, TargetGap(config), config.token_streams};
+detail::BatchLimitConfig BatchLimitConfigOf(const SchedulerConfig& config) {
+  return {config.max_batch_slowdown, TargetGap(config), config.token_streams};
 }
 
 }  // namespace
 
-Gate::Impl::Impl(const GateConfig& config)
+BackendScheduler::Impl::Impl(const SchedulerConfig& config)
     : config_(config),
-      table_(static_cast<std::size_t>(config.max_records), config.remember),
+      table_(static_cast<std::size_t>(config.max_records), config.record_retention),
       online_limit_(TargetGap(config), config.max_running),
       capacity_(config.max_running),
       batch_limit_policy_(BatchLimitConfigOf(config)) {}
 
-std::vector<GateAction> Gate::Impl::Step(Time now, const GateEvent& event) {
+std::vector<SchedulerAction> BackendScheduler::Impl::Step(Time now, const SchedulerEvent& event) {
   now_ = now;
   actions_.clear();
   std::visit([this](const auto& e) { On(e); }, event);
   return std::exchange(actions_, {});
 }
 
-void Gate::Impl::SetTarget(const LatencyTarget& target) {
+void BackendScheduler::Impl::SetTarget(const LatencyTarget& target) {
   config_.target = target;
   online_limit_.SetTarget(TargetGap(config_));
   batch_limit_policy_.SetTargetGap(TargetGap(config_));
 }
 
-GateCounts Gate::Impl::counts() const {
-  GateCounts counts;
+SchedulerStats BackendScheduler::Impl::counts() const {
+  SchedulerStats counts;
   counts.online_running = online_running_;
   counts.online_queued = online_queue_.size();
   counts.batch_running = batch_running_;
@@ -57,26 +57,27 @@
   counts.batch_limit =
       batch_limit_policy_.Limit(token_gap_model_, OnlineDemand(), capacity_.slots(), now_);
   const int waiting = counts.batch_queued + counts.batch_paused;
-  counts.room = leaving_ ? 0 : std::max(0, config_.ready_batch - waiting);
-  counts.stops = stops_;
-  counts.reruns = reruns_;
-  counts.token_gap = Duration(
+  counts.room = leaving_ ? 0 : std::max(0, config_.batch_queue_target - waiting);
+  counts.batch_stops = stops_;
+  counts.batch_reruns = reruns_;
+  counts.predicted_token_gap = Duration(
       static_cast<std::int64_t>(token_gap_model_.Predict(online_running_ + batch_running_)));
   return counts;
 }
 
-Gate::Gate(const GateConfig& config) : impl_(std::make_unique<Impl>(config)) {}
-Gate::~Gate() = default;
-Gate::Gate(Gate&&) noexcept = default;
-Gate& Gate::operator=(Gate&&) noexcept = default;
+BackendScheduler::BackendScheduler(const SchedulerConfig& config)
+    : impl_(std::make_unique<Impl>(config)) {}
+BackendScheduler::~BackendScheduler() = default;
+BackendScheduler::BackendScheduler(BackendScheduler&&) noexcept = default;
+BackendScheduler& BackendScheduler::operator=(BackendScheduler&&) noexcept = default;
 
-std::vector<GateAction> Gate::Step(Time now, const GateEvent& event) {
+std::vector<SchedulerAction> BackendScheduler::Step(Time now, const SchedulerEvent& event) {
   return impl_->Step(now, event);
 }
-void Gate::SetTarget(const LatencyTarget& target) {
+void BackendScheduler::SetTarget(const LatencyTarget& target) {
   impl_->SetTarget(target);
 }
-GateCounts Gate::counts() const {
+SchedulerStats BackendScheduler::counts() const {
   return impl_->counts();
 }
 
--- a/src/gate/gate_arrivals.cc
+++ b/src/gate/gate_arrivals.cc
@@ -6,7 +6,7 @@
 
 namespace figmill {
 
-void Gate::Impl::On(const Arrived& event) {
+void BackendScheduler::Impl::On(const DispatchArrived& event) {
   const Dispatch& dispatch = event.dispatch;
   if (dispatch.work_class == WorkClass::kBatch) UpdateEpoch(dispatch.job, dispatch.epoch);
   if (std::optional<Error> refusal = CheckDispatch(dispatch)) {
@@ -16,7 +16,7 @@
     if (same_incarnation && refusal->ran == Ran::kNo && !table_.Find(dispatch.request)) {
       table_.Close(dispatch.request, detail::RecordState::kNeverStarted, now_);
     }
-    Emit(Refuse{event.arrival, dispatch.request, *std::move(refusal)});
+    Emit(FailRequest{event.arrival, dispatch.request, *std::move(refusal)});
     return;
   }
   if (dispatch.resume_from) {
@@ -26,7 +26,7 @@
   }
 }
 
-std::optional<Error> Gate::Impl::CheckDispatch(const Dispatch& dispatch) {
+std::optional<Error> BackendScheduler::Impl::CheckDispatch(const Dispatch& dispatch) {
   if (dispatch.incarnation != config_.incarnation) {
     return Error{ErrorKind::kStaleOrders, "meant for another incarnation of this agent", Ran::kNo};
   }
@@ -54,7 +54,7 @@
 
 // The id arrived before. Only a sender that asks to resume the stream gets it; a
 // second run never starts.
-std::optional<Error> Gate::Impl::CheckDuplicate(const Dispatch& dispatch) const {
+std::optional<Error> BackendScheduler::Impl::CheckDuplicate(const Dispatch& dispatch) const {
   switch (*table_.Find(dispatch.request)) {
     case detail::RecordState::kNeverStarted:
       return Error{ErrorKind::kCancelled, "the request was refused or revoked before", Ran::kNo};
@@ -73,14 +73,14 @@
 
 // A plain service doesn't store its answers; calling it again would be a second
 // run.
-std::optional<Error> Gate::Impl::CheckAnswerKept(Ran ran) const {
+std::optional<Error> BackendScheduler::Impl::CheckAnswerKept(Ran ran) const {
   if (config_.token_streams) return std::nullopt;
   return Error{ErrorKind::kNotFound, "a plain service stores no answers", ran};
 }
 
-std::optional<Error> Gate::Impl::CheckQueues(const Dispatch& dispatch) const {
+std::optional<Error> BackendScheduler::Impl::CheckQueues(const Dispatch& dispatch) const {
   if (dispatch.work_class == WorkClass::kBatch) {
-    if (batch_queue_.unstarted() < 2 * config_.ready_batch) return std::nullopt;
+    if (batch_queue_.unstarted() < 2 * config_.batch_queue_target) return std::nullopt;
     return OverloadedError("the batch queue is full");
   }
   const bool starts_now = online_queue_.empty() && online_running_ < OnlineLimit();
@@ -99,13 +99,13 @@
   return std::nullopt;
 }
 
-Error Gate::Impl::OverloadedError(std::string detail) const {
+Error BackendScheduler::Impl::OverloadedError(std::string detail) const {
   constexpr Duration kMinRetryAfter{1'000'000};  // Retry-After counts whole seconds
   return Error{ErrorKind::kOverloaded, std::move(detail), Ran::kNo,
                std::max(kMinRetryAfter, ExpectedWait())};
 }
 
-void Gate::Impl::Enqueue(Arrival arrival, const Dispatch& dispatch) {
+void BackendScheduler::Impl::Enqueue(ArrivalId arrival, const Dispatch& dispatch) {
   table_.Open(dispatch.request);
   Stream stream{dispatch, arrival};
   stream.waiting_since = now_;
@@ -123,7 +123,7 @@
 
 // Connects a sender that lost its connection, or the successor of a lost sender, to
 // the existing stream. No run is started: the backend server returns what it holds.
-void Gate::Impl::Reattach(Arrival arrival, const Dispatch& dispatch) {
+void BackendScheduler::Impl::Reattach(ArrivalId arrival, const Dispatch& dispatch) {
   Stream* stream = Find(dispatch.request);
   if (stream == nullptr) {
     table_.Open(dispatch.request);
@@ -132,9 +132,9 @@
     stream = &streams_.insert_or_assign(dispatch.request, std::move(fresh)).first->second;
   } else if (stream->arrival != 0) {
     arrivals_.erase(stream->arrival);
-    Emit(Detach{stream->arrival, dispatch.request,
-                Error{ErrorKind::kFenced, "another sender has reattached to the stream",
-                      stream->ran ? Ran::kYes : Ran::kUnknown}});
+    Emit(DetachSender{stream->arrival, dispatch.request,
+                      Error{ErrorKind::kFenced, "another sender has reattached to the stream",
+                            stream->ran ? Ran::kYes : Ran::kUnknown}});
   }
   stream->arrival = arrival;
   stream->deadline = now_ + dispatch.time_left;
--- a/src/gate/gate_ends.cc
+++ b/src/gate/gate_ends.cc
@@ -15,17 +15,17 @@
 
 }  // namespace
 
-Gate::Impl::Stream* Gate::Impl::Find(const RequestId& request) {
+BackendScheduler::Impl::Stream* BackendScheduler::Impl::Find(const RequestId& request) {
   const auto found = streams_.find(request);
   return found == streams_.end() ? nullptr : &found->second;
 }
 
-Gate::Impl::Stream* Gate::Impl::FindRunning(const RequestId& request) {
+BackendScheduler::Impl::Stream* BackendScheduler::Impl::FindRunning(const RequestId& request) {
   Stream* stream = Find(request);
   return stream != nullptr && stream->phase == Phase::kRunning ? stream : nullptr;
 }
 
-void Gate::Impl::On(const BackendTokens& event) {
+void BackendScheduler::Impl::On(const StreamTokens& event) {
   Stream* stream = FindRunning(event.request);
   if (stream == nullptr || event.tokens == 0) return;
   const bool online = stream->dispatch.work_class == WorkClass::kOnline;
@@ -51,7 +51,7 @@
   stream->last_token = now_;
 }
 
-void Gate::Impl::On(const BackendEnded& event) {
+void BackendScheduler::Impl::On(const StreamFinished& event) {
   Stream* stream = FindRunning(event.request);
   if (stream == nullptr) return;
   const Duration whole = now_ - stream->started;
@@ -62,13 +62,13 @@
     if (online) online_limit_.AddGap(whole, running);
   }
   if (online && !stream->reattached) {
-    service_estimate_.AddEnded(whole, stream->tokens, stream->dispatch.tokens);
+    service_estimate_.AddEnded(whole, stream->tokens, stream->dispatch.max_tokens);
   }
   End(event.request, std::nullopt);
   Schedule();
 }
 
-void Gate::Impl::On(const BackendFailed& event) {
+void BackendScheduler::Impl::On(const StreamFailed& event) {
   Stream* stream = FindRunning(event.request);
   if (stream == nullptr) return;
   const Dispatch& dispatch = stream->dispatch;
@@ -98,7 +98,7 @@
   Schedule();
 }
 
-void Gate::Impl::On(const BackendStopped& event) {
+void BackendScheduler::Impl::On(const StreamStopped& event) {
   Stream* stream = Find(event.request);
   if (stream == nullptr || stream->phase != Phase::kPaused) return;
   stream->stop_requested_at.reset();
@@ -106,7 +106,7 @@
   Schedule();
 }
 
-void Gate::Impl::On(const PeerGone& event) {
+void BackendScheduler::Impl::On(const SenderDisconnected& event) {
   const auto found = arrivals_.find(event.arrival);
   if (found == arrivals_.end()) return;
   DropSender(streams_.at(found->second));
@@ -117,7 +117,7 @@
 // one that must not be repeated runs to its end, and its answer can be fetched by its
 // request id. Batch and keyed online requests are kept for a time so that a sender
 // can reattach; all others are stopped.
-void Gate::Impl::DropSender(Stream& stream) {
+void BackendScheduler::Impl::DropSender(Stream& stream) {
   arrivals_.erase(stream.arrival);
   stream.arrival = 0;
   const RequestId request = stream.dispatch.request;
@@ -128,7 +128,7 @@
   } else if (!stream.dispatch.repeatable) {
     return;
   } else if (keep) {
-    stream.cancel_at = now_ + config_.keep_for_resume;
+    stream.cancel_at = now_ + config_.resume_window;
   } else {
     Stop(request, Error{ErrorKind::kCancelled, "the sender has disconnected"});
   }
@@ -136,7 +136,7 @@
 
 // Ends a request: with a complete answer if `error` is empty. Removes it from all
 // structures but the table, which records whether it ran.
-void Gate::Impl::End(const RequestId& request, std::optional<Error> error) {
+void BackendScheduler::Impl::End(const RequestId& request, std::optional<Error> error) {
   const auto found = streams_.find(request);
   if (found == streams_.end()) return;
   Stream& stream = found->second;
@@ -150,19 +150,19 @@
   if (error) {
     if (!stream.ran) error->ran = Ran::kNo;
     if (stream.ran && error->ran == Ran::kNo) error->ran = Ran::kYes;
-    Emit(Refuse{stream.arrival, id, *std::move(error)});
+    Emit(FailRequest{stream.arrival, id, *std::move(error)});
   } else {
-    Emit(Finish{stream.arrival, id});
+    Emit(CompleteRequest{stream.arrival, id});
   }
   streams_.erase(found);
 }
 
-void Gate::Impl::Stop(const RequestId& request, Error error) {
-  if (FindRunning(request) != nullptr) Emit(CancelBackend{request});
+void BackendScheduler::Impl::Stop(const RequestId& request, Error error) {
+  if (FindRunning(request) != nullptr) Emit(StopStream{request});
   End(request, std::move(error));
 }
 
-std::vector<RequestId> Gate::Impl::FindStreams(
+std::vector<RequestId> BackendScheduler::Impl::FindStreams(
     const std::function<bool(const Stream&)>& test) const {
   std::vector<RequestId> selected;
   for (const auto& [id, stream] : streams_) {
@@ -172,12 +172,12 @@
   return selected;
 }
 
-void Gate::Impl::On(const Tick&) {
+void BackendScheduler::Impl::On(const Tick&) {
   ExpireStreams();
   Schedule();
 }
 
-void Gate::Impl::ExpireStreams() {
+void BackendScheduler::Impl::ExpireStreams() {
   table_.EvictExpired(now_);
   EvictOldEpochs();
   const auto late = FindStreams([&](const Stream& s) {
@@ -192,7 +192,7 @@
   // agents have free slots. Refusing it lets its owner send it elsewhere.
   for (const RequestId& request : FindStreams([&](const Stream& s) {
          return s.dispatch.work_class == WorkClass::kBatch && s.phase != Phase::kRunning &&
-                now_ >= s.waiting_since + config_.batch_patience;
+                now_ >= s.waiting_since + config_.max_batch_wait;
        })) {
     End(request, OverloadedError("online work has left no capacity for batch"));
   }
--- a/src/gate/gate_impl.h
+++ b/src/gate/gate_impl.h
@@ -18,12 +18,12 @@
 
 namespace figmill {
 
-class Gate::Impl {
+class BackendScheduler::Impl {
  public:
-  explicit Impl(const GateConfig& config);
-  std::vector<GateAction> Step(Time now, const GateEvent& event);
+  explicit Impl(const SchedulerConfig& config);
+  std::vector<SchedulerAction> Step(Time now, const SchedulerEvent& event);
   void SetTarget(const LatencyTarget& target);
-  [[nodiscard]] GateCounts counts() const;
+  [[nodiscard]] SchedulerStats counts() const;
 
  private:
   enum class Phase : std::uint8_t { kQueued, kRunning, kPaused };
@@ -31,33 +31,33 @@
   // A request that was accepted and has not ended.
   struct Stream {
     Dispatch dispatch;
-    Arrival arrival = 0;  // 0: the sender has disconnected
+    ArrivalId arrival = 0;  // 0: the sender has disconnected
     Phase phase = Phase::kQueued;
     bool ran = false;         // the backend server may have received it
     bool prefilling = false;  // started or resumed, no token received since
     Time deadline, started, last_token;
     Time waiting_since;  // queued or paused
     std::uint64_t tokens = 0;
-    int starts = 0;           // number of StartBackend actions
+    int starts = 0;           // number of StartStream actions
     bool reattached = false;  // resumed for a sender that reattached by its id
     // Token count when the stream last broke off and was resumed.
     std::optional<std::uint64_t> tokens_at_break;
     std::optional<Time> cancel_at;          // set when the sender disconnected
-    std::optional<Time> stop_requested_at;  // paused: CancelBackend not confirmed yet
+    std::optional<Time> stop_requested_at;  // paused: StopStream not confirmed yet
   };
   using Streams = std::unordered_map<RequestId, Stream>;
 
   // One overload for each event.
-  void On(const Arrived& event);
-  void On(const BackendTokens& event);
-  void On(const BackendEnded& event);
-  void On(const BackendFailed& event);
-  void On(const BackendStopped& event);
-  void On(const PeerGone& event);
+  void On(const DispatchArrived& event);
+  void On(const StreamTokens& event);
+  void On(const StreamFinished& event);
+  void On(const StreamFailed& event);
+  void On(const StreamStopped& event);
+  void On(const SenderDisconnected& event);
   void On(const Revoke& event);
   void On(const Cancel& event);
   void On(const Supersede& event);
-  void On(const OwnerSilent& event);
+  void On(const OwnerLost& event);
   void On(const LeavingChanged& event);
   void On(const LoadReported& event);
   void On(const Tick& event);
@@ -67,8 +67,8 @@
   [[nodiscard]] std::optional<Error> CheckDuplicate(const Dispatch& dispatch) const;
   [[nodiscard]] std::optional<Error> CheckAnswerKept(Ran ran) const;
   [[nodiscard]] std::optional<Error> CheckQueues(const Dispatch& dispatch) const;
-  void Reattach(Arrival arrival, const Dispatch& dispatch);
-  void Enqueue(Arrival arrival, const Dispatch& dispatch);
+  void Reattach(ArrivalId arrival, const Dispatch& dispatch);
+  void Enqueue(ArrivalId arrival, const Dispatch& dispatch);
 
   // Scheduling (gate_schedule.cc).
   void Schedule();
@@ -86,7 +86,7 @@
   // Backend events and the end of requests (gate_ends.cc); commands (gate_orders.cc).
   void End(const RequestId& request, std::optional<Error> error);
   void Stop(const RequestId& request, Error error);
-  void Resume(Stream& stream, Arrival reattached_arrival);
+  void Resume(Stream& stream, ArrivalId reattached_arrival);
   void Rerun(Stream& stream);
   void LeaveRunning(Stream& stream);
   void EndPrefill(Stream& stream);
@@ -104,11 +104,11 @@
   [[nodiscard]] std::vector<RequestId> FindStreams(
       const std::function<bool(const Stream&)>& test) const;
 
-  void Emit(GateAction action) { actions_.push_back(std::move(action)); }
+  void Emit(SchedulerAction action) { actions_.push_back(std::move(action)); }
   Stream* Find(const RequestId& request);
   Stream* FindRunning(const RequestId& request);
 
-  GateConfig config_;
+  SchedulerConfig config_;
   detail::DispatchTable table_;
   detail::StepModel token_gap_model_;
   detail::AdmissionLimit online_limit_;
@@ -118,7 +118,7 @@
   detail::OnlineQueue online_queue_;
   detail::BatchQueue batch_queue_;
   Streams streams_;
-  std::unordered_map<Arrival, RequestId> arrivals_;
+  std::unordered_map<ArrivalId, RequestId> arrivals_;
   struct JobEpoch {
     Epoch epoch = 0;
     Time updated_at;
@@ -132,7 +132,7 @@
   Time epochs_evicted_at_{};
   std::uint64_t stops_ = 0, reruns_ = 0;
   Time now_{};
-  std::vector<GateAction> actions_;
+  std::vector<SchedulerAction> actions_;
 };
 
 }  // namespace figmill
--- a/src/gate/gate_orders.cc
+++ b/src/gate/gate_orders.cc
@@ -7,7 +7,7 @@
 
 namespace figmill {
 
-RequestState Gate::Impl::StateOf(const RequestId& request) const {
+RequestState BackendScheduler::Impl::StateOf(const RequestId& request) const {
   const auto found = streams_.find(request);
   if (found != streams_.end()) {
     return found->second.ran ? RequestState::kRunning : RequestState::kNeverStarted;
@@ -16,21 +16,21 @@
                                                                 : RequestState::kNeverStarted;
 }
 
-bool Gate::Impl::ReplyIfEvicted(const RequestId& request, std::optional<Time> stamp) {
+bool BackendScheduler::Impl::ReplyIfEvicted(const RequestId& request, std::optional<Time> stamp) {
   if (table_.Find(request) || !table_.MayBeEvicted(stamp.value_or(Time::min()))) return false;
-  Emit(OrderAnswer{request,
-                   Error{ErrorKind::kOutcomeUnknown,
-                         "the request may be older than this agent's records", Ran::kUnknown}});
+  Emit(CommandReply{request,
+                    Error{ErrorKind::kOutcomeUnknown,
+                          "the request may be older than this agent's records", Ran::kUnknown}});
   return true;
 }
 
 // "Never started" is a promise, enforced by a tombstone. It isn't given when the
 // record of the id may have been evicted.
-void Gate::Impl::On(const Revoke& event) {
+void BackendScheduler::Impl::On(const Revoke& event) {
   if (event.incarnation != config_.incarnation) {
-    Emit(OrderAnswer{event.request,
-                     Error{ErrorKind::kStaleOrders, "meant for another incarnation of this agent",
-                           Ran::kUnknown}});
+    Emit(CommandReply{event.request,
+                      Error{ErrorKind::kStaleOrders, "meant for another incarnation of this agent",
+                            Ran::kUnknown}});
     return;
   }
   if (ReplyIfEvicted(event.request, event.stamp)) return;
@@ -39,20 +39,20 @@
     End(event.request, Error{ErrorKind::kCancelled, "the request was revoked"});
     table_.Close(event.request, detail::RecordState::kNeverStarted, now_);
   }
-  Emit(OrderAnswer{event.request, state});
+  Emit(CommandReply{event.request, state});
   Schedule();
 }
 
-void Gate::Impl::On(const Cancel& event) {
+void BackendScheduler::Impl::On(const Cancel& event) {
   if (ReplyIfEvicted(event.request, std::nullopt)) return;
   const RequestState state = StateOf(event.request);
   Stop(event.request, Error{ErrorKind::kCancelled, "the request was cancelled"});
   table_.Close(event.request, detail::RecordState::kNeverStarted, now_);
-  Emit(OrderAnswer{event.request, state});
+  Emit(CommandReply{event.request, state});
   Schedule();
 }
 
-void Gate::Impl::On(const Supersede& event) {
+void BackendScheduler::Impl::On(const Supersede& event) {
   UpdateEpoch(event.job, event.epoch);
   Schedule();
 }
@@ -60,7 +60,7 @@
 // Of the former lease holder's items, waiting ones are dropped and running ones are
 // stopped unless they must not be repeated; the new holder can reattach to those by
 // their request id.
-void Gate::Impl::UpdateEpoch(const JobId& job, Epoch epoch) {
+void BackendScheduler::Impl::UpdateEpoch(const JobId& job, Epoch epoch) {
   JobEpoch& known = epochs_[job];
   known.updated_at = now_;
   if (epoch <= known.epoch) return;
@@ -76,7 +76,7 @@
 
 // Waiting items are dropped; running ones are kept for a time, as after any lost
 // sender.
-void Gate::Impl::On(const OwnerSilent& event) {
+void BackendScheduler::Impl::On(const OwnerLost& event) {
   const auto lost = FindStreams([&](const Stream& s) {
     return s.arrival != 0 && s.dispatch.work_class == WorkClass::kBatch &&
            s.dispatch.owner == event.owner;
@@ -88,7 +88,7 @@
       End(request, std::move(error));
       continue;
     }
-    Emit(Detach{stream.arrival, request, std::move(error)});
+    Emit(DetachSender{stream.arrival, request, std::move(error)});
     DropSender(stream);
   }
   Schedule();
@@ -96,17 +96,17 @@
 
 // Without eviction the map would grow with every job that ever ran. Evicting an
 // epoch is safe: the table service, not this class, decides which writes commit.
-void Gate::Impl::EvictOldEpochs() {
+void BackendScheduler::Impl::EvictOldEpochs() {
   constexpr Duration kEvery{1'000'000};
   if (now_ < epochs_evicted_at_ + kEvery) return;
   epochs_evicted_at_ = now_;
-  const Time oldest_kept = now_ - config_.remember;
+  const Time oldest_kept = now_ - config_.record_retention;
   std::erase_if(epochs_, [&](const auto& entry) { return entry.second.updated_at < oldest_kept; });
 }
 
 // Running streams continue to their end; waiting requests are refused at once, so
 // that their senders can use another backend server.
-void Gate::Impl::On(const LeavingChanged& event) {
+void BackendScheduler::Impl::On(const LeavingChanged& event) {
   leaving_ = event.leaving;
   if (!leaving_) return;
   for (const RequestId& request :
@@ -115,7 +115,7 @@
   }
 }
 
-Duration Gate::Impl::LongestPrefill() const {
+Duration BackendScheduler::Impl::LongestPrefill() const {
   Duration longest{0};
   for (const auto& [id, stream] : streams_) {
     if (stream.prefilling) longest = std::max(longest, now_ - stream.started);
@@ -123,7 +123,7 @@
   return longest;
 }
 
-void Gate::Impl::On(const LoadReported& event) {
+void BackendScheduler::Impl::On(const LoadReported& event) {
   batch_limit_policy_.Report(event.load, now_);
   capacity_.Report(event.load, online_running_ + batch_running_, LongestPrefill(), now_);
   Schedule();
--- a/src/gate/gate_schedule.cc
+++ b/src/gate/gate_schedule.cc
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-void Gate::Impl::Schedule() {
+void BackendScheduler::Impl::Schedule() {
   PreemptBatch();
   StartOnline();
   StartBatch();
@@ -21,17 +21,17 @@
 
 // Online streams that run or could run now. Requests queued beyond the limit
 // don't count: they can't start before others end.
-int Gate::Impl::OnlineDemand() const {
+int BackendScheduler::Impl::OnlineDemand() const {
   return std::min(online_running_ + online_queue_.size(), std::max(online_running_, OnlineLimit()));
 }
 
 // Beyond its slots the engine queues requests itself, and their wait in there
 // isn't visible here.
-int Gate::Impl::OnlineLimit() const {
+int BackendScheduler::Impl::OnlineLimit() const {
   return std::min(online_limit_.limit(), capacity_.slots());
 }
 
-bool Gate::Impl::IsPreemptible(const Stream& stream) const {
+bool BackendScheduler::Impl::IsPreemptible(const Stream& stream) const {
   return stream.dispatch.work_class == WorkClass::kBatch && stream.phase == Phase::kRunning &&
          stream.dispatch.repeatable;
 }
@@ -40,7 +40,7 @@
 // there is no online work, as the streams end by themselves. When online demand
 // hasn't grown, a quarter of the limit plus one is tolerated as excess; otherwise
 // noise in the measured gap would stop and resume streams in alternation.
-void Gate::Impl::PreemptBatch() {
+void BackendScheduler::Impl::PreemptBatch() {
   const int online = OnlineDemand();
   const bool arrived = online > last_online_demand_;
   last_online_demand_ = online;
@@ -61,8 +61,8 @@
   }
 }
 
-void Gate::Impl::Pause(Stream& stream) {
-  Emit(CancelBackend{stream.dispatch.request, true});
+void BackendScheduler::Impl::Pause(Stream& stream) {
+  Emit(StopStream{stream.dispatch.request, true});
   LeaveRunning(stream);
   stream.phase = Phase::kPaused;
   stream.stop_requested_at = now_;
@@ -72,7 +72,7 @@
       {stream.dispatch.request, stream.tokens + stream.dispatch.prompt_tokens, false});
 }
 
-void Gate::Impl::StartOnline() {
+void BackendScheduler::Impl::StartOnline() {
   for (const RequestId& request : online_queue_.TakeTooLate(now_)) {
     End(request, OverloadedError("the wait would pass the deadline"));
   }
@@ -81,7 +81,7 @@
   }
 }
 
-void Gate::Impl::StartBatch() {
+void BackendScheduler::Impl::StartBatch() {
   if (!online_queue_.empty()) return;
   const int online = OnlineDemand();
   const int free_slots =
@@ -96,7 +96,7 @@
   }
 }
 
-void Gate::Impl::Start(Stream& stream) {
+void BackendScheduler::Impl::Start(Stream& stream) {
   // A reattached stream is never started anew: this agent may have evicted the
   // record of a promise that the request never starts here.
   if (stream.reattached || (config_.token_streams && stream.tokens > 0)) {
@@ -107,21 +107,21 @@
   if (rerun) ++reruns_;
   EnterRunning(stream);
   ++stream.starts;
-  Emit(StartBackend{stream.dispatch.request, rerun});
+  Emit(StartStream{stream.dispatch.request, rerun});
 }
 
-void Gate::Impl::Resume(Stream& stream, Arrival reattached_arrival) {
+void BackendScheduler::Impl::Resume(Stream& stream, ArrivalId reattached_arrival) {
   EnterRunning(stream);
-  Emit(ResumeBackend{stream.dispatch.request, stream.tokens, reattached_arrival});
+  Emit(ResumeStream{stream.dispatch.request, stream.tokens, reattached_arrival});
 }
 
-void Gate::Impl::Rerun(Stream& stream) {
+void BackendScheduler::Impl::Rerun(Stream& stream) {
   LeaveRunning(stream);
   stream.tokens = 0;
   Start(stream);
 }
 
-void Gate::Impl::EnterRunning(Stream& stream) {
+void BackendScheduler::Impl::EnterRunning(Stream& stream) {
   stream.phase = Phase::kRunning;
   stream.ran = true;
   stream.prefilling = config_.token_streams;
@@ -138,7 +138,7 @@
   if (!stream.dispatch.repeatable) ++non_preemptible_;
 }
 
-void Gate::Impl::LeaveRunning(Stream& stream) {
+void BackendScheduler::Impl::LeaveRunning(Stream& stream) {
   EndPrefill(stream);
   if (stream.dispatch.work_class == WorkClass::kOnline) {
     --online_running_;
@@ -148,7 +148,7 @@
   if (!stream.dispatch.repeatable) --non_preemptible_;
 }
 
-void Gate::Impl::EndPrefill(Stream& stream) {
+void BackendScheduler::Impl::EndPrefill(Stream& stream) {
   if (!stream.prefilling) return;
   stream.prefilling = false;
   last_prefill_end_ = now_;
@@ -156,14 +156,14 @@
   if (stream.dispatch.work_class == WorkClass::kBatch) --batch_prefilling_;
 }
 
-Duration Gate::Impl::ExpectedService(const Dispatch& dispatch) const {
+Duration BackendScheduler::Impl::ExpectedService(const Dispatch& dispatch) const {
   if (!config_.token_streams) return service_estimate_.whole();
-  return service_estimate_.Expect(dispatch.tokens,
+  return service_estimate_.Expect(dispatch.max_tokens,
                                   token_gap_model_.Predict(std::max(1, online_running_)));
 }
 
 // After the limit has dropped, nothing starts until enough streams have ended.
-Duration Gate::Impl::ExpectedWait() const {
+Duration BackendScheduler::Impl::ExpectedWait() const {
   const int over = std::max(0, online_running_ - OnlineLimit());
   return detail::PredictedWait(online_queue_.size() + over, OnlineLimit(),
                                service_estimate_.whole());
--- a/test/gate-fixture.h
+++ b/test/gate-fixture.h
@@ -11,13 +11,14 @@
 namespace figmill::test {
 
 struct GateFixture {
-  explicit GateFixture(GateConfig config = {}) : gate(config), incarnation(config.incarnation) {}
+  explicit GateFixture(SchedulerConfig config = {})
+      : gate(config), incarnation(config.incarnation) {}
 
   Dispatch Online(std::string request) const {
     Dispatch dispatch;
     dispatch.request.value = std::move(request);
     dispatch.incarnation = incarnation;
-    dispatch.tokens = 100;
+    dispatch.max_tokens = 100;
     dispatch.stamp = now;
     return dispatch;
   }
@@ -31,11 +32,11 @@
     dispatch.time_left = std::chrono::hours(1);
     return dispatch;
   }
-  std::vector<GateAction> Step(const GateEvent& event) {
+  std::vector<SchedulerAction> Step(const SchedulerEvent& event) {
     return last_actions = gate.Step(now, event);
   }
-  std::vector<GateAction> Arrive(Dispatch dispatch) {
-    return Step(Arrived{++arrivals, std::move(dispatch)});
+  std::vector<SchedulerAction> Arrive(Dispatch dispatch) {
+    return Step(DispatchArrived{++arrivals, std::move(dispatch)});
   }
   void AdvanceTime(Duration time) { now += time; }
 
@@ -45,28 +46,28 @@
       const std::string request = "batch-" + std::to_string(i);
       Arrive(Batch(request));
       AdvanceTime(Duration(20'000));
-      Step(BackendTokens{RequestId{request}});
+      Step(StreamTokens{RequestId{request}});
     }
   }
 
   template <typename Action>
   [[nodiscard]] std::vector<Action> LastActions() const {
     std::vector<Action> found;
-    for (const GateAction& action : last_actions) {
+    for (const SchedulerAction& action : last_actions) {
       if (const auto* match = std::get_if<Action>(&action)) found.push_back(*match);
     }
     return found;
   }
   // The state in the answer to the last revoke or cancel.
   [[nodiscard]] Result<RequestState> LastCommandState() const {
-    return LastActions<OrderAnswer>().at(0).state;
+    return LastActions<CommandReply>().at(0).state;
   }
 
-  Gate gate;
+  BackendScheduler gate;
   Incarnation incarnation;
   Time now = Time(std::chrono::hours(1));
-  Arrival arrivals = 0;
-  std::vector<GateAction> last_actions;
+  ArrivalId arrivals = 0;
+  std::vector<SchedulerAction> last_actions;
 };
 
 }  // namespace figmill::test
--- a/test/gate-outcome-test.cc
+++ b/test/gate-outcome-test.cc
@@ -27,16 +27,16 @@
   CHECK(ValueOf(fixture.LastCommandState()) == RequestState::kNeverStarted);
   fixture.AdvanceTime(std::chrono::seconds(20));
   fixture.Arrive(late);
-  CHECK(fixture.LastActions<StartBackend>().empty());
-  REQUIRE(fixture.LastActions<Refuse>().size() == 1);
-  CHECK(fixture.LastActions<Refuse>()[0].error.ran == Ran::kNo);
+  CHECK(fixture.LastActions<StartStream>().empty());
+  REQUIRE(fixture.LastActions<FailRequest>().size() == 1);
+  CHECK(fixture.LastActions<FailRequest>()[0].error.ran == Ran::kNo);
 }
 
 // As above, but the copy arrives minutes later, after the tombstone was evicted.
 // Tombstones are bounded in number and age, so the dispatch must be refused by its
 // age alone.
 TEST_CASE("a dispatch older than the table's records is refused with an unknown outcome") {
-  GateConfig config;
+  SchedulerConfig config;
   SUBCASE("by age") {}
   SUBCASE("by number") {
     config.max_records = 4;
@@ -50,14 +50,14 @@
   }
   fixture.Step(Tick{});
   fixture.Arrive(late);
-  CHECK(fixture.LastActions<StartBackend>().empty());
-  REQUIRE(fixture.LastActions<Refuse>().size() == 1);
-  CHECK(fixture.LastActions<Refuse>()[0].error.kind == ErrorKind::kStaleOrders);
-  CHECK(fixture.LastActions<Refuse>()[0].error.ran == Ran::kUnknown);
+  CHECK(fixture.LastActions<StartStream>().empty());
+  REQUIRE(fixture.LastActions<FailRequest>().size() == 1);
+  CHECK(fixture.LastActions<FailRequest>()[0].error.kind == ErrorKind::kStaleOrders);
+  CHECK(fixture.LastActions<FailRequest>()[0].error.ran == Ran::kUnknown);
   fixture.Step(Revoke{late.request, 1, late.stamp});
   CHECK_FALSE(IsOk(fixture.LastCommandState()));
   fixture.Arrive(NonRepeatable(fixture.Online("fresh")));
-  CHECK(fixture.LastActions<StartBackend>().size() == 1);
+  CHECK(fixture.LastActions<StartStream>().size() == 1);
 }
 
 TEST_CASE("a non-repeatable request of unknown age is refused as not run") {
@@ -65,8 +65,8 @@
   Dispatch dispatch = NonRepeatable(fixture.Online("r"));
   dispatch.stamp.reset();
   fixture.Arrive(dispatch);
-  REQUIRE(fixture.LastActions<Refuse>().size() == 1);
-  CHECK(fixture.LastActions<Refuse>()[0].error.ran == Ran::kNo);
+  REQUIRE(fixture.LastActions<FailRequest>().size() == 1);
+  CHECK(fixture.LastActions<FailRequest>()[0].error.ran == Ran::kNo);
 }
 
 // A retry after "not run" and a late copy of the refused dispatch must not both run:
@@ -77,27 +77,27 @@
   GateFixture fixture;
   fixture.Step(LeavingChanged{true});
   fixture.Arrive(fixture.Online("r"));
-  CHECK(fixture.LastActions<Refuse>().at(0).error.kind == ErrorKind::kLeaving);
+  CHECK(fixture.LastActions<FailRequest>().at(0).error.kind == ErrorKind::kLeaving);
   fixture.Step(LeavingChanged{false});
   fixture.Arrive(fixture.Online("r"));
-  CHECK(fixture.LastActions<StartBackend>().empty());
-  CHECK(fixture.LastActions<Refuse>().at(0).error.ran == Ran::kNo);
+  CHECK(fixture.LastActions<StartStream>().empty());
+  CHECK(fixture.LastActions<FailRequest>().at(0).error.ran == Ran::kNo);
 }
 
 TEST_CASE("a second arrival of an id gets the request's state and starts nothing") {
   GateFixture fixture;
   fixture.Arrive(fixture.Online("r"));
-  CHECK(fixture.LastActions<StartBackend>().size() == 1);
+  CHECK(fixture.LastActions<StartStream>().size() == 1);
   fixture.Arrive(fixture.Online("r"));
   CHECK(fixture.last_actions.size() == 1);
-  CHECK(fixture.LastActions<Refuse>().at(0).arrival == 2);
-  CHECK(fixture.LastActions<Refuse>().at(0).error.ran == Ran::kYes);
+  CHECK(fixture.LastActions<FailRequest>().at(0).arrival == 2);
+  CHECK(fixture.LastActions<FailRequest>().at(0).error.ran == Ran::kYes);
   fixture.Step(Revoke{RequestId{"r"}, 1, fixture.now});
   CHECK(ValueOf(fixture.LastCommandState()) == RequestState::kRunning);
-  fixture.Step(BackendEnded{RequestId{"r"}});
-  CHECK(fixture.LastActions<Finish>().at(0).arrival == 1);
+  fixture.Step(StreamFinished{RequestId{"r"}});
+  CHECK(fixture.LastActions<CompleteRequest>().at(0).arrival == 1);
   fixture.Arrive(fixture.Online("r"));
-  CHECK(fixture.LastActions<Refuse>().at(0).error.ran == Ran::kYes);
+  CHECK(fixture.LastActions<FailRequest>().at(0).error.ran == Ran::kYes);
   fixture.Step(Revoke{RequestId{"r"}, 1, fixture.now});
   CHECK(ValueOf(fixture.LastCommandState()) == RequestState::kFinished);
 }
@@ -107,14 +107,14 @@
 // opens the same port, and a proxy delivers the dispatch. The successor can't know
 // what its predecessor ran.
 TEST_CASE("a dispatch or revoke for another incarnation is refused") {
-  GateConfig config;
+  SchedulerConfig config;
   config.incarnation = 7;
   GateFixture fixture(config);
   Dispatch dispatch = fixture.Online("r");
   dispatch.incarnation = 6;
   fixture.Arrive(dispatch);
-  CHECK(fixture.LastActions<Refuse>().at(0).error.kind == ErrorKind::kStaleOrders);
-  CHECK(fixture.LastActions<Refuse>().at(0).error.ran == Ran::kNo);
+  CHECK(fixture.LastActions<FailRequest>().at(0).error.kind == ErrorKind::kStaleOrders);
+  CHECK(fixture.LastActions<FailRequest>().at(0).error.ran == Ran::kNo);
   fixture.Step(Revoke{RequestId{"r"}, 6, fixture.now});
   CHECK_FALSE(IsOk(fixture.LastCommandState()));
 }
@@ -122,9 +122,8 @@
 TEST_CASE("a request to an unreachable backend server is reported as not run") {
   GateFixture fixture;
   fixture.Arrive(fixture.Online("r"));
-  fixture.Step(
-      BackendFailed{RequestId{"r"}, Error{ErrorKind::kBackendFailed, "refused", Ran::kNo}});
-  CHECK(fixture.LastActions<Refuse>().at(0).error.ran == Ran::kNo);
+  fixture.Step(StreamFailed{RequestId{"r"}, Error{ErrorKind::kBackendFailed, "refused", Ran::kNo}});
+  CHECK(fixture.LastActions<FailRequest>().at(0).error.ran == Ran::kNo);
   fixture.Step(Revoke{RequestId{"r"}, 1, fixture.now});
   CHECK(ValueOf(fixture.LastCommandState()) == RequestState::kNeverStarted);
 }
@@ -135,15 +134,14 @@
 TEST_CASE("a lost stream of a non-repeatable request ends as outcome unknown") {
   GateFixture fixture;
   fixture.Arrive(NonRepeatable(fixture.Online("r")));
-  fixture.Step(BackendTokens{RequestId{"r"}, 5});
-  fixture.Step(
-      BackendFailed{RequestId{"r"}, Error{ErrorKind::kBrokenAnswer, "eof", Ran::kUnknown}});
-  REQUIRE(fixture.LastActions<ResumeBackend>().size() == 1);
-  CHECK(fixture.LastActions<ResumeBackend>()[0].from == 5);
-  fixture.Step(BackendFailed{RequestId{"r"}, Error{ErrorKind::kNotFound, "no stream"}});
-  CHECK(fixture.LastActions<StartBackend>().empty());
-  CHECK(fixture.LastActions<Refuse>().at(0).error.kind == ErrorKind::kOutcomeUnknown);
-  CHECK(fixture.LastActions<Refuse>().at(0).error.ran == Ran::kUnknown);
+  fixture.Step(StreamTokens{RequestId{"r"}, 5});
+  fixture.Step(StreamFailed{RequestId{"r"}, Error{ErrorKind::kBrokenAnswer, "eof", Ran::kUnknown}});
+  REQUIRE(fixture.LastActions<ResumeStream>().size() == 1);
+  CHECK(fixture.LastActions<ResumeStream>()[0].from == 5);
+  fixture.Step(StreamFailed{RequestId{"r"}, Error{ErrorKind::kNotFound, "no stream"}});
+  CHECK(fixture.LastActions<StartStream>().empty());
+  CHECK(fixture.LastActions<FailRequest>().at(0).error.kind == ErrorKind::kOutcomeUnknown);
+  CHECK(fixture.LastActions<FailRequest>().at(0).error.ran == Ran::kUnknown);
 }
 
 // An item must neither run twice nor be abandoned although the engine has the answer:
@@ -155,22 +153,22 @@
   Dispatch dispatch = fixture.Batch("r");
   dispatch.repeatable = false;
   fixture.Arrive(dispatch);
-  fixture.Step(PeerGone{1});
+  fixture.Step(SenderDisconnected{1});
   CHECK(fixture.last_actions.empty());
   fixture.AdvanceTime(std::chrono::seconds(60));
   fixture.Step(Tick{});
-  CHECK(fixture.LastActions<CancelBackend>().empty());
+  CHECK(fixture.LastActions<StopStream>().empty());
   dispatch.resume_from = 0;
   dispatch.epoch = 2;
   SUBCASE("while it runs") {}
   SUBCASE("after its end") {
-    fixture.Step(BackendEnded{dispatch.request});
+    fixture.Step(StreamFinished{dispatch.request});
   }
   fixture.Arrive(dispatch);
-  REQUIRE(fixture.LastActions<ResumeBackend>().size() == 1);
-  CHECK(fixture.LastActions<ResumeBackend>()[0].adopted == 2);
-  fixture.Step(BackendEnded{dispatch.request});
-  CHECK(fixture.LastActions<Finish>().at(0).arrival == 2);
+  REQUIRE(fixture.LastActions<ResumeStream>().size() == 1);
+  CHECK(fixture.LastActions<ResumeStream>()[0].reattached_arrival == 2);
+  fixture.Step(StreamFinished{dispatch.request});
+  CHECK(fixture.LastActions<CompleteRequest>().at(0).arrival == 2);
   CHECK(fixture.gate.counts().batch_running == 0);
 }
 
@@ -178,39 +176,39 @@
 // a plain service ends after its sender died, and the successor that reattaches would
 // cause a second call. Only model engines keep streams that can be resumed.
 TEST_CASE("reattaching to a request never calls a plain service") {
-  GateConfig config;
+  SchedulerConfig config;
   config.token_streams = false;
   GateFixture fixture(config);
   Dispatch dispatch = NonRepeatable(fixture.Online("r"));
   fixture.Arrive(dispatch);
-  fixture.Step(PeerGone{1});
+  fixture.Step(SenderDisconnected{1});
   dispatch.resume_from = 0;
   fixture.Arrive(dispatch);
   CHECK(fixture.last_actions.empty());  // it still runs and will answer the second arrival
-  fixture.Step(BackendEnded{dispatch.request});
-  CHECK(fixture.LastActions<Finish>().at(0).arrival == 2);
+  fixture.Step(StreamFinished{dispatch.request});
+  CHECK(fixture.LastActions<CompleteRequest>().at(0).arrival == 2);
   fixture.Arrive(dispatch);
-  CHECK(fixture.LastActions<Refuse>().at(0).error.kind == ErrorKind::kNotFound);
-  CHECK(fixture.LastActions<Refuse>().at(0).error.ran == Ran::kYes);
+  CHECK(fixture.LastActions<FailRequest>().at(0).error.kind == ErrorKind::kNotFound);
+  CHECK(fixture.LastActions<FailRequest>().at(0).error.ran == Ran::kYes);
   dispatch.request.value = "never seen here";
   fixture.Arrive(dispatch);
-  CHECK(fixture.LastActions<Refuse>().at(0).error.ran == Ran::kUnknown);
-  CHECK(fixture.LastActions<ResumeBackend>().empty());
+  CHECK(fixture.LastActions<FailRequest>().at(0).error.ran == Ran::kUnknown);
+  CHECK(fixture.LastActions<ResumeStream>().empty());
 }
 
 TEST_CASE("a disconnected sender's online request is stopped, unless it has a key") {
   GateFixture fixture;
   fixture.Arrive(fixture.Online("plain"));
-  fixture.Step(PeerGone{1});
-  CHECK(fixture.LastActions<CancelBackend>().at(0).request.value == "plain");
+  fixture.Step(SenderDisconnected{1});
+  CHECK(fixture.LastActions<StopStream>().at(0).request.value == "plain");
   Dispatch keyed = fixture.Online("keyed");
   keyed.item.value = "key";
   fixture.Arrive(keyed);
-  fixture.Step(PeerGone{2});
+  fixture.Step(SenderDisconnected{2});
   CHECK(fixture.last_actions.empty());
   fixture.AdvanceTime(std::chrono::seconds(11));
   fixture.Step(Tick{});
-  CHECK(fixture.LastActions<CancelBackend>().at(0).request.value == "keyed");
+  CHECK(fixture.LastActions<StopStream>().at(0).request.value == "keyed");
 }
 
 // The items of a former owner must not use capacity of its successor's: the owner is
@@ -222,22 +220,22 @@
   REQUIRE(fixture.gate.counts().batch_queued == 2);
   SUBCASE("superseded") {
     fixture.Step(Supersede{JobId{"job"}, 2});
-    REQUIRE(fixture.LastActions<Refuse>().size() == 3);
-    CHECK(fixture.LastActions<Refuse>()[0].error.kind == ErrorKind::kFenced);
-    CHECK(fixture.LastActions<Refuse>()[0].error.ran == Ran::kYes);  // old-0 was running
-    CHECK(fixture.LastActions<Refuse>()[2].error.ran == Ran::kNo);
+    REQUIRE(fixture.LastActions<FailRequest>().size() == 3);
+    CHECK(fixture.LastActions<FailRequest>()[0].error.kind == ErrorKind::kFenced);
+    CHECK(fixture.LastActions<FailRequest>()[0].error.ran == Ran::kYes);  // old-0 was running
+    CHECK(fixture.LastActions<FailRequest>()[2].error.ran == Ran::kNo);
     fixture.Arrive(fixture.Batch("late", 1));
-    CHECK(fixture.LastActions<Refuse>().at(0).error.kind == ErrorKind::kFenced);
+    CHECK(fixture.LastActions<FailRequest>().at(0).error.kind == ErrorKind::kFenced);
   }
   SUBCASE("lost") {
-    fixture.Step(OwnerSilent{NodeId{"entry-2"}});
+    fixture.Step(OwnerLost{NodeId{"entry-2"}});
     CHECK(fixture.last_actions.empty());
-    fixture.Step(OwnerSilent{NodeId{"entry-1"}});
-    CHECK(fixture.LastActions<Refuse>().size() == 2);
-    CHECK(fixture.LastActions<Detach>().size() == 1);  // old-0 continues for a time
+    fixture.Step(OwnerLost{NodeId{"entry-1"}});
+    CHECK(fixture.LastActions<FailRequest>().size() == 2);
+    CHECK(fixture.LastActions<DetachSender>().size() == 1);  // old-0 continues for a time
     fixture.AdvanceTime(std::chrono::seconds(11));
     fixture.Step(Tick{});
-    CHECK(fixture.LastActions<CancelBackend>().size() == 1);
+    CHECK(fixture.LastActions<StopStream>().size() == 1);
   }
 }
 
@@ -247,10 +245,10 @@
   fixture.Arrive(fixture.Batch("batch-running"));
   fixture.Arrive(fixture.Batch("waiting"));
   fixture.Step(LeavingChanged{true});
-  REQUIRE(fixture.LastActions<Refuse>().size() >= 1);
-  CHECK(fixture.LastActions<Refuse>().back().request.value == "waiting");
-  CHECK(fixture.LastActions<Refuse>().back().error.ran == Ran::kNo);
+  REQUIRE(fixture.LastActions<FailRequest>().size() >= 1);
+  CHECK(fixture.LastActions<FailRequest>().back().request.value == "waiting");
+  CHECK(fixture.LastActions<FailRequest>().back().error.ran == Ran::kNo);
   CHECK(fixture.gate.counts().room == 0);
-  fixture.Step(BackendEnded{RequestId{"running"}});
-  CHECK(fixture.LastActions<Finish>().size() == 1);
+  fixture.Step(StreamFinished{RequestId{"running"}});
+  CHECK(fixture.LastActions<CompleteRequest>().size() == 1);
 }
--- a/test/gate-preemption-test.cc
+++ b/test/gate-preemption-test.cc
@@ -17,16 +17,16 @@
   fixture.StartBatchStreams(8);
   REQUIRE(fixture.gate.counts().batch_running == 8);
   for (int i = 0; i < 8; ++i) {
-    fixture.Step(BackendTokens{RequestId{"batch-" + std::to_string(i)}, i == 3 ? 1U : 50U});
+    fixture.Step(StreamTokens{RequestId{"batch-" + std::to_string(i)}, i == 3 ? 1U : 50U});
   }
   fixture.Arrive(fixture.Online("note"));
-  CHECK(fixture.LastActions<StartBackend>().size() == 1);
-  const auto stops = fixture.LastActions<CancelBackend>();
+  CHECK(fixture.LastActions<StartStream>().size() == 1);
+  const auto stops = fixture.LastActions<StopStream>();
   REQUIRE(stops.size() >= 1);
   CHECK(stops[0].request.value == "batch-3");
   CHECK(fixture.gate.counts().batch_running <= fixture.gate.counts().batch_limit);
   CHECK(fixture.gate.counts().batch_paused == static_cast<int>(stops.size()));
-  CHECK(std::holds_alternative<CancelBackend>(fixture.last_actions[0]));  // slots are freed first
+  CHECK(std::holds_alternative<StopStream>(fixture.last_actions[0]));  // slots are freed first
 }
 
 // A resumed batch item must not end without an answer: it is stopped for online and
@@ -35,19 +35,19 @@
 TEST_CASE("a stopped stream is resumed at its offset once the stop is confirmed") {
   GateFixture fixture;
   fixture.StartBatchStreams(8);
-  fixture.Step(BackendTokens{RequestId{"batch-0"}, 7});
+  fixture.Step(StreamTokens{RequestId{"batch-0"}, 7});
   fixture.Arrive(fixture.Online("note"));
-  const auto stops = fixture.LastActions<CancelBackend>();
-  fixture.Step(BackendEnded{RequestId{"note"}});
-  CHECK(fixture.LastActions<ResumeBackend>().empty());
+  const auto stops = fixture.LastActions<StopStream>();
+  fixture.Step(StreamFinished{RequestId{"note"}});
+  CHECK(fixture.LastActions<ResumeStream>().empty());
   std::set<std::string> resumed;
-  for (const CancelBackend& stop : stops) {
-    fixture.Step(BackendStopped{stop.request});
-    for (const ResumeBackend& resume : fixture.LastActions<ResumeBackend>()) {
+  for (const StopStream& stop : stops) {
+    fixture.Step(StreamStopped{stop.request});
+    for (const ResumeStream& resume : fixture.LastActions<ResumeStream>()) {
       resumed.insert(resume.request.value);
       CHECK(resume.from == (resume.request.value == "batch-0" ? 8 : 1));
       fixture.AdvanceTime(Duration(20'000));
-      fixture.Step(BackendTokens{resume.request});
+      fixture.Step(StreamTokens{resume.request});
     }
   }
   CHECK(resumed.size() == stops.size());
@@ -57,13 +57,13 @@
   GateFixture fixture;
   fixture.StartBatchStreams(8);
   fixture.Arrive(fixture.Online("note"));
-  const CancelBackend stop = fixture.LastActions<CancelBackend>().at(0);
-  fixture.Step(BackendEnded{RequestId{"note"}});
-  fixture.Step(BackendStopped{stop.request});
-  REQUIRE(fixture.LastActions<ResumeBackend>().size() == 1);
-  fixture.Step(BackendFailed{stop.request, Error{ErrorKind::kNotFound, "no stream"}});
-  REQUIRE(fixture.LastActions<StartBackend>().size() == 1);
-  CHECK(fixture.LastActions<StartBackend>()[0].rerun);
+  const StopStream stop = fixture.LastActions<StopStream>().at(0);
+  fixture.Step(StreamFinished{RequestId{"note"}});
+  fixture.Step(StreamStopped{stop.request});
+  REQUIRE(fixture.LastActions<ResumeStream>().size() == 1);
+  fixture.Step(StreamFailed{stop.request, Error{ErrorKind::kNotFound, "no stream"}});
+  REQUIRE(fixture.LastActions<StartStream>().size() == 1);
+  CHECK(fixture.LastActions<StartStream>()[0].rerun);
 }
 
 TEST_CASE("non-repeatable batch items are never stopped and hold few slots") {
@@ -72,30 +72,30 @@
     Dispatch dispatch = fixture.Batch("once-" + std::to_string(i));
     dispatch.repeatable = false;
     fixture.Arrive(dispatch);
-    for (const StartBackend& start : fixture.LastActions<StartBackend>())
-      fixture.Step(BackendTokens{start.request});
+    for (const StartStream& start : fixture.LastActions<StartStream>())
+      fixture.Step(StreamTokens{start.request});
   }
   const int running = fixture.gate.counts().batch_running;
   CHECK(running == 2);
   fixture.Arrive(fixture.Online("note"));
-  CHECK(fixture.LastActions<CancelBackend>().empty());
-  CHECK(fixture.LastActions<StartBackend>().size() == 1);
+  CHECK(fixture.LastActions<StopStream>().empty());
+  CHECK(fixture.LastActions<StartStream>().size() == 1);
 }
 
 // The online p95 token gap must not grow with a small batch load: while online runs,
 // each prefill of a batch prompt lengthens a step. Batch starts must be spaced out.
 TEST_CASE("while online runs batch prompts are prefilled one at a time and far apart") {
-  GateConfig config;
-  config.batch_harm = 10;  // the limit allows many
+  SchedulerConfig config;
+  config.max_batch_slowdown = 10;  // the limit allows many
   GateFixture fixture(config);
   fixture.Arrive(fixture.Online("note"));
-  fixture.Step(BackendTokens{RequestId{"note"}});
+  fixture.Step(StreamTokens{RequestId{"note"}});
   int starts = 0;
   for (int i = 0; i < 20; ++i) {
     fixture.Arrive(fixture.Batch("batch-" + std::to_string(i)));
-    for (const StartBackend& start : fixture.LastActions<StartBackend>()) {
+    for (const StartStream& start : fixture.LastActions<StartStream>()) {
       ++starts;
-      fixture.Step(BackendTokens{start.request});
+      fixture.Step(StreamTokens{start.request});
     }
     fixture.AdvanceTime(Duration(10'000));
   }
@@ -103,13 +103,13 @@
 }
 
 TEST_CASE("online requests that can't be answered in time are refused at once, with a retry time") {
-  GateConfig config;
+  SchedulerConfig config;
   config.max_running = 2;
   GateFixture fixture(config);
   int refused = 0;
   for (int i = 0; i < 50; ++i) {
     fixture.Arrive(fixture.Online("note-" + std::to_string(i)));
-    for (const Refuse& refuse : fixture.LastActions<Refuse>()) {
+    for (const FailRequest& refuse : fixture.LastActions<FailRequest>()) {
       ++refused;
       CHECK(refuse.error.kind == ErrorKind::kOverloaded);
       CHECK(refuse.error.ran == Ran::kNo);
--- a/test/gate-schedule-test.cc
+++ b/test/gate-schedule-test.cc
@@ -15,11 +15,11 @@
 
 namespace {
 
-GateConfig SmallConfig() {
-  GateConfig config;
+SchedulerConfig SmallConfig() {
+  SchedulerConfig config;
   config.max_records = 30;  // so that records are evicted within a run
   config.max_running = 12;
-  config.ready_batch = 8;
+  config.batch_queue_target = 8;
   return config;
 }
 
@@ -52,7 +52,7 @@
     const int choice = RandomBelow(100);
     if (choice < 22) return ArriveNew();
     if (choice < 27 && !sent_.empty()) return ArriveCopy();
-    if (choice < 70 && !running_.empty()) return Process(BackendTokens{RandomOf(running_)});
+    if (choice < 70 && !running_.empty()) return Process(StreamTokens{RandomOf(running_)});
     if (choice < 80 && !running_.empty()) return EndOne();
     if (choice < 84 && !running_.empty()) return FailOne();
     if (choice < 90 && !stopping_.empty()) return ConfirmStop();
@@ -60,7 +60,7 @@
     if (choice < 94) return DisconnectSender();
     if (choice < 95) return Process(Supersede{JobId{"job"}, epoch_ += RandomBelow(2)});
     if (choice < 96) return Process(LeavingChanged{RandomBelow(3) == 0});
-    if (choice < 97 && RandomBelow(4) == 0) return Process(OwnerSilent{NodeId{"entry-1"}});
+    if (choice < 97 && RandomBelow(4) == 0) return Process(OwnerLost{NodeId{"entry-1"}});
     if (choice < 98)
       return Process(LoadReported{{6, static_cast<std::uint32_t>(RandomBelow(3)), 0.5}});
     Process(Tick{});
@@ -83,16 +83,16 @@
     Arrive(dispatch);
   }
   void Arrive(const Dispatch& dispatch) {
-    const GateCounts before = fixture_.gate.counts();
+    const SchedulerStats before = fixture_.gate.counts();
     open_arrivals_.insert(fixture_.arrivals + 1);
-    Process(Arrived{++fixture_.arrivals, dispatch});
-    if (dispatch.work_class != WorkClass::kOnline || !fixture_.LastActions<Refuse>().empty())
+    Process(DispatchArrived{++fixture_.arrivals, dispatch});
+    if (dispatch.work_class != WorkClass::kOnline || !fixture_.LastActions<FailRequest>().empty())
       return;
     // Online never waits for batch: with a free slot it starts in this step, and
     // batch is reduced to its limit.
     if (before.online_queued > 0 || before.online_running >= before.online_limit) return;
     CHECK(fixture_.gate.counts().online_queued == 0);
-    const GateCounts after = fixture_.gate.counts();
+    const SchedulerStats after = fixture_.gate.counts();
     const auto unstoppable = std::count_if(running_.begin(), running_.end(), [&](const auto& id) {
       return !records_[id].repeatable && id != dispatch.request;
     });
@@ -101,32 +101,32 @@
   void EndOne() {
     const RequestId request = RandomOf(running_);
     running_.erase(request);
-    Process(BackendEnded{request});
+    Process(StreamFinished{request});
   }
   void FailOne() {
     const RequestId request = RandomOf(running_);
     running_.erase(request);
     switch (RandomBelow(3)) {
       case 0:
-        return Process(BackendFailed{request, {ErrorKind::kBrokenAnswer, "eof", Ran::kUnknown}});
+        return Process(StreamFailed{request, {ErrorKind::kBrokenAnswer, "eof", Ran::kUnknown}});
       case 1:
-        return Process(BackendFailed{request, {ErrorKind::kBackendFailed, "500", Ran::kYes}});
+        return Process(StreamFailed{request, {ErrorKind::kBackendFailed, "500", Ran::kYes}});
       default:
         break;
     }
     if (resumed_.contains(request)) {
-      return Process(BackendFailed{request, {ErrorKind::kNotFound, "no stream", Ran::kUnknown}});
+      return Process(StreamFailed{request, {ErrorKind::kNotFound, "no stream", Ran::kUnknown}});
     }
     if (records_[request].starts != 1 || with_tokens_.contains(request)) {
-      return Process(BackendFailed{request, {ErrorKind::kBackendFailed, "reset", Ran::kUnknown}});
+      return Process(StreamFailed{request, {ErrorKind::kBackendFailed, "reset", Ran::kUnknown}});
     }
     --records_[request].starts;  // the connection was refused, so nothing started
-    Process(BackendFailed{request, {ErrorKind::kBackendFailed, "refused", Ran::kNo}});
+    Process(StreamFailed{request, {ErrorKind::kBackendFailed, "refused", Ran::kNo}});
   }
   void ConfirmStop() {
     const RequestId request = stopping_.begin()->first;
     stopping_.erase(request);
-    Process(BackendStopped{request});
+    Process(StreamStopped{request});
   }
   void RevokeOrCancel() {
     const Dispatch& dispatch =
@@ -136,23 +136,23 @@
   }
   void DisconnectSender() {
     if (open_arrivals_.empty()) return;
-    const Arrival arrival =
+    const ArrivalId arrival =
         *std::next(open_arrivals_.begin(), RandomBelow(static_cast<int>(open_arrivals_.size())));
     open_arrivals_.erase(arrival);
-    Process(PeerGone{arrival});
+    Process(SenderDisconnected{arrival});
   }
 
-  void Process(const GateEvent& event) {
-    if (const auto* tokens = std::get_if<BackendTokens>(&event))
+  void Process(const SchedulerEvent& event) {
+    if (const auto* tokens = std::get_if<StreamTokens>(&event))
       with_tokens_.insert(tokens->request);
     fixture_.Step(event);
-    for (const GateAction& action : fixture_.last_actions)
+    for (const SchedulerAction& action : fixture_.last_actions)
       std::visit([this](const auto& a) { On(a); }, action);
-    const GateCounts counts = fixture_.gate.counts();
+    const SchedulerStats counts = fixture_.gate.counts();
     CHECK(counts.online_running + counts.batch_running == static_cast<int>(running_.size()));
   }
 
-  void On(const StartBackend& start) {
+  void On(const StartStream& start) {
     RequestRecord& record = records_[start.request];
     ++record.starts;
     CHECK((record.repeatable || record.starts == 1));
@@ -160,26 +160,26 @@
     CHECK(running_.insert(start.request).second);
     resumed_.erase(start.request);
   }
-  void On(const ResumeBackend& resume) {
+  void On(const ResumeStream& resume) {
     running_.insert(resume.request);  // a reattached one may run already
     resumed_.insert(resume.request);
   }
-  void On(const CancelBackend& cancel) {
+  void On(const StopStream& cancel) {
     CHECK(running_.erase(cancel.request) == 1);
     stopping_[cancel.request] = fixture_.now;
   }
-  void On(const Refuse& refuse) {
+  void On(const FailRequest& refuse) {
     if (refuse.arrival != 0) CHECK(open_arrivals_.erase(refuse.arrival) == 1);
     if (refuse.error.ran == Ran::kNo) records_[refuse.request].reported_not_run = true;
   }
-  void On(const Finish& finish) {
+  void On(const CompleteRequest& finish) {
     if (finish.arrival != 0) CHECK(open_arrivals_.erase(finish.arrival) == 1);
   }
-  void On(const Detach& detach) {
+  void On(const DetachSender& detach) {
     CHECK(open_arrivals_.erase(detach.arrival) == 1);
     CHECK(detach.error.ran != Ran::kNo);
   }
-  void On(const OrderAnswer& answer) {
+  void On(const CommandReply& answer) {
     if (!IsOk(answer.state)) return;
     const RequestRecord& record = records_[answer.request];
     const RequestState state = ValueOf(answer.state);
@@ -200,7 +200,7 @@
          ++i) {
       fixture_.AdvanceTime(Duration(30'000));
       if (!stopping_.empty()) ConfirmStop();
-      if (!running_.empty()) Process(BackendTokens{RandomOf(running_)});
+      if (!running_.empty()) Process(StreamTokens{RandomOf(running_)});
       if (!running_.empty()) EndOne();
       Process(Tick{});
     }
@@ -221,7 +221,7 @@
   std::map<RequestId, RequestRecord> records_;
   std::set<RequestId> running_, resumed_, with_tokens_;
   std::map<RequestId, Time> stopping_;
-  std::set<Arrival> open_arrivals_;
+  std::set<ArrivalId> open_arrivals_;
 };
 
 }  // namespace
