--- a/bench/admission_bench.cc
+++ b/bench/admission_bench.cc
@@ -14,13 +14,13 @@
 
 #include "bench/admission_rules.h"
 #include "gate/online_queue.h"
-#include "gate/service_estimate.h"
+#include "gate/service_time_estimate.h"
 
 namespace figmill::bench {
 namespace {
 
 using detail::PredictedWait;
-using detail::ServiceEstimate;
+using detail::ServiceTimeEstimate;
 
 // --- The engine --------------------------------------------------------------------
 
@@ -223,7 +223,7 @@
   double capacity_;
   std::mt19937 random_;
   EngineCosts costs_;
-  ServiceEstimate estimate_;
+  ServiceTimeEstimate estimate_;
   Time now_{}, next_arrival_{}, window_start_{}, unsettled_{};
   std::deque<Request> queue_, entering_;
   std::vector<Request> running_;
--- a/bench/admission_rules.h
+++ b/bench/admission_rules.h
@@ -8,11 +8,11 @@
 
 #include "figmill/base.h"
 #include "gate/admission_limit.h"
-#include "gate/step_model.h"
+#include "gate/token_gap_model.h"
 
 namespace figmill::bench {
 
-using detail::StepModel;
+using detail::TokenGapModel;
 
 constexpr Duration kTargetGap{61'000};
 
@@ -90,7 +90,7 @@
 };
 // The line fitted to gaps without prompts, solved for the target.
 struct FittedLine {
-  StepModel model;
+  TokenGapModel model;
   double value = 32;
   [[nodiscard]] double limit() const { return value; }
   void On(const Window&) {
--- a/include/figmill/placement.h
+++ b/include/figmill/placement.h
@@ -1,14 +1,14 @@
 #pragma once
 
 // Brings an engine to the placement that the control log specifies, by fenced
-// orders. One Placer, in the agent next to the engine, is the only sender of orders
+// orders. One PlacementReconciler, in the agent next to the engine, is the only sender of orders
 // to it. No I/O.
 //
 // Two of them may still overlap when an agent resumes from a pause after its
 // successor has started. Engines that check fencing refuse the older one's orders,
 // as the fence is the sequence of the desired placement and only rises. For other
 // engines, each agent reads anew before each order that it owns the engine, and that
-// reading expires after `right_term`. A successor sends its first order only after
+// reading expires after `ownership_validity`. A successor sends its first order only after
 // its predecessor's last reading has expired and its last order has ended. The
 // engine's state is read back after each order and periodically, so that an order
 // that took effect late is undone.
@@ -25,13 +25,13 @@
 
 namespace figmill {
 
-struct PlacerSettings {
-  Duration right_term{4'000'000};       // validity of an ownership reading
-  Duration longest_order{600'000'000};  // an order takes no effect after this time
-  Duration order_check{5'000'000};      // between state reads while an order is in flight
-  Duration read_period{30'000'000};     // between state reads of an idle engine
-  Duration first_retry{1'000'000};      // doubles with each consecutive failure
-  Duration last_retry{60'000'000};
+struct ReconcilerSettings {
+  Duration ownership_validity{4'000'000};  // validity of an ownership reading
+  Duration max_order_time{600'000'000};    // an order takes no effect after this time
+  Duration order_poll_period{5'000'000};   // between state reads while an order is in flight
+  Duration state_poll_period{30'000'000};  // between state reads of an idle engine
+  Duration min_backoff{1'000'000};         // doubles with each consecutive failure
+  Duration max_backoff{60'000'000};
   std::uint64_t weight_bytes = 16ULL << 30U;  // reserved for one load
 };
 
@@ -48,12 +48,12 @@
   bool checks_fencing = true;
 };
 
-// Events. Each action except EndDrain and PlacementTrouble is answered by one. After
+// Events. Each action except EndDrain and ReportPlacementError is answered by one. After
 // EndDrain no EngineDrained follows for the drain that it ends.
-struct RightRead {
-  bool mine = false;  // false: a later incarnation of this agent owns the engine
+struct OwnershipRead {
+  bool owned = false;  // false: a later incarnation of this agent owns the engine
 };
-struct RightUnread {
+struct OwnershipReadFailed {
   Error error;
 };
 struct EngineStateRead {
@@ -74,13 +74,13 @@
   Error error;  // `ran` says whether the order may still take effect
 };
 // To be passed at least every second.
-struct PlacerTick {};
-using PlacerEvent =
-    std::variant<DesiredPlacement, RightRead, RightUnread, EngineStateRead, WeightsGranted,
-                 WeightsRefused, EngineDrained, OrderDone, OrderFailed, PlacerTick>;
+struct ReconcilerTick {};
+using ReconcilerEvent = std::variant<DesiredPlacement, OwnershipRead, OwnershipReadFailed,
+                                     EngineStateRead, WeightsGranted, WeightsRefused, EngineDrained,
+                                     OrderDone, OrderFailed, ReconcilerTick>;
 
 // Actions.
-struct ReadRight {};
+struct ReadOwnership {};
 struct ReadEngineState {};
 struct ReserveWeights {
   std::string object;  // "name@version"
@@ -96,24 +96,24 @@
   Time not_after;
 };
 // For logs and metrics only.
-struct PlacementTrouble {
+struct ReportPlacementError {
   Error error;
 };
-using PlacerAction = std::variant<ReadRight, ReadEngineState, ReserveWeights, BeginDrain, EndDrain,
-                                  SendOrder, PlacementTrouble>;
+using ReconcilerAction = std::variant<ReadOwnership, ReadEngineState, ReserveWeights, BeginDrain,
+                                      EndDrain, SendOrder, ReportPlacementError>;
 
 // The orders that bring an engine from `state` to the desired placement, in the
 // sequence in which they must run: unloads before loads.
-[[nodiscard]] std::vector<EngineOrder> OrdersFor(const DesiredPlacement& desired,
-                                                 const EngineState& state);
+[[nodiscard]] std::vector<EngineOrder> PlanOrders(const DesiredPlacement& desired,
+                                                  const EngineState& state);
 
 // Whether the engine's state reflects the order.
-[[nodiscard]] bool Shows(const EngineState& state, const EngineOrder& order);
+[[nodiscard]] bool IsApplied(const EngineState& state, const EngineOrder& order);
 
-class Placer {
+class PlacementReconciler {
  public:
-  explicit Placer(PlacerSettings settings) : settings_(settings) {}
-  [[nodiscard]] std::vector<PlacerAction> On(Time now, const PlacerEvent& event);
+  explicit PlacementReconciler(ReconcilerSettings settings) : settings_(settings) {}
+  [[nodiscard]] std::vector<ReconcilerAction> Step(Time now, const ReconcilerEvent& event);
   // The engine's state as last read matches the desired placement.
   [[nodiscard]] bool settled() const { return settled_; }
   [[nodiscard]] bool draining() const { return draining_; }
@@ -122,7 +122,7 @@
   enum class PendingReply : std::uint8_t { kNothing, kState, kWeights, kDrain, kOwnership, kOrder };
 
   void OnDesired(Time now, const DesiredPlacement& desired);
-  void OnOwnership(Time now, bool mine);
+  void OnOwnership(Time now, bool owned);
   void OnFreshState(Time now, const Result<EngineState>& state);
   void OnStateReply(Time now, const Result<EngineState>& state);
   void OnOrderDone(Time now);
@@ -143,7 +143,7 @@
   void Retry(Time now, const Error& error);
   void EndDrainIfSafe(Time now);
 
-  PlacerSettings settings_;
+  ReconcilerSettings settings_;
   std::optional<DesiredPlacement> desired_;
   std::optional<EngineState> state_;  // as last read, until an order is sent
   Time state_read_at_;
@@ -166,7 +166,7 @@
   int failures_ = 0;
   std::string reserving_weights_;
   std::map<std::string, Time> weights_ready_at_;  // object -> when its load may start
-  std::vector<PlacerAction> actions_;             // collected for the current event
+  std::vector<ReconcilerAction> actions_;         // collected for the current event
 };
 
 }  // namespace figmill
--- a/src/figmilld/agent/agent.cc
+++ b/src/figmilld/agent/agent.cc
@@ -32,7 +32,7 @@
                     daemon_.self().node, daemon_.self().incarnation,
                     [this](std::function<void()> drained) { BeginPlacing(std::move(drained)); },
                     [this] { EndPlacing(); }},
-                   PlacerSettings{}) {
+                   ReconcilerSettings{}) {
     RpcServer& rpc = daemon_.rpc();
     BindAgentOrders(rpc, gate_);
     rpc.Bind("status", [this](std::string_view) -> Result<std::string> { return Status(); });
--- a/src/figmilld/agent/placement_shell.cc
+++ b/src/figmilld/agent/placement_shell.cc
@@ -50,23 +50,23 @@
                           .checks_fencing = backend->second.checks_fencing};
 }
 
-PlacementShell::PlacementShell(PlacementParts parts, PlacerSettings settings)
+PlacementShell::PlacementShell(PlacementParts parts, ReconcilerSettings settings)
     : parts_(std::move(parts)), placer_(settings) {
-  ticks_ = parts_.loop.Every(kTick, [this] { Say(PlacerTick{}); });
+  ticks_ = parts_.loop.Every(kTick, [this] { Say(ReconcilerTick{}); });
 }
 
 void PlacementShell::OnFold(const Fold& fold) {
   if (const auto desired = DesiredFor(fold, parts_.self)) Say(*desired);
 }
 
-void PlacementShell::Say(const PlacerEvent& event) {
-  for (const PlacerAction& action : placer_.On(Loop::Now(), event)) Carry(action);
+void PlacementShell::Say(const ReconcilerEvent& event) {
+  for (const ReconcilerAction& action : placer_.Step(Loop::Now(), event)) Carry(action);
 }
 
-void PlacementShell::Carry(const PlacerAction& action) {
+void PlacementShell::Carry(const ReconcilerAction& action) {
   std::visit(
       Overloaded{
-          [&](const ReadRight&) { ReadRightRow(); },
+          [&](const ReadOwnership&) { ReadRightRow(); },
           [&](const ReadEngineState&) {
             parts_.engine.State(
                 [this](Result<EngineState> state) { Say(EngineStateRead{std::move(state)}); });
@@ -83,7 +83,7 @@
             parts_.end_drain();
           },
           [&](const SendOrder& send) { Send(send); },
-          [&](const PlacementTrouble& trouble) {
+          [&](const ReportPlacementError& trouble) {
             Log(LogLevel::kWarning, "placement_trouble",
                 {{"kind", std::string(RowOf(trouble.error.kind).name)},
                  {"detail", trouble.error.detail}});
@@ -100,11 +100,11 @@
 }
 
 void PlacementShell::OnRightRow(const Result<std::optional<Row>>& row) {
-  if (!IsOk(row)) return Say(RightUnread{ErrorOf(row)});
+  if (!IsOk(row)) return Say(OwnershipReadFailed{ErrorOf(row)});
   const std::optional<Row>& found = ValueOf(row);
   const Incarnation holder = found ? IncarnationOf(*found) : 0;
-  if (holder == parts_.incarnation) return Say(RightRead{true});
-  if (holder > parts_.incarnation) return Say(RightRead{false});
+  if (holder == parts_.incarnation) return Say(OwnershipRead{true});
+  if (holder > parts_.incarnation) return Say(OwnershipRead{false});
   ClaimRight(found ? found->version : 0);
 }
 
@@ -117,9 +117,9 @@
   parts_.table.Commit({{{key, version}}, {PutRow{key, value.dump()}}},
                       [this](const TransactionOutcome& outcome) {
                         if (std::holds_alternative<Committed>(outcome)) {
-                          return Say(RightRead{true});
+                          return Say(OwnershipRead{true});
                         }
-                        Say(RightUnread{Unread("not claimed yet")});
+                        Say(OwnershipReadFailed{Unread("not claimed yet")});
                       });
 }
 
--- a/src/figmilld/agent/placement_shell.h
+++ b/src/figmilld/agent/placement_shell.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Carries out what the Placer decides for the engine beside this agent.
+// Carries out what the PlacementReconciler decides for the engine beside this agent.
 
 #include <functional>
 
@@ -27,15 +27,15 @@
 
 class PlacementShell {
  public:
-  PlacementShell(PlacementParts parts, PlacerSettings settings);
+  PlacementShell(PlacementParts parts, ReconcilerSettings settings);
 
   // Whenever the fold moved.
   void OnFold(const Fold& fold);
   [[nodiscard]] bool settled() const { return placer_.settled(); }
 
  private:
-  void Say(const PlacerEvent& event);
-  void Carry(const PlacerAction& action);
+  void Say(const ReconcilerEvent& event);
+  void Carry(const ReconcilerAction& action);
   void ReadRightRow();
   void OnRightRow(const Result<std::optional<Row>>& row);
   void ClaimRight(RowVersion version);
@@ -43,7 +43,7 @@
   void Send(const SendOrder& send);
 
   PlacementParts parts_;
-  Placer placer_;
+  PlacementReconciler placer_;
   std::uint64_t drain_ = 0;  // counts drains, so that a late end of one is told apart
   Timer ticks_;
 };
--- a/src/gate/admission_limit.h
+++ b/src/gate/admission_limit.h
@@ -8,7 +8,7 @@
 // bench/admission_bench.cc; docs/design/gate.md has the table.
 
 #include "figmill/base.h"
-#include "gate/step_model.h"
+#include "gate/token_gap_model.h"
 
 namespace figmill::detail {
 
@@ -23,7 +23,7 @@
  private:
   Duration target_gap_;
   int max_running_;
-  StepModel model_;
+  TokenGapModel model_;
   double excess_p95_us_ = 0;
   double peak_running_ = 0;  // decaying maximum of the running count
 };
--- a/src/gate/gate.cc
+++ b/src/gate/backend_scheduler.cc
@@ -1,9 +1,8 @@
-#include "figmill/gate.h"
-
 #include <algorithm>
 #include <utility>
 
-#include "gate/gate_impl.h"
+#include "figmill/gate.h"
+#include "gate/backend_scheduler_impl.h"
 
 namespace figmill {
 namespace {
--- a/src/gate/gate_impl.h
+++ b/src/gate/backend_scheduler_impl.h
@@ -13,8 +13,8 @@
 #include "gate/dispatch_table.h"
 #include "gate/engine_capacity.h"
 #include "gate/online_queue.h"
-#include "gate/service_estimate.h"
-#include "gate/step_model.h"
+#include "gate/service_time_estimate.h"
+#include "gate/token_gap_model.h"
 
 namespace figmill {
 
@@ -62,7 +62,7 @@
   void On(const LoadReported& event);
   void On(const Tick& event);
 
-  // Arriving dispatches (gate_arrivals.cc).
+  // Arriving dispatches (scheduler_arrivals.cc).
   [[nodiscard]] std::optional<Error> CheckDispatch(const Dispatch& dispatch);
   [[nodiscard]] std::optional<Error> CheckDuplicate(const Dispatch& dispatch) const;
   [[nodiscard]] std::optional<Error> CheckAnswerKept(Ran ran) const;
@@ -70,7 +70,7 @@
   void Reattach(ArrivalId arrival, const Dispatch& dispatch);
   void Enqueue(ArrivalId arrival, const Dispatch& dispatch);
 
-  // Scheduling (gate_schedule.cc).
+  // Scheduling (scheduler_dispatch.cc).
   void Schedule();
   void PreemptBatch();
   void StartOnline();
@@ -83,7 +83,8 @@
   [[nodiscard]] Duration ExpectedService(const Dispatch& dispatch) const;
   [[nodiscard]] Duration ExpectedWait() const;
 
-  // Backend events and the end of requests (gate_ends.cc); commands (gate_orders.cc).
+  // Backend events and the end of requests (scheduler_completions.cc); commands
+  // (scheduler_commands.cc).
   void End(const RequestId& request, std::optional<Error> error);
   void Stop(const RequestId& request, Error error);
   void Resume(Stream& stream, ArrivalId reattached_arrival);
@@ -110,11 +111,11 @@
 
   SchedulerConfig config_;
   detail::DispatchTable table_;
-  detail::StepModel token_gap_model_;
+  detail::TokenGapModel token_gap_model_;
   detail::AdmissionLimit online_limit_;
   detail::EngineCapacity capacity_;
   detail::BatchLimitPolicy batch_limit_policy_;
-  detail::ServiceEstimate service_estimate_;
+  detail::ServiceTimeEstimate service_estimate_;
   detail::OnlineQueue online_queue_;
   detail::BatchQueue batch_queue_;
   Streams streams_;
--- a/src/gate/batch_limit_policy.cc
+++ b/src/gate/batch_limit_policy.cc
@@ -29,7 +29,7 @@
   return reported_at_ && now - *reported_at_ <= kMaxReportAge && load_.kv_used >= kMemoryShortShare;
 }
 
-int BatchLimitPolicy::Limit(const StepModel& model, int online, int slots, Time now) const {
+int BatchLimitPolicy::Limit(const TokenGapModel& model, int online, int slots, Time now) const {
   const double within_target =
       model.RunningAt(static_cast<double>(config_.target_gap.count())) - online;
   double limit = std::min<double>(within_target, slots - online);
@@ -53,7 +53,7 @@
   }
 }
 
-int BatchLimitPolicy::AllowedStarts(const StepModel& model, const RunningStreams& load,
+int BatchLimitPolicy::AllowedStarts(const TokenGapModel& model, const RunningStreams& load,
                                     int free_slots, Time now) const {
   if (IsMemoryShort(now)) return 0;
   if (!config_.has_prefill) return free_slots;
--- a/src/gate/batch_limit_policy.h
+++ b/src/gate/batch_limit_policy.h
@@ -10,7 +10,7 @@
 
 #include "figmill/control.h"
 #include "figmill/platform.h"
-#include "gate/step_model.h"
+#include "gate/token_gap_model.h"
 
 namespace figmill::detail {
 
@@ -33,13 +33,13 @@
   void Report(const EngineLoad& load, Time now);
   // Batch streams that may run while `online` online streams run or wait, on an
   // engine with `slots` slots.
-  [[nodiscard]] int Limit(const StepModel& model, int online, int slots, Time now) const;
+  [[nodiscard]] int Limit(const TokenGapModel& model, int online, int slots, Time now) const;
 
   // --- Rate of starts: a prefill lengthens the token gap of every running stream.
   void AddFirstToken(Duration wait, Duration gap);
   void BatchStarted(Time now) { last_start_ = now; }
   // How many batch streams may start now, when `free_slots` are left up to the limit.
-  [[nodiscard]] int AllowedStarts(const StepModel& model, const RunningStreams& load,
+  [[nodiscard]] int AllowedStarts(const TokenGapModel& model, const RunningStreams& load,
                                   int free_slots, Time now) const;
 
  private:
--- a/src/gate/gate_orders.cc
+++ b/src/gate/scheduler_commands.cc
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-#include "gate/gate_impl.h"
+#include "gate/backend_scheduler_impl.h"
 
 namespace figmill {
 
--- a/src/gate/service_estimate.h
+++ b/src/gate/service_time_estimate.h
@@ -9,7 +9,7 @@
 
 namespace figmill::detail {
 
-class ServiceEstimate {
+class ServiceTimeEstimate {
  public:
   void AddFirstToken(Duration wait) { Blend(first_token_us_, wait.count()); }
   // `max_tokens` is the request's limit on answer tokens, 0 when unknown.
--- a/src/gate/step_model.cc
+++ b/src/gate/token_gap_model.cc
@@ -1,4 +1,4 @@
-#include "gate/step_model.h"
+#include "gate/token_gap_model.h"
 
 #include <algorithm>
 
@@ -15,9 +15,9 @@
 
 }  // namespace
 
-StepModel::StepModel() : base_(kInitialBaseUs), slope_(kInitialSlopeUs) {}
+TokenGapModel::TokenGapModel() : base_(kInitialBaseUs), slope_(kInitialSlopeUs) {}
 
-void StepModel::Add(double running, Duration gap) {
+void TokenGapModel::Add(double running, Duration gap) {
   const auto us = static_cast<double>(gap.count());
   weight_ = weight_ * kDecay + 1;
   x_ = x_ * kDecay + running;
@@ -27,7 +27,7 @@
   Fit();
 }
 
-void StepModel::Fit() {
+void TokenGapModel::Fit() {
   const double mean_x = x_ / weight_;
   const double mean_y = y_ / weight_;
   const double variance = xx_ / weight_ - mean_x * mean_x;
--- a/src/gate/step_model.h
+++ b/src/gate/token_gap_model.h
@@ -9,9 +9,9 @@
 
 namespace figmill::detail {
 
-class StepModel {
+class TokenGapModel {
  public:
-  StepModel();
+  TokenGapModel();
   // Adds a gap measured while `running` streams ran and none was in prefill.
   void Add(double running, Duration gap);
   [[nodiscard]] double Predict(double running) const { return base_ + slope_ * running; }
--- a/src/placement/placement_reconciler.cc
+++ b/src/placement/placement_reconciler.cc
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-std::vector<PlacerAction> Placer::On(Time now, const PlacerEvent& event) {
+std::vector<ReconcilerAction> PlacementReconciler::Step(Time now, const ReconcilerEvent& event) {
   actions_.clear();
   // A reply that isn't awaited belongs to an abandoned action and is ignored.
   const auto answered = [&](PendingReply what) {
@@ -33,10 +33,10 @@
   };
   std::visit(Overloaded{
                  [&](const DesiredPlacement& desired) { OnDesired(now, desired); },
-                 [&](const RightRead& right) {
-                   if (answered(PendingReply::kOwnership)) OnOwnership(now, right.mine);
+                 [&](const OwnershipRead& right) {
+                   if (answered(PendingReply::kOwnership)) OnOwnership(now, right.owned);
                  },
-                 [&](const RightUnread& unread) {
+                 [&](const OwnershipReadFailed& unread) {
                    if (answered(PendingReply::kOwnership)) Retry(now, unread.error);
                  },
                  [&](const EngineStateRead& read) { OnStateReply(now, read.state); },
@@ -61,14 +61,14 @@
                    if (failed.number != order_number_ || !answered(PendingReply::kOrder)) return;
                    OnOrderFailed(now, failed.error);
                  },
-                 [&](const PlacerTick&) { OnTick(now); },
+                 [&](const ReconcilerTick&) { OnTick(now); },
              },
              event);
   return std::exchange(actions_, {});
 }
 
 // The control log only grows, but the same state of it may be passed in twice.
-void Placer::OnDesired(Time now, const DesiredPlacement& desired) {
+void PlacementReconciler::OnDesired(Time now, const DesiredPlacement& desired) {
   if (desired_ && desired.sequence < desired_->sequence) return;
   const bool changed = !desired_ || desired.sequence > desired_->sequence ||
                        desired.checks_fencing != desired_->checks_fencing;
@@ -78,7 +78,7 @@
   failures_ = 0;
   next_action_at_ = now;
   if (state_) {
-    pending_orders_ = OrdersFor(*desired_, *state_);
+    pending_orders_ = PlanOrders(*desired_, *state_);
     // A drain that the new placement doesn't need must not keep requests away.
     if (std::none_of(pending_orders_.begin(), pending_orders_.end(), NeedsDrain))
       EndDrainIfSafe(now);
@@ -86,7 +86,7 @@
   Advance(now);
 }
 
-void Placer::OnTick(Time now) {
+void PlacementReconciler::OnTick(Time now) {
   PollOrder(now);
   if (settled_) EndDrainIfSafe(now);
   if (settled_ && now >= next_action_at_) {
@@ -96,7 +96,7 @@
   Advance(now);
 }
 
-void Placer::Advance(Time now) {
+void PlacementReconciler::Advance(Time now) {
   if (pending_ != PendingReply::kNothing || !desired_ || superseded_ || settled_) return;
   if (now < next_action_at_) return;
   if (!state_) {
@@ -112,22 +112,22 @@
 // An order may take effect while its answer is lost. Without this poll the engine
 // would stay drained until the order times out, which may take minutes, as loads
 // take that long.
-void Placer::PollOrder(Time now) {
+void PlacementReconciler::PollOrder(Time now) {
   if (pending_ != PendingReply::kOrder || polling_ || now < poll_at_) return;
   polling_ = true;
   actions_.emplace_back(ReadEngineState{});
 }
 
-void Placer::OnStateReply(Time now, const Result<EngineState>& state) {
+void PlacementReconciler::OnStateReply(Time now, const Result<EngineState>& state) {
   if (polling_) {
     polling_ = false;
-    poll_at_ = now + settings_.order_check;
+    poll_at_ = now + settings_.order_poll_period;
     const bool applied =
-        pending_ == PendingReply::kOrder && IsOk(state) && Shows(ValueOf(state), *sent_);
+        pending_ == PendingReply::kOrder && IsOk(state) && IsApplied(ValueOf(state), *sent_);
     if (!applied) return;
     pending_ = PendingReply::kNothing;
     // The state doesn't prove that this order caused it; the order may still run.
-    orders_end_by_ = now + settings_.longest_order;
+    orders_end_by_ = now + settings_.max_order_time;
     return OnOrderDone(now);
   }
   if (pending_ != PendingReply::kState) return;
@@ -135,12 +135,12 @@
   OnFreshState(now, state);
 }
 
-void Placer::OnOrderDone(Time now) {
+void PlacementReconciler::OnOrderDone(Time now) {
   last_done_ = std::exchange(sent_, std::nullopt);
   Advance(now);
 }
 
-void Placer::OnFreshState(Time now, const Result<EngineState>& state) {
+void PlacementReconciler::OnFreshState(Time now, const Result<EngineState>& state) {
   if (!IsOk(state)) return Retry(now, ErrorOf(state));
   // The engine has carried out an order with a newer fence, so this agent's view of
   // the control log and its orders are outdated. The update arrives by itself.
@@ -149,8 +149,8 @@
   }
   state_ = ValueOf(state);
   state_read_at_ = now;
-  if (unresolved_order_ && Shows(*state_, *unresolved_order_)) unresolved_order_.reset();
-  pending_orders_ = OrdersFor(*desired_, *state_);
+  if (unresolved_order_ && IsApplied(*state_, *unresolved_order_)) unresolved_order_.reset();
+  pending_orders_ = PlanOrders(*desired_, *state_);
   // Repeating the order at once would keep a faulty engine busy with loads.
   const bool no_effect = OrderHadNoEffect();
   last_done_.reset();
@@ -162,23 +162,23 @@
   Advance(now);
 }
 
-bool Placer::OrderHadNoEffect() const {
-  return last_done_ && last_done_->fence == desired_->sequence && !Shows(*state_, *last_done_);
+bool PlacementReconciler::OrderHadNoEffect() const {
+  return last_done_ && last_done_->fence == desired_->sequence && !IsApplied(*state_, *last_done_);
 }
 
-bool Placer::OrderMayTakeEffect(Time now) const {
+bool PlacementReconciler::OrderMayTakeEffect(Time now) const {
   return unresolved_order_ && now < orders_end_by_;
 }
 
 // Reserves the weights first, since waiting for them while drained would cost
 // capacity; then waits for earlier orders to end, drains, and reads the ownership.
-void Placer::PrepareOrder(Time now) {
+void PlacementReconciler::PrepareOrder(Time now) {
   if (!owned_since_) return RequestOwnership(now);
   if (ReserveWeightsIfNeeded() || !WeightsReady(now) || !EarlierOrdersEnded(now)) return;
   // The engine may have restarted during these waits. If the outcome of an order
   // based on outdated state became unknown, the state read afterwards couldn't show
   // whether the order had taken effect.
-  if (now - state_read_at_ >= settings_.right_term) {
+  if (now - state_read_at_ >= settings_.ownership_validity) {
     state_.reset();
     return Advance(now);
   }
@@ -191,7 +191,7 @@
   RequestOwnership(now);
 }
 
-bool Placer::ReserveWeightsIfNeeded() {
+bool PlacementReconciler::ReserveWeightsIfNeeded() {
   for (const EngineOrder& order : pending_orders_) {
     if (!IsLoad(order) || weights_ready_at_.contains(ObjectOf(order))) continue;
     reserving_weights_ = ObjectOf(order);
@@ -202,7 +202,7 @@
   return false;
 }
 
-bool Placer::WeightsReady(Time now) const {
+bool PlacementReconciler::WeightsReady(Time now) const {
   return std::all_of(pending_orders_.begin(), pending_orders_.end(), [&](const EngineOrder& order) {
     return !IsLoad(order) || weights_ready_at_.at(ObjectOf(order)) <= now;
   });
@@ -211,24 +211,24 @@
 // On an engine that ignores fencing, an earlier order of a paused predecessor or of
 // this agent could take effect after a newer one, and the placement would revert.
 // Waiting until every earlier order has ended prevents that.
-bool Placer::EarlierOrdersEnded(Time now) const {
+bool PlacementReconciler::EarlierOrdersEnded(Time now) const {
   if (desired_->checks_fencing) return true;
   const Time predecessor_orders_end =
-      *owned_since_ + settings_.right_term + settings_.longest_order;
+      *owned_since_ + settings_.ownership_validity + settings_.max_order_time;
   return now >= std::max(predecessor_orders_end, orders_end_by_);
 }
 
-void Placer::RequestOwnership(Time now) {
+void PlacementReconciler::RequestOwnership(Time now) {
   pending_ = PendingReply::kOwnership;
   ownership_requested_ = now;
-  actions_.emplace_back(ReadRight{});
+  actions_.emplace_back(ReadOwnership{});
 }
 
-void Placer::OnOwnership(Time now, bool mine) {
-  if (!mine) {
+void PlacementReconciler::OnOwnership(Time now, bool owned) {
+  if (!owned) {
     superseded_ = true;  // permanently: a later incarnation owns this slot
     EndDrainIfSafe(now);
-    actions_.emplace_back(PlacementTrouble{
+    actions_.emplace_back(ReportPlacementError{
         Error{ErrorKind::kFenced, "a later incarnation of this agent controls the engine"}});
     return;
   }
@@ -239,7 +239,7 @@
   // If this process was paused after the request, a successor may have started and
   // the result may be outdated. The age of the request reveals that, and the
   // ownership is read again.
-  if (now - ownership_requested_ >= settings_.right_term) return Advance(now);
+  if (now - ownership_requested_ >= settings_.ownership_validity) return Advance(now);
   // The desired placement may have changed while the ownership was read.
   const bool prepared = !pending_orders_.empty() &&
                         (drained_ || !NeedsDrain(pending_orders_.front())) &&
@@ -250,47 +250,47 @@
   SendNextOrder(now);
 }
 
-void Placer::SendNextOrder(Time now) {
+void PlacementReconciler::SendNextOrder(Time now) {
   pending_ = PendingReply::kOrder;
   sent_ = pending_orders_.front();
   state_.reset();  // read back, whatever the outcome of the order
   weights_ready_at_.erase(ObjectOf(*sent_));
-  poll_at_ = now + settings_.order_check;
+  poll_at_ = now + settings_.order_poll_period;
   actions_.emplace_back(
-      SendOrder{++order_number_, *sent_, ownership_requested_ + settings_.right_term});
+      SendOrder{++order_number_, *sent_, ownership_requested_ + settings_.ownership_validity});
 }
 
-void Placer::OnOrderFailed(Time now, const Error& error) {
+void PlacementReconciler::OnOrderFailed(Time now, const Error& error) {
   if (error.ran != Ran::kNo) {
     unresolved_order_ = sent_;
-    orders_end_by_ = now + settings_.longest_order;
+    orders_end_by_ = now + settings_.max_order_time;
   }
   sent_.reset();
   Retry(now, error);
 }
 
-void Placer::Settle(Time now) {
+void PlacementReconciler::Settle(Time now) {
   settled_ = true;
   failures_ = 0;
   weights_ready_at_.clear();
-  next_action_at_ = now + settings_.read_period;
+  next_action_at_ = now + settings_.state_poll_period;
   EndDrainIfSafe(now);
 }
 
 // Returns the engine to service with its present placement, and starts over after a
 // backoff by reading its state.
-void Placer::Retry(Time now, const Error& error) {
+void PlacementReconciler::Retry(Time now, const Error& error) {
   state_.reset();
   pending_orders_.clear();
   const int doublings = std::min(failures_++, kMaxDoublings);
-  next_action_at_ = now + std::min(settings_.last_retry, settings_.first_retry * (1 << doublings));
+  next_action_at_ = now + std::min(settings_.max_backoff, settings_.min_backoff * (1 << doublings));
   EndDrainIfSafe(now);
-  actions_.emplace_back(PlacementTrouble{error});
+  actions_.emplace_back(ReportPlacementError{error});
 }
 
 // The drain stays while an order may still take effect: the order would change a
 // model or role while requests run.
-void Placer::EndDrainIfSafe(Time now) {
+void PlacementReconciler::EndDrainIfSafe(Time now) {
   if (!draining_ || OrderMayTakeEffect(now) || pending_ == PendingReply::kOrder) return;
   if (pending_ == PendingReply::kDrain) pending_ = PendingReply::kNothing;
   draining_ = false;
--- a/src/placement/plan_orders.cc
+++ b/src/placement/plan_orders.cc
@@ -43,7 +43,7 @@
 
 }  // namespace
 
-std::vector<EngineOrder> OrdersFor(const DesiredPlacement& desired, const EngineState& state) {
+std::vector<EngineOrder> PlanOrders(const DesiredPlacement& desired, const EngineState& state) {
   std::vector<EngineOrder> orders;
   const Sequence fence = desired.sequence;
   AppendUnloads(orders, "unload-adapter", state.adapters, desired.adapters,
@@ -58,7 +58,7 @@
   return orders;
 }
 
-bool Shows(const EngineState& state, const EngineOrder& order) {
+bool IsApplied(const EngineState& state, const EngineOrder& order) {
   const std::string versioned = order.subject + "@" + order.version;
   if (order.kind == "role") return state.role == order.subject;
   if (order.kind == "load-model") return Contains(state.models, versioned);
--- a/test/placement-engine-test.cc
+++ b/test/placement-engine-test.cc
@@ -12,13 +12,13 @@
 namespace {
 
 constexpr Duration kTestTimeout{60'000'000};  // reached only when a test fails
-constexpr PlacerSettings kSettings{.right_term = Duration(500'000),
-                                   .longest_order = Duration(500'000),
-                                   .order_check = Duration(200'000),
-                                   .read_period = Duration(500'000),
-                                   .first_retry = Duration(50'000),
-                                   .last_retry = Duration(200'000),
-                                   .weight_bytes = 1000};
+constexpr ReconcilerSettings kSettings{.ownership_validity = Duration(500'000),
+                                       .max_order_time = Duration(500'000),
+                                       .order_poll_period = Duration(200'000),
+                                       .state_poll_period = Duration(500'000),
+                                       .min_backoff = Duration(50'000),
+                                       .max_backoff = Duration(200'000),
+                                       .weight_bytes = 1000};
 
 // A table store that counts reads.
 class CountingTable : public TableStore {
--- a/test/placement-faults-test.cc
+++ b/test/placement-faults-test.cc
@@ -42,8 +42,8 @@
 
  private:
   struct Agent {
-    Placer placer{kSettings};
-    std::deque<PlacerAction> pending;
+    PlacementReconciler placer{kSettings};
+    std::deque<ReconcilerAction> pending;
     bool drained = false;
   };
   struct OrderInFlight {
@@ -61,29 +61,29 @@
 
   void Step(int index, const DesiredPlacement& desired) {
     Agent& agent = agents_[index];
-    Enqueue(agent, agent.placer.On(now_, desired));
-    Enqueue(agent, agent.placer.On(now_, PlacerTick{}));
+    Enqueue(agent, agent.placer.Step(now_, desired));
+    Enqueue(agent, agent.placer.Step(now_, ReconcilerTick{}));
     for (std::size_t n = agent.pending.size(); n > 0; --n) {
-      const PlacerAction action = agent.pending.front();
+      const ReconcilerAction action = agent.pending.front();
       agent.pending.pop_front();
       Answer(index, action);
     }
   }
 
-  static void Enqueue(Agent& agent, const std::vector<PlacerAction>& actions) {
+  static void Enqueue(Agent& agent, const std::vector<ReconcilerAction>& actions) {
     agent.pending.insert(agent.pending.end(), actions.begin(), actions.end());
   }
 
-  void Answer(int index, const PlacerAction& action) {
+  void Answer(int index, const ReconcilerAction& action) {
     Agent& agent = agents_[index];
     const Error lost = Failure(ErrorKind::kStoreUnavailable, Ran::kNo);
-    const auto reply = [&](const PlacerEvent& event) {
-      Enqueue(agent, agent.placer.On(now_, event));
+    const auto reply = [&](const ReconcilerEvent& event) {
+      Enqueue(agent, agent.placer.Step(now_, event));
     };
     std::visit(Overloaded{
-                   [&](const ReadRight&) {
-                     if (InjectFault()) return reply(RightUnread{lost});
-                     reply(RightRead{index >= owner_});
+                   [&](const ReadOwnership&) {
+                     if (InjectFault()) return reply(OwnershipReadFailed{lost});
+                     reply(OwnershipRead{index >= owner_});
                    },
                    [&](const ReadEngineState&) {
                      if (InjectFault()) return reply(EngineStateRead{lost});
@@ -99,7 +99,7 @@
                    },
                    [&](const EndDrain&) { agent.drained = false; },
                    [&](const SendOrder& send) { Send(index, send); },
-                   [&](const PlacementTrouble&) {},
+                   [&](const ReportPlacementError&) {},
                },
                action);
   }
@@ -110,7 +110,7 @@
     const bool ordered_undrained = drains && !agent.drained;
     REQUIRE_FALSE(ordered_undrained);
     const auto fail = [&](ErrorKind kind, Ran ran) {
-      Enqueue(agent, agent.placer.On(now_, OrderFailed{send.number, Failure(kind, ran)}));
+      Enqueue(agent, agent.placer.Step(now_, OrderFailed{send.number, Failure(kind, ran)}));
     };
     if (now_ > send.not_after) return fail(ErrorKind::kDeadlineExceeded, Ran::kNo);
     if (checks_fencing_ && send.order.fence < state_.fence) {
@@ -134,7 +134,7 @@
       if (in_flight.ends_at > now_) continue;
       if (!checks_fencing_ || in_flight.order.fence == state_.fence) Apply(in_flight.order);
       Agent& agent = agents_[in_flight.agent];
-      if (!in_flight.answered) Enqueue(agent, agent.placer.On(now_, OrderDone{in_flight.number}));
+      if (!in_flight.answered) Enqueue(agent, agent.placer.Step(now_, OrderDone{in_flight.number}));
     }
     std::erase_if(in_flight_,
                   [&](const OrderInFlight& in_flight) { return in_flight.ends_at <= now_; });
--- a/test/placement-fixture.h
+++ b/test/placement-fixture.h
@@ -9,12 +9,12 @@
 
 namespace figmill::fake {
 
-inline constexpr PlacerSettings kSettings{.right_term = std::chrono::seconds(4),
-                                          .longest_order = std::chrono::seconds(60),
-                                          .read_period = std::chrono::seconds(30),
-                                          .first_retry = std::chrono::seconds(1),
-                                          .last_retry = std::chrono::seconds(60),
-                                          .weight_bytes = 1000};
+inline constexpr ReconcilerSettings kSettings{.ownership_validity = std::chrono::seconds(4),
+                                              .max_order_time = std::chrono::seconds(60),
+                                              .state_poll_period = std::chrono::seconds(30),
+                                              .min_backoff = std::chrono::seconds(1),
+                                              .max_backoff = std::chrono::seconds(60),
+                                              .weight_bytes = 1000};
 
 inline EngineState StateOf(std::vector<std::string> models, std::string role = "mixed",
                            Sequence fence = 0) {
--- a/test/placement-test.cc
+++ b/test/placement-test.cc
@@ -13,19 +13,19 @@
 
 // A placer under test, its clock, and the actions that its last event returned.
 struct ReconcilerFixture {
-  Placer placer{kSettings};
+  PlacementReconciler placer{kSettings};
   Time now{seconds(1000)};
-  std::vector<PlacerAction> actions;
+  std::vector<ReconcilerAction> actions;
   std::uint64_t number = 0;  // of the last order
 
-  void Handle(const PlacerEvent& event) {
-    actions = placer.On(now, event);
+  void Handle(const ReconcilerEvent& event) {
+    actions = placer.Step(now, event);
     if (const auto* send = FindAction<SendOrder>()) number = send->number;
   }
   void AdvanceTime(Duration time) { now += time; }
   template <typename A>
   const A* FindAction() const {
-    for (const PlacerAction& action : actions) {
+    for (const ReconcilerAction& action : actions) {
       if (const A* found = std::get_if<A>(&action)) return found;
     }
     return nullptr;
@@ -42,8 +42,8 @@
     Handle(desired);
     OnlyAction<ReadEngineState>();
     Handle(EngineStateRead{state});
-    OnlyAction<ReadRight>();
-    Handle(RightRead{true});
+    OnlyAction<ReadOwnership>();
+    Handle(OwnershipRead{true});
   }
 };
 
@@ -56,24 +56,24 @@
   fixture.Handle(WeightsGranted{seconds(5)});
   CHECK(fixture.actions.empty());
   fixture.AdvanceTime(seconds(4));
-  fixture.Handle(PlacerTick{});
+  fixture.Handle(ReconcilerTick{});
   CHECK(fixture.actions.empty());  // the load waits as the weight store demands
   fixture.AdvanceTime(seconds(1));
-  fixture.Handle(PlacerTick{});
+  fixture.Handle(ReconcilerTick{});
   fixture.OnlyAction<ReadEngineState>();  // the state may have changed during the wait
   fixture.Handle(EngineStateRead{StateOf({"note-llm@1"})});
   fixture.OnlyAction<BeginDrain>();
   fixture.Handle(EngineDrained{});
-  fixture.OnlyAction<ReadRight>();
-  fixture.Handle(RightRead{true});
+  fixture.OnlyAction<ReadOwnership>();
+  fixture.Handle(OwnershipRead{true});
   const EngineOrder unload = fixture.OnlyAction<SendOrder>().order;
   CHECK(unload.kind == "unload-model");
   CHECK(unload.fence == 812);
   fixture.Handle(OrderDone{fixture.number});
   fixture.OnlyAction<ReadEngineState>();
   fixture.Handle(EngineStateRead{StateOf({}, "mixed", 812)});
-  fixture.OnlyAction<ReadRight>();
-  fixture.Handle(RightRead{true});
+  fixture.OnlyAction<ReadOwnership>();
+  fixture.Handle(OwnershipRead{true});
   CHECK(fixture.OnlyAction<SendOrder>().order.kind == "load-model");
   fixture.Handle(OrderDone{fixture.number});
   fixture.Handle(EngineStateRead{StateOf({"note-llm@2"}, "mixed", 812)});
@@ -87,7 +87,7 @@
   DesiredPlacement desired = DesiredState(5, {"a@2"}, "prefill");
   desired.unwanted_models = {"c@1"};
   std::string kinds;
-  for (const EngineOrder& order : OrdersFor(desired, StateOf({"a@1", "b@1", "c@1"}))) {
+  for (const EngineOrder& order : PlanOrders(desired, StateOf({"a@1", "b@1", "c@1"}))) {
     kinds += order.kind + " " + order.subject + "@" + order.version + "; ";
   }
   CHECK(kinds == "unload-model a@1; unload-model c@1; role prefill@; load-model a@2; ");
@@ -99,8 +99,8 @@
   desired.adapters = {"rye@3"};
   fixture.ReadInitialState(desired, StateOf({"m@1"}));
   fixture.Handle(WeightsGranted{});
-  fixture.OnlyAction<ReadRight>();
-  fixture.Handle(RightRead{true});
+  fixture.OnlyAction<ReadOwnership>();
+  fixture.Handle(OwnershipRead{true});
   CHECK(fixture.OnlyAction<SendOrder>().order.kind == "load-adapter");
 }
 
@@ -111,13 +111,13 @@
   ReconcilerFixture fixture;
   fixture.ReadInitialState(DesiredState(7, {"m@1"}, "prefill"), StateOf({"m@1"}));
   fixture.Handle(EngineDrained{});
-  fixture.OnlyAction<ReadRight>();
-  fixture.AdvanceTime(kSettings.right_term);
-  fixture.Handle(RightRead{true});
+  fixture.OnlyAction<ReadOwnership>();
+  fixture.AdvanceTime(kSettings.ownership_validity);
+  fixture.Handle(OwnershipRead{true});
   fixture.OnlyAction<ReadEngineState>();
   fixture.Handle(EngineStateRead{StateOf({"m@1"})});
-  fixture.OnlyAction<ReadRight>();
-  fixture.Handle(RightRead{false});
+  fixture.OnlyAction<ReadOwnership>();
+  fixture.Handle(OwnershipRead{false});
   CHECK(fixture.FindAction<SendOrder>() == nullptr);
   CHECK(fixture.FindAction<EndDrain>() != nullptr);
   fixture.Handle(DesiredState(8, {"m@1"}, "decode"));
@@ -132,8 +132,8 @@
   fixture.Handle(EngineDrained{});
   const Time asked = fixture.now;
   fixture.AdvanceTime(seconds(3));
-  fixture.Handle(RightRead{true});
-  CHECK(fixture.OnlyAction<SendOrder>().not_after == asked + kSettings.right_term);
+  fixture.Handle(OwnershipRead{true});
+  CHECK(fixture.OnlyAction<SendOrder>().not_after == asked + kSettings.ownership_validity);
 }
 
 // A placement must not revert a minute after it was made: a predecessor ordered a load
@@ -144,11 +144,11 @@
   const Time start = fixture.now;
   fixture.ReadInitialState(DesiredState(7, {"m@1"}, "prefill", false), StateOf({"m@1"}));
   CHECK(fixture.actions.empty());
-  fixture.now = start + kSettings.right_term + kSettings.longest_order - Duration(1);
-  fixture.Handle(PlacerTick{});
+  fixture.now = start + kSettings.ownership_validity + kSettings.max_order_time - Duration(1);
+  fixture.Handle(ReconcilerTick{});
   CHECK(fixture.actions.empty());
   fixture.AdvanceTime(Duration(1));
-  fixture.Handle(PlacerTick{});
+  fixture.Handle(ReconcilerTick{});
   fixture.OnlyAction<ReadEngineState>();
   fixture.Handle(EngineStateRead{StateOf({"m@1"})});
   fixture.OnlyAction<BeginDrain>();
@@ -161,11 +161,11 @@
   ReconcilerFixture fixture;
   fixture.ReadInitialState(DesiredState(7, {"m@1"}, "prefill"), StateOf({"m@1"}));
   fixture.Handle(EngineDrained{});
-  fixture.Handle(RightRead{true});
+  fixture.Handle(OwnershipRead{true});
   fixture.Handle(OrderFailed{fixture.number, Failure(ErrorKind::kBackendFailed, Ran::kUnknown)});
   CHECK(fixture.FindAction<EndDrain>() == nullptr);  // the role may still change while requests run
   fixture.AdvanceTime(seconds(1));
-  fixture.Handle(PlacerTick{});
+  fixture.Handle(ReconcilerTick{});
   fixture.OnlyAction<ReadEngineState>();
   fixture.Handle(EngineStateRead{StateOf({"m@1"}, "prefill", 7)});
   fixture.OnlyAction<EndDrain>();
@@ -179,22 +179,22 @@
   ReconcilerFixture fixture;
   fixture.ReadInitialState(DesiredState(7, {"m@1"}, "prefill"), StateOf({"m@1"}));
   fixture.Handle(EngineDrained{});
-  fixture.Handle(RightRead{true});
+  fixture.Handle(OwnershipRead{true});
   const std::uint64_t first = fixture.number;
-  fixture.AdvanceTime(kSettings.order_check);
-  fixture.Handle(PlacerTick{});
+  fixture.AdvanceTime(kSettings.order_poll_period);
+  fixture.Handle(ReconcilerTick{});
   fixture.OnlyAction<ReadEngineState>();
   fixture.Handle(EngineStateRead{StateOf({"m@1"}, "mixed", 7)});
   CHECK(fixture.actions.empty());  // not yet
-  fixture.AdvanceTime(kSettings.order_check);
-  fixture.Handle(PlacerTick{});
+  fixture.AdvanceTime(kSettings.order_poll_period);
+  fixture.Handle(ReconcilerTick{});
   fixture.Handle(EngineStateRead{StateOf({"m@1"}, "prefill", 7)});
   fixture.Handle(EngineStateRead{StateOf({"m@1"}, "prefill", 7)});
   fixture.OnlyAction<EndDrain>();
   // The lost answer arrives late and isn't taken for that of the next order.
   fixture.Handle(DesiredState(8, {"m@1"}, "decode"));
   fixture.Handle(EngineDrained{});
-  fixture.Handle(RightRead{true});
+  fixture.Handle(OwnershipRead{true});
   fixture.OnlyAction<SendOrder>();
   fixture.Handle(OrderDone{first});
   CHECK(fixture.actions.empty());
@@ -205,16 +205,16 @@
   fixture.ReadInitialState(DesiredState(7, {"m@1"}, "prefill"), StateOf({"m@1"}));
   for (const Duration wait : {seconds(1), seconds(2), seconds(4)}) {
     fixture.Handle(EngineDrained{});
-    fixture.Handle(RightRead{true});
+    fixture.Handle(OwnershipRead{true});
     fixture.Handle(OrderDone{fixture.number});
     fixture.Handle(EngineStateRead{StateOf({"m@1"}, "mixed", 7)});
-    CHECK(fixture.FindAction<PlacementTrouble>() != nullptr);
+    CHECK(fixture.FindAction<ReportPlacementError>() != nullptr);
     CHECK(fixture.FindAction<EndDrain>() != nullptr);
     fixture.AdvanceTime(wait - Duration(1));
-    fixture.Handle(PlacerTick{});
+    fixture.Handle(ReconcilerTick{});
     CHECK(fixture.actions.empty());
     fixture.AdvanceTime(Duration(1));
-    fixture.Handle(PlacerTick{});
+    fixture.Handle(ReconcilerTick{});
     fixture.OnlyAction<ReadEngineState>();
     fixture.Handle(EngineStateRead{StateOf({"m@1"}, "mixed", 7)});
     fixture.OnlyAction<BeginDrain>();
@@ -225,7 +225,7 @@
   ReconcilerFixture fixture;
   fixture.Handle(DesiredState(7, {"m@1"}));
   fixture.Handle(EngineStateRead{StateOf({"m@2"}, "mixed", 9)});
-  CHECK(fixture.OnlyAction<PlacementTrouble>().error.kind == ErrorKind::kFenced);
+  CHECK(fixture.OnlyAction<ReportPlacementError>().error.kind == ErrorKind::kFenced);
   fixture.Handle(DesiredState(9, {"m@2"}));
   fixture.Handle(EngineStateRead{StateOf({"m@2"}, "mixed", 9)});
   CHECK(fixture.placer.settled());
