--- a/include/figmill/gate.h
+++ b/include/figmill/gate.h
@@ -113,9 +113,9 @@
   RequestId request;
   bool rerun = false;
 };
-// Resumes the stream after `from` tokens. If `reattached_arrival` is set, the answer goes to
-// that new arrival, whose sender holds those tokens; otherwise the caller of Step()
-// holds them.
+// Resumes the stream after `from` tokens. If `reattached_arrival` is set, the answer
+// goes to that new arrival, whose sender holds those tokens; otherwise the caller of
+// Step() holds them.
 struct ResumeStream {
   RequestId request;
   std::uint64_t from = 0;
--- a/include/figmill/placement.h
+++ b/include/figmill/placement.h
@@ -1,15 +1,15 @@
 #pragma once
 
 // Brings an engine to the placement that the control log specifies, by fenced
-// orders. One PlacementReconciler, in the agent next to the engine, is the only sender of orders
-// to it. No I/O.
+// orders. One PlacementReconciler, in the agent next to the engine, is the only
+// sender of orders to it. No I/O.
 //
 // Two of them may still overlap when an agent resumes from a pause after its
 // successor has started. Engines that check fencing refuse the older one's orders,
 // as the fence is the sequence of the desired placement and only rises. For other
 // engines, each agent reads anew before each order that it owns the engine, and that
-// reading expires after `ownership_validity`. A successor sends its first order only after
-// its predecessor's last reading has expired and its last order has ended. The
+// reading expires after `ownership_validity`. A successor sends its first order only
+// after its predecessor's last reading has expired and its last order has ended. The
 // engine's state is read back after each order and periodically, so that an order
 // that took effect late is undone.
 
@@ -164,7 +164,7 @@
   bool drained_ = false;
   bool settled_ = false;
   int failures_ = 0;
-  std::string reserving_weights_;
+  std::string reserved_object_;
   std::map<std::string, Time> weights_ready_at_;  // object -> when its load may start
   std::vector<ReconcilerAction> actions_;         // collected for the current event
 };
--- a/src/gate/admission_limit.cc
+++ b/src/gate/admission_limit.cc
@@ -20,15 +20,16 @@
     : target_gap_(target_gap), max_running_(max_running) {}
 
 void AdmissionLimit::AddGap(Duration gap, int running) {
-  model_.Add(running, gap);
+  token_gap_model_.Add(running, gap);
   peak_running_ = std::max<double>(running, peak_running_ * kPeakDecay);
-  const double predicted = model_.Predict(running);
+  const double predicted = token_gap_model_.Predict(running);
   const bool above = static_cast<double>(gap.count()) - predicted > excess_p95_us_;
   excess_p95_us_ += kQuantileStep * predicted * (above ? kQuantile : kQuantile - 1);
 }
 
 int AdmissionLimit::limit() const {
-  const double fitted = model_.RunningAt(static_cast<double>(target_gap_.count()) - excess_p95_us_);
+  const double fitted =
+      token_gap_model_.RunningAt(static_cast<double>(target_gap_.count()) - excess_p95_us_);
   const double trusted = std::max(kInitialLimit, kMaxExtrapolation * peak_running_);
   return static_cast<int>(std::clamp<double>(std::min(fitted, trusted), 1, max_running_));
 }
--- a/src/gate/admission_limit.h
+++ b/src/gate/admission_limit.h
@@ -23,7 +23,7 @@
  private:
   Duration target_gap_;
   int max_running_;
-  TokenGapModel model_;
+  TokenGapModel token_gap_model_;
   double excess_p95_us_ = 0;
   double peak_running_ = 0;  // decaying maximum of the running count
 };
--- a/src/gate/batch_limit_policy.cc
+++ b/src/gate/batch_limit_policy.cc
@@ -53,7 +53,7 @@
   }
 }
 
-int BatchLimitPolicy::AllowedStarts(const TokenGapModel& model, const RunningStreams& load,
+int BatchLimitPolicy::AllowedStarts(const TokenGapModel& model, const StreamCounts& load,
                                     int free_slots, Time now) const {
   if (IsMemoryShort(now)) return 0;
   if (!config_.has_prefill) return free_slots;
--- a/src/gate/batch_limit_policy.h
+++ b/src/gate/batch_limit_policy.h
@@ -20,7 +20,7 @@
   bool has_prefill = true;  // starting a stream lengthens a step of the running ones
 };
 
-struct RunningStreams {
+struct StreamCounts {
   int online = 0;  // running or queued
   int batch_running = 0;
   int batch_prefilling = 0;  // of batch_running, without a first token yet
@@ -39,7 +39,7 @@
   void AddFirstToken(Duration wait, Duration gap);
   void BatchStarted(Time now) { last_start_ = now; }
   // How many batch streams may start now, when `free_slots` are left up to the limit.
-  [[nodiscard]] int AllowedStarts(const TokenGapModel& model, const RunningStreams& load,
+  [[nodiscard]] int AllowedStarts(const TokenGapModel& model, const StreamCounts& load,
                                   int free_slots, Time now) const;
 
  private:
--- a/src/gate/dispatch_table.cc
+++ b/src/gate/dispatch_table.cc
@@ -13,8 +13,8 @@
 }
 
 void DispatchTable::Close(const RequestId& request, RecordState state, Time now) {
-  const auto [place, fresh] = records_.try_emplace(request);
-  if (!fresh && place->second.state != RecordState::kOpen) return;
+  const auto [place, added] = records_.try_emplace(request);
+  if (!added && place->second.state != RecordState::kOpen) return;
   place->second = Record{state, now};
   closed_order_.emplace_back(now, request);
   if (closed_order_.size() > max_closed_records_) EvictOldest();
--- a/src/gate/scheduler_arrivals.cc
+++ b/src/gate/scheduler_arrivals.cc
@@ -127,9 +127,10 @@
   Stream* stream = Find(dispatch.request);
   if (stream == nullptr) {
     table_.Open(dispatch.request);
-    Stream fresh{dispatch};
-    fresh.ran = true;
-    stream = &streams_.insert_or_assign(dispatch.request, std::move(fresh)).first->second;
+    Stream reattached_stream{dispatch};
+    reattached_stream.ran = true;
+    stream =
+        &streams_.insert_or_assign(dispatch.request, std::move(reattached_stream)).first->second;
   } else if (stream->arrival != 0) {
     arrivals_.erase(stream->arrival);
     Emit(DetachSender{stream->arrival, dispatch.request,
--- a/src/placement/placement_reconciler.cc
+++ b/src/placement/placement_reconciler.cc
@@ -33,16 +33,16 @@
   };
   std::visit(Overloaded{
                  [&](const DesiredPlacement& desired) { OnDesired(now, desired); },
-                 [&](const OwnershipRead& right) {
-                   if (answered(PendingReply::kOwnership)) OnOwnership(now, right.owned);
+                 [&](const OwnershipRead& ownership) {
+                   if (answered(PendingReply::kOwnership)) OnOwnership(now, ownership.owned);
                  },
-                 [&](const OwnershipReadFailed& unread) {
-                   if (answered(PendingReply::kOwnership)) Retry(now, unread.error);
+                 [&](const OwnershipReadFailed& failed) {
+                   if (answered(PendingReply::kOwnership)) Retry(now, failed.error);
                  },
                  [&](const EngineStateRead& read) { OnStateReply(now, read.state); },
                  [&](const WeightsGranted& granted) {
                    if (!answered(PendingReply::kWeights)) return;
-                   weights_ready_at_[reserving_weights_] = now + granted.wait;
+                   weights_ready_at_[reserved_object_] = now + granted.wait;
                    Advance(now);
                  },
                  [&](const WeightsRefused& refused) {
@@ -194,9 +194,9 @@
 bool PlacementReconciler::ReserveWeightsIfNeeded() {
   for (const EngineOrder& order : pending_orders_) {
     if (!IsLoad(order) || weights_ready_at_.contains(ObjectOf(order))) continue;
-    reserving_weights_ = ObjectOf(order);
+    reserved_object_ = ObjectOf(order);
     pending_ = PendingReply::kWeights;
-    actions_.emplace_back(ReserveWeights{reserving_weights_, settings_.weight_bytes});
+    actions_.emplace_back(ReserveWeights{reserved_object_, settings_.weight_bytes});
     return true;
   }
   return false;
--- a/test/gate-fixture.h
+++ b/test/gate-fixture.h
@@ -10,9 +10,9 @@
 
 namespace figmill::test {
 
-struct GateFixture {
-  explicit GateFixture(SchedulerConfig config = {})
-      : gate(config), incarnation(config.incarnation) {}
+struct SchedulerFixture {
+  explicit SchedulerFixture(SchedulerConfig config = {})
+      : scheduler(config), incarnation(config.incarnation) {}
 
   Dispatch Online(std::string request) const {
     Dispatch dispatch;
@@ -33,7 +33,7 @@
     return dispatch;
   }
   std::vector<SchedulerAction> Step(const SchedulerEvent& event) {
-    return last_actions = gate.Step(now, event);
+    return last_actions = scheduler.Step(now, event);
   }
   std::vector<SchedulerAction> Arrive(Dispatch dispatch) {
     return Step(DispatchArrived{++arrivals, std::move(dispatch)});
@@ -63,7 +63,7 @@
     return LastActions<CommandReply>().at(0).state;
   }
 
-  BackendScheduler gate;
+  BackendScheduler scheduler;
   Incarnation incarnation;
   Time now = Time(std::chrono::hours(1));
   ArrivalId arrivals = 0;
--- a/test/gate-outcome-test.cc
+++ b/test/gate-outcome-test.cc
@@ -21,7 +21,7 @@
 // network; the entry revokes it, gets "never started" and sends it elsewhere; then
 // the dispatch arrives here. Without a record of the revoke it would run.
 TEST_CASE("a revoked request that arrives later never starts") {
-  GateFixture fixture;
+  SchedulerFixture fixture;
   const Dispatch late = NonRepeatable(fixture.Online("r"));
   fixture.Step(Revoke{late.request, 1, late.stamp});
   CHECK(ValueOf(fixture.LastCommandState()) == RequestState::kNeverStarted);
@@ -41,7 +41,7 @@
   SUBCASE("by number") {
     config.max_records = 4;
   }
-  GateFixture fixture(config);
+  SchedulerFixture fixture(config);
   const Dispatch late = NonRepeatable(fixture.Online("r"));
   fixture.Step(Revoke{late.request, 1, late.stamp});
   for (int i = 0; i < 5; ++i) {
@@ -61,7 +61,7 @@
 }
 
 TEST_CASE("a non-repeatable request of unknown age is refused as not run") {
-  GateFixture fixture;
+  SchedulerFixture fixture;
   Dispatch dispatch = NonRepeatable(fixture.Online("r"));
   dispatch.stamp.reset();
   fixture.Arrive(dispatch);
@@ -74,7 +74,7 @@
 // the first dispatch again when a slot is free. Without a record of the refusal the
 // copy would run.
 TEST_CASE("a refused request stays refused") {
-  GateFixture fixture;
+  SchedulerFixture fixture;
   fixture.Step(LeavingChanged{true});
   fixture.Arrive(fixture.Online("r"));
   CHECK(fixture.LastActions<FailRequest>().at(0).error.kind == ErrorKind::kLeaving);
@@ -85,7 +85,7 @@
 }
 
 TEST_CASE("a second arrival of an id gets the request's state and starts nothing") {
-  GateFixture fixture;
+  SchedulerFixture fixture;
   fixture.Arrive(fixture.Online("r"));
   CHECK(fixture.LastActions<StartStream>().size() == 1);
   fixture.Arrive(fixture.Online("r"));
@@ -109,7 +109,7 @@
 TEST_CASE("a dispatch or revoke for another incarnation is refused") {
   SchedulerConfig config;
   config.incarnation = 7;
-  GateFixture fixture(config);
+  SchedulerFixture fixture(config);
   Dispatch dispatch = fixture.Online("r");
   dispatch.incarnation = 6;
   fixture.Arrive(dispatch);
@@ -120,7 +120,7 @@
 }
 
 TEST_CASE("a request to an unreachable backend server is reported as not run") {
-  GateFixture fixture;
+  SchedulerFixture fixture;
   fixture.Arrive(fixture.Online("r"));
   fixture.Step(StreamFailed{RequestId{"r"}, Error{ErrorKind::kBackendFailed, "refused", Ran::kNo}});
   CHECK(fixture.LastActions<FailRequest>().at(0).error.ran == Ran::kNo);
@@ -132,7 +132,7 @@
 // breaks off, and the restarted engine no longer holds it. Running it again would be
 // a second run, so its outcome is unknown.
 TEST_CASE("a lost stream of a non-repeatable request ends as outcome unknown") {
-  GateFixture fixture;
+  SchedulerFixture fixture;
   fixture.Arrive(NonRepeatable(fixture.Online("r")));
   fixture.Step(StreamTokens{RequestId{"r"}, 5});
   fixture.Step(StreamFailed{RequestId{"r"}, Error{ErrorKind::kBrokenAnswer, "eof", Ran::kUnknown}});
@@ -149,7 +149,7 @@
 // dispatches the same id with the offset that it holds. Only the backend server knows
 // the state, so it is asked and nothing is started.
 TEST_CASE("a successor reattaches to a stream by its request id") {
-  GateFixture fixture;
+  SchedulerFixture fixture;
   Dispatch dispatch = fixture.Batch("r");
   dispatch.repeatable = false;
   fixture.Arrive(dispatch);
@@ -169,7 +169,7 @@
   CHECK(fixture.LastActions<ResumeStream>()[0].reattached_arrival == 2);
   fixture.Step(StreamFinished{dispatch.request});
   CHECK(fixture.LastActions<CompleteRequest>().at(0).arrival == 2);
-  CHECK(fixture.gate.counts().batch_running == 0);
+  CHECK(fixture.scheduler.counts().batch_running == 0);
 }
 
 // An invoice must not be sent twice by the call that asks for its outcome: the call to
@@ -178,7 +178,7 @@
 TEST_CASE("reattaching to a request never calls a plain service") {
   SchedulerConfig config;
   config.token_streams = false;
-  GateFixture fixture(config);
+  SchedulerFixture fixture(config);
   Dispatch dispatch = NonRepeatable(fixture.Online("r"));
   fixture.Arrive(dispatch);
   fixture.Step(SenderDisconnected{1});
@@ -197,7 +197,7 @@
 }
 
 TEST_CASE("a disconnected sender's online request is stopped, unless it has a key") {
-  GateFixture fixture;
+  SchedulerFixture fixture;
   fixture.Arrive(fixture.Online("plain"));
   fixture.Step(SenderDisconnected{1});
   CHECK(fixture.LastActions<StopStream>().at(0).request.value == "plain");
@@ -215,9 +215,9 @@
 // paused past its lease and a new one takes over under a higher epoch. The queued
 // items would outlive the lease under which they were sent.
 TEST_CASE("queued batch items are dropped when their owner is superseded or lost") {
-  GateFixture fixture;
+  SchedulerFixture fixture;
   for (int i = 0; i < 3; ++i) fixture.Arrive(fixture.Batch("old-" + std::to_string(i)));
-  REQUIRE(fixture.gate.counts().batch_queued == 2);
+  REQUIRE(fixture.scheduler.counts().batch_queued == 2);
   SUBCASE("superseded") {
     fixture.Step(Supersede{JobId{"job"}, 2});
     REQUIRE(fixture.LastActions<FailRequest>().size() == 3);
@@ -240,7 +240,7 @@
 }
 
 TEST_CASE("a leaving scheduler refuses new requests and lets running streams end") {
-  GateFixture fixture;
+  SchedulerFixture fixture;
   fixture.Arrive(fixture.Online("running"));
   fixture.Arrive(fixture.Batch("batch-running"));
   fixture.Arrive(fixture.Batch("waiting"));
@@ -248,7 +248,7 @@
   REQUIRE(fixture.LastActions<FailRequest>().size() >= 1);
   CHECK(fixture.LastActions<FailRequest>().back().request.value == "waiting");
   CHECK(fixture.LastActions<FailRequest>().back().error.ran == Ran::kNo);
-  CHECK(fixture.gate.counts().room == 0);
+  CHECK(fixture.scheduler.counts().room == 0);
   fixture.Step(StreamFinished{RequestId{"running"}});
   CHECK(fixture.LastActions<CompleteRequest>().size() == 1);
 }
--- a/test/gate-preemption-test.cc
+++ b/test/gate-preemption-test.cc
@@ -13,9 +13,9 @@
 // An online caller must not wait for batch: batch fills an idle engine, then an online
 // request arrives. The engine has no priorities, so only stopping batch frees a slot.
 TEST_CASE("batch is stopped in the step in which online arrives, least work first") {
-  GateFixture fixture;
+  SchedulerFixture fixture;
   fixture.StartBatchStreams(8);
-  REQUIRE(fixture.gate.counts().batch_running == 8);
+  REQUIRE(fixture.scheduler.counts().batch_running == 8);
   for (int i = 0; i < 8; ++i) {
     fixture.Step(StreamTokens{RequestId{"batch-" + std::to_string(i)}, i == 3 ? 1U : 50U});
   }
@@ -24,8 +24,8 @@
   const auto stops = fixture.LastActions<StopStream>();
   REQUIRE(stops.size() >= 1);
   CHECK(stops[0].request.value == "batch-3");
-  CHECK(fixture.gate.counts().batch_running <= fixture.gate.counts().batch_limit);
-  CHECK(fixture.gate.counts().batch_paused == static_cast<int>(stops.size()));
+  CHECK(fixture.scheduler.counts().batch_running <= fixture.scheduler.counts().batch_limit);
+  CHECK(fixture.scheduler.counts().batch_paused == static_cast<int>(stops.size()));
   CHECK(std::holds_alternative<StopStream>(fixture.last_actions[0]));  // slots are freed first
 }
 
@@ -33,7 +33,7 @@
 // resumed when online has ended, and only then does the engine carry out the stop.
 // Two commands about one stream would be in flight at once.
 TEST_CASE("a stopped stream is resumed at its offset once the stop is confirmed") {
-  GateFixture fixture;
+  SchedulerFixture fixture;
   fixture.StartBatchStreams(8);
   fixture.Step(StreamTokens{RequestId{"batch-0"}, 7});
   fixture.Arrive(fixture.Online("note"));
@@ -54,7 +54,7 @@
 }
 
 TEST_CASE("a stream that the engine no longer holds is rerun if it is repeatable") {
-  GateFixture fixture;
+  SchedulerFixture fixture;
   fixture.StartBatchStreams(8);
   fixture.Arrive(fixture.Online("note"));
   const StopStream stop = fixture.LastActions<StopStream>().at(0);
@@ -67,7 +67,7 @@
 }
 
 TEST_CASE("non-repeatable batch items are never stopped and hold few slots") {
-  GateFixture fixture;
+  SchedulerFixture fixture;
   for (int i = 0; i < 8; ++i) {
     Dispatch dispatch = fixture.Batch("once-" + std::to_string(i));
     dispatch.repeatable = false;
@@ -75,7 +75,7 @@
     for (const StartStream& start : fixture.LastActions<StartStream>())
       fixture.Step(StreamTokens{start.request});
   }
-  const int running = fixture.gate.counts().batch_running;
+  const int running = fixture.scheduler.counts().batch_running;
   CHECK(running == 2);
   fixture.Arrive(fixture.Online("note"));
   CHECK(fixture.LastActions<StopStream>().empty());
@@ -87,7 +87,7 @@
 TEST_CASE("while online runs batch prompts are prefilled one at a time and far apart") {
   SchedulerConfig config;
   config.max_batch_slowdown = 10;  // the limit allows many
-  GateFixture fixture(config);
+  SchedulerFixture fixture(config);
   fixture.Arrive(fixture.Online("note"));
   fixture.Step(StreamTokens{RequestId{"note"}});
   int starts = 0;
@@ -105,33 +105,33 @@
 TEST_CASE("online requests that can't be answered in time are refused at once, with a retry time") {
   SchedulerConfig config;
   config.max_running = 2;
-  GateFixture fixture(config);
+  SchedulerFixture fixture(config);
   int refused = 0;
   for (int i = 0; i < 50; ++i) {
     fixture.Arrive(fixture.Online("note-" + std::to_string(i)));
-    for (const FailRequest& refuse : fixture.LastActions<FailRequest>()) {
+    for (const FailRequest& failed : fixture.LastActions<FailRequest>()) {
       ++refused;
-      CHECK(refuse.error.kind == ErrorKind::kOverloaded);
-      CHECK(refuse.error.ran == Ran::kNo);
-      CHECK(refuse.error.retry_after >= Duration(1'000'000));
+      CHECK(failed.error.kind == ErrorKind::kOverloaded);
+      CHECK(failed.error.ran == Ran::kNo);
+      CHECK(failed.error.retry_after >= Duration(1'000'000));
     }
   }
   CHECK(refused > 40);
-  CHECK(fixture.gate.counts().online_running == 2);
+  CHECK(fixture.scheduler.counts().online_running == 2);
 }
 
-// An idle engine must not refuse nearly all online requests: the engine's report falls
+// An idle engine must not failed nearly all online requests: the engine's report falls
 // between an arrival and the next step, so it shows two streams running and one
 // waiting, which would be taken for an engine with two slots.
 TEST_CASE("the engine's own queue sets the limit only when it lasts") {
-  GateFixture fixture;
+  SchedulerFixture fixture;
   fixture.StartBatchStreams(8);
   fixture.Arrive(fixture.Batch("newcomer"));
-  const int before = fixture.gate.counts().batch_limit;
+  const int before = fixture.scheduler.counts().batch_limit;
   fixture.Step(LoadReported{{8, 1, 0.1}});
-  CHECK(fixture.gate.counts().batch_limit == before);
+  CHECK(fixture.scheduler.counts().batch_limit == before);
   fixture.AdvanceTime(Duration(300'000));
   fixture.Step(LoadReported{{8, 1, 0.1}});
-  CHECK(fixture.gate.counts().batch_limit == 8);
-  CHECK(fixture.gate.counts().online_limit == 8);
+  CHECK(fixture.scheduler.counts().batch_limit == 8);
+  CHECK(fixture.scheduler.counts().online_limit == 8);
 }
--- a/test/gate-schedule-test.cc
+++ b/test/gate-schedule-test.cc
@@ -83,7 +83,7 @@
     Arrive(dispatch);
   }
   void Arrive(const Dispatch& dispatch) {
-    const SchedulerStats before = fixture_.gate.counts();
+    const SchedulerStats before = fixture_.scheduler.counts();
     open_arrivals_.insert(fixture_.arrivals + 1);
     Process(DispatchArrived{++fixture_.arrivals, dispatch});
     if (dispatch.work_class != WorkClass::kOnline || !fixture_.LastActions<FailRequest>().empty())
@@ -91,12 +91,13 @@
     // Online never waits for batch: with a free slot it starts in this step, and
     // batch is reduced to its limit.
     if (before.online_queued > 0 || before.online_running >= before.online_limit) return;
-    CHECK(fixture_.gate.counts().online_queued == 0);
-    const SchedulerStats after = fixture_.gate.counts();
-    const auto unstoppable = std::count_if(running_.begin(), running_.end(), [&](const auto& id) {
-      return !records_[id].repeatable && id != dispatch.request;
-    });
-    CHECK(after.batch_running <= std::max<int>(after.batch_limit, static_cast<int>(unstoppable)));
+    CHECK(fixture_.scheduler.counts().online_queued == 0);
+    const SchedulerStats after = fixture_.scheduler.counts();
+    const auto non_preemptible = std::count_if(
+        running_.begin(), running_.end(),
+        [&](const auto& id) { return !records_[id].repeatable && id != dispatch.request; });
+    CHECK(after.batch_running <=
+          std::max<int>(after.batch_limit, static_cast<int>(non_preemptible)));
   }
   void EndOne() {
     const RequestId request = RandomOf(running_);
@@ -148,7 +149,7 @@
     fixture_.Step(event);
     for (const SchedulerAction& action : fixture_.last_actions)
       std::visit([this](const auto& a) { On(a); }, action);
-    const SchedulerStats counts = fixture_.gate.counts();
+    const SchedulerStats counts = fixture_.scheduler.counts();
     CHECK(counts.online_running + counts.batch_running == static_cast<int>(running_.size()));
   }
 
@@ -168,9 +169,9 @@
     CHECK(running_.erase(cancel.request) == 1);
     stopping_[cancel.request] = fixture_.now;
   }
-  void On(const FailRequest& refuse) {
-    if (refuse.arrival != 0) CHECK(open_arrivals_.erase(refuse.arrival) == 1);
-    if (refuse.error.ran == Ran::kNo) records_[refuse.request].reported_not_run = true;
+  void On(const FailRequest& failed) {
+    if (failed.arrival != 0) CHECK(open_arrivals_.erase(failed.arrival) == 1);
+    if (failed.error.ran == Ran::kNo) records_[failed.request].reported_not_run = true;
   }
   void On(const CompleteRequest& finish) {
     if (finish.arrival != 0) CHECK(open_arrivals_.erase(finish.arrival) == 1);
@@ -214,7 +215,7 @@
     }
   }
 
-  GateFixture fixture_;
+  SchedulerFixture fixture_;
   std::mt19937 random_;
   Epoch epoch_ = 1;
   std::vector<Dispatch> sent_;
--- a/test/placement-faults-test.cc
+++ b/test/placement-faults-test.cc
@@ -42,7 +42,7 @@
 
  private:
   struct Agent {
-    PlacementReconciler placer{kSettings};
+    PlacementReconciler reconciler{kSettings};
     std::deque<ReconcilerAction> pending;
     bool drained = false;
   };
@@ -61,8 +61,8 @@
 
   void Step(int index, const DesiredPlacement& desired) {
     Agent& agent = agents_[index];
-    Enqueue(agent, agent.placer.Step(now_, desired));
-    Enqueue(agent, agent.placer.Step(now_, ReconcilerTick{}));
+    Enqueue(agent, agent.reconciler.Step(now_, desired));
+    Enqueue(agent, agent.reconciler.Step(now_, ReconcilerTick{}));
     for (std::size_t n = agent.pending.size(); n > 0; --n) {
       const ReconcilerAction action = agent.pending.front();
       agent.pending.pop_front();
@@ -78,7 +78,7 @@
     Agent& agent = agents_[index];
     const Error lost = Failure(ErrorKind::kStoreUnavailable, Ran::kNo);
     const auto reply = [&](const ReconcilerEvent& event) {
-      Enqueue(agent, agent.placer.Step(now_, event));
+      Enqueue(agent, agent.reconciler.Step(now_, event));
     };
     std::visit(Overloaded{
                    [&](const ReadOwnership&) {
@@ -110,7 +110,7 @@
     const bool ordered_undrained = drains && !agent.drained;
     REQUIRE_FALSE(ordered_undrained);
     const auto fail = [&](ErrorKind kind, Ran ran) {
-      Enqueue(agent, agent.placer.Step(now_, OrderFailed{send.number, Failure(kind, ran)}));
+      Enqueue(agent, agent.reconciler.Step(now_, OrderFailed{send.number, Failure(kind, ran)}));
     };
     if (now_ > send.not_after) return fail(ErrorKind::kDeadlineExceeded, Ran::kNo);
     if (checks_fencing_ && send.order.fence < state_.fence) {
@@ -134,7 +134,8 @@
       if (in_flight.ends_at > now_) continue;
       if (!checks_fencing_ || in_flight.order.fence == state_.fence) Apply(in_flight.order);
       Agent& agent = agents_[in_flight.agent];
-      if (!in_flight.answered) Enqueue(agent, agent.placer.Step(now_, OrderDone{in_flight.number}));
+      if (!in_flight.answered)
+        Enqueue(agent, agent.reconciler.Step(now_, OrderDone{in_flight.number}));
     }
     std::erase_if(in_flight_,
                   [&](const OrderInFlight& in_flight) { return in_flight.ends_at <= now_; });
@@ -152,7 +153,7 @@
     CHECK(std::count(state_.models.begin(), state_.models.end(), desired.models.front()) == 1);
     CHECK(state_.models.size() == 1);
     CHECK(state_.role == desired.role);
-    CHECK(agents_[owner_].placer.settled());
+    CHECK(agents_[owner_].reconciler.settled());
     CHECK_FALSE(agents_[owner_].drained);
   }
 
--- a/test/placement-test.cc
+++ b/test/placement-test.cc
@@ -11,15 +11,15 @@
 
 namespace {
 
-// A placer under test, its clock, and the actions that its last event returned.
+// A reconciler under test, its clock, and the actions that its last event returned.
 struct ReconcilerFixture {
-  PlacementReconciler placer{kSettings};
+  PlacementReconciler reconciler{kSettings};
   Time now{seconds(1000)};
   std::vector<ReconcilerAction> actions;
   std::uint64_t number = 0;  // of the last order
 
   void Handle(const ReconcilerEvent& event) {
-    actions = placer.Step(now, event);
+    actions = reconciler.Step(now, event);
     if (const auto* send = FindAction<SendOrder>()) number = send->number;
   }
   void AdvanceTime(Duration time) { now += time; }
@@ -78,7 +78,7 @@
   fixture.Handle(OrderDone{fixture.number});
   fixture.Handle(EngineStateRead{StateOf({"note-llm@2"}, "mixed", 812)});
   fixture.OnlyAction<EndDrain>();
-  CHECK(fixture.placer.settled());
+  CHECK(fixture.reconciler.settled());
 }
 
 // A role change must not unload a model that is in use: the model was loaded without
@@ -169,7 +169,7 @@
   fixture.OnlyAction<ReadEngineState>();
   fixture.Handle(EngineStateRead{StateOf({"m@1"}, "prefill", 7)});
   fixture.OnlyAction<EndDrain>();
-  CHECK(fixture.placer.settled());
+  CHECK(fixture.reconciler.settled());
 }
 
 // An engine must not stay drained for minutes after a role change: the order takes
@@ -228,7 +228,7 @@
   CHECK(fixture.OnlyAction<ReportPlacementError>().error.kind == ErrorKind::kFenced);
   fixture.Handle(DesiredState(9, {"m@2"}));
   fixture.Handle(EngineStateRead{StateOf({"m@2"}, "mixed", 9)});
-  CHECK(fixture.placer.settled());
+  CHECK(fixture.reconciler.settled());
 }
 
 TEST_CASE("reverting the desired placement ends the drain that it started") {
@@ -237,7 +237,7 @@
   fixture.OnlyAction<BeginDrain>();
   fixture.Handle(DesiredState(8, {"m@1"}, "mixed"));
   fixture.OnlyAction<EndDrain>();
-  CHECK(fixture.placer.settled());
+  CHECK(fixture.reconciler.settled());
   fixture.Handle(EngineDrained{});  // late, so it is ignored
   CHECK(fixture.actions.empty());
 }
