--- a/test/placement-faults-test.cc
+++ b/test/placement-faults-test.cc
@@ -34,8 +34,8 @@
       if (step == 600) owner_ = 1;      // the successor starts while the first still exists
       faults_off_ = step % 1000 > 500;  // no faults in the last half of each period
       EndOrders();
-      if (owner_ == 1) Step(1, desired);
-      if (!Paused(step)) Step(0, desired);
+      if (owner_ == 1) StepAgent(1, desired);
+      if (!Paused(step)) StepAgent(0, desired);
       if (step % 1000 == 999) CheckConverged(desired);
     }
   }
@@ -59,7 +59,7 @@
   // Agent 0 is paused around its successor's start and resumes afterwards.
   [[nodiscard]] bool Paused(int step) const { return step > 580 && step < 1200; }
 
-  void Step(int index, const DesiredPlacement& desired) {
+  void StepAgent(int index, const DesiredPlacement& desired) {
     Agent& agent = agents_[index];
     Enqueue(agent, agent.reconciler.Step(now_, desired));
     Enqueue(agent, agent.reconciler.Step(now_, ReconcilerTick{}));
