--- a/src/placement/placement_reconciler.cc
+++ b/src/placement/placement_reconciler.cc
@@ -36,8 +36,8 @@
                  [&](const OwnershipRead& ownership) {
                    if (answered(PendingReply::kOwnership)) OnOwnership(now, ownership.owned);
                  },
-                 [&](const OwnershipReadFailed& failed) {
-                   if (answered(PendingReply::kOwnership)) Retry(now, failed.error);
+                 [&](const OwnershipReadFailed& read_failed) {
+                   if (answered(PendingReply::kOwnership)) Retry(now, read_failed.error);
                  },
                  [&](const EngineStateRead& read) { OnStateReply(now, read.state); },
                  [&](const WeightsGranted& granted) {
