--- a/test/gate-fixture.h
+++ b/test/gate-fixture.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// A gate under test with its clock, and short ways to step it.
+// A scheduler under test with its clock, and helper functions to step it.
 
 #include <string>
 #include <utility>
@@ -10,14 +10,15 @@
 
 namespace figmill::test {
 
-struct GateFixture {
-  explicit GateFixture(GateConfig config = {}) : gate(config), incarnation(config.incarnation) {}
+struct SchedulerFixture {
+  explicit SchedulerFixture(SchedulerConfig config = {})
+      : scheduler(config), incarnation(config.incarnation) {}
 
   Dispatch Online(std::string request) const {
     Dispatch dispatch;
     dispatch.request.value = std::move(request);
     dispatch.incarnation = incarnation;
-    dispatch.tokens = 100;
+    dispatch.max_tokens = 100;
     dispatch.stamp = now;
     return dispatch;
   }
@@ -31,38 +32,42 @@
     dispatch.time_left = std::chrono::hours(1);
     return dispatch;
   }
-  std::vector<GateAction> Step(const GateEvent& event) { return last = gate.Step(now, event); }
-  std::vector<GateAction> Arrive(Dispatch dispatch) {
-    return Step(Arrived{++arrivals, std::move(dispatch)});
+  std::vector<SchedulerAction> Step(const SchedulerEvent& event) {
+    return last_actions = scheduler.Step(now, event);
   }
-  void Pass(Duration time) { now += time; }
+  std::vector<SchedulerAction> Arrive(Dispatch dispatch) {
+    return Step(DispatchArrived{++arrivals, std::move(dispatch)});
+  }
+  void AdvanceTime(Duration time) { now += time; }
 
-  // Runs `count` batch streams up to their first token.
-  void RunBatch(int count) {
+  // Starts `count` batch streams and reports their first token.
+  void StartBatchStreams(int count) {
     for (int i = 0; i < count; ++i) {
       const std::string request = "batch-" + std::to_string(i);
       Arrive(Batch(request));
-      Pass(Duration(20'000));
-      Step(BackendTokens{RequestId{request}});
+      AdvanceTime(Duration(20'000));
+      Step(StreamTokens{RequestId{request}});
     }
   }
 
   template <typename Action>
-  [[nodiscard]] std::vector<Action> Last() const {
+  [[nodiscard]] std::vector<Action> LastActions() const {
     std::vector<Action> found;
-    for (const GateAction& action : last) {
+    for (const SchedulerAction& action : last_actions) {
       if (const auto* match = std::get_if<Action>(&action)) found.push_back(*match);
     }
     return found;
   }
-  // The state that the last revoke or cancel was answered with.
-  [[nodiscard]] Result<RequestState> Answer() const { return Last<OrderAnswer>().at(0).state; }
+  // The state in the answer to the last revoke or cancel.
+  [[nodiscard]] Result<RequestState> LastCommandState() const {
+    return LastActions<CommandReply>().at(0).state;
+  }
 
-  Gate gate;
+  BackendScheduler scheduler;
   Incarnation incarnation;
   Time now = Time(std::chrono::hours(1));
-  Arrival arrivals = 0;
-  std::vector<GateAction> last;
+  ArrivalId arrivals = 0;
+  std::vector<SchedulerAction> last_actions;
 };
 
 }  // namespace figmill::test
