--- a/include/figmill/store_paths.h
+++ b/include/figmill/store_paths.h
@@ -54,7 +54,7 @@
 
  private:
   struct OpenCall {
-    Time begun_at{};
+    Time opened_at{};
     bool long_poll = false;
   };
   [[nodiscard]] bool LooksUnresponsive(Time now) const;
--- a/src/items/item_work.cc
+++ b/src/items/item_work.cc
@@ -15,9 +15,9 @@
       running.begin(), running.end(),
       [&order](const RunningItem& a, const RunningItem& b) { return order(a) < order(b); });
   std::vector<JobItemRef> stop;
-  for (const RunningItem& item : running) {
+  for (const RunningItem& candidate : running) {
     if (static_cast<int>(stop.size()) >= excess) break;
-    stop.push_back(item.key);
+    stop.push_back(candidate.key);
   }
   return stop;
 }
--- a/src/store_paths/store_paths.cc
+++ b/src/store_paths/store_paths.cc
@@ -6,9 +6,9 @@
 
 bool StorePaths::LooksUnresponsive(Time now) const {
   return std::any_of(open_direct_.begin(), open_direct_.end(), [&](const auto& entry) {
-    const OpenCall& call = entry.second;
-    return !call.long_poll && now - call.begun_at >= kUnresponsiveAfter &&
-           direct_answered_at_ < call.begun_at;
+    const OpenCall& open_call = entry.second;
+    return !open_call.long_poll && now - open_call.opened_at >= kUnresponsiveAfter &&
+           direct_answered_at_ < open_call.opened_at;
   });
 }
 
