--- a/include/figmill/store_paths.h
+++ b/include/figmill/store_paths.h
@@ -44,7 +44,7 @@
   // `long_poll`: the store holds the call open until something changes.
   [[nodiscard]] Path Begin(bool long_poll, Time now);
   // An alternative path for a call that failed, if there is one.
-  [[nodiscard]] std::optional<Path> BeginOther(const Path& refused, Time now);
+  [[nodiscard]] std::optional<Path> BeginAlternative(const Path& refused, Time now);
   void End(const Path& path, Outcome outcome, Time now);
 
   // The entries that are currently live, without this one.
--- a/src/gateway/store_caller.cc
+++ b/src/gateway/store_caller.cc
@@ -87,7 +87,7 @@
     const bool harmless = outcome == StorePaths::Outcome::kRefused ||
                           (outcome == StorePaths::Outcome::kLost && call.method == "GET");
     if (may_go_other_way && harmless) {
-      if (const auto other = paths_.BeginOther(path, Loop::Now())) {
+      if (const auto other = paths_.BeginAlternative(path, Loop::Now())) {
         return Send(std::move(call), *other, /*may_go_other_way=*/false, std::move(done));
       }
     }
--- a/src/store_paths/store_paths.cc
+++ b/src/store_paths/store_paths.cc
@@ -35,7 +35,7 @@
   return BeginDirect(long_poll, now);
 }
 
-std::optional<StorePaths::Path> StorePaths::BeginOther(const Path& refused, Time now) {
+std::optional<StorePaths::Path> StorePaths::BeginAlternative(const Path& refused, Time now) {
   if (refused.peer) return BeginDirect(/*long_poll=*/false, now);
   if (std::optional<Address> peer = NextUsablePeer(now))
     return Path{++next_call_, std::move(peer), now};
--- a/test/store-paths-test.cc
+++ b/test/store-paths-test.cc
@@ -33,7 +33,7 @@
   StorePaths paths = WithPeers();
   const auto refused = paths.Begin(false, kStart);
   paths.End(refused, StorePaths::Outcome::kRefused, kStart);
-  const auto other = paths.BeginOther(refused, kStart);
+  const auto other = paths.BeginAlternative(refused, kStart);
   REQUIRE(other);
   CHECK(other->peer);
   paths.End(*other, StorePaths::Outcome::kAnswered, kStart);
