--- a/include/figmill/items.h
+++ b/include/figmill/items.h
@@ -26,7 +26,7 @@
   auto operator<=>(const JobItemRef&) const = default;
 };
 
-// --- Output -----------------------------------------------------------------------
+// --- Output ----------------------------------------------------------------------
 
 // The output of one item, collected over any number of runs, each of which resumes where the
 // previous one was interrupted.
@@ -35,7 +35,7 @@
   // Bytes of an event stream.
   void Feed(std::string_view bytes);
   // The run was interrupted: drops an incomplete event, which the next run sends again.
-  void BreakOff() { pieces_.DropTail(); }
+  void DropPartialEvent() { pieces_.DropTail(); }
   // Whether the run sends events that earlier runs have already delivered.
   [[nodiscard]] bool repeats() const { return pieces_.repeats(); }
   // Whether the bytes so far end with a complete event.
@@ -71,29 +71,29 @@
 struct NotRun {              // the backend server did not run the item
   bool misdirected = false;  // a backend server other than the intended one responded
 };
-struct Stray {};       // the response belongs to another request
-struct Impossible {};  // the item can't be processed; a retry would fail too
+struct WrongRequest {};   // the response belongs to another request
+struct Unprocessable {};  // the item can't be processed; a retry would fail too
 struct Failed {
-  bool counts = false;  // toward the failures that the route allows
+  bool counts_as_failure = false;  // toward the failures that the route allows
 };
 }  // namespace item_answer
-using ItemAnswer = std::variant<item_answer::Output, item_answer::NotRun, item_answer::Stray,
-                                item_answer::Impossible, item_answer::Failed>;
+using ItemAnswer = std::variant<item_answer::Output, item_answer::NotRun, item_answer::WrongRequest,
+                                item_answer::Unprocessable, item_answer::Failed>;
 [[nodiscard]] ItemAnswer ItemAnswerOf(const ItemAnswerHead& head);
 
-// --- Runs -------------------------------------------------------------------------
+// --- Runs ------------------------------------------------------------------------
 
 struct RunningItem {
   JobItemRef key;
   StoreTime due{0};
-  Duration needed{0};  // expected until it is complete
+  Duration time_to_finish{0};  // expected until it is complete
 };
 // The items to preempt when `excess` too many are running: first those that can't complete by
 // their due time any more, then those with the most slack.
 [[nodiscard]] std::vector<JobItemRef> ItemsToStop(std::vector<RunningItem> running, int excess,
                                                   std::optional<StoreTime> now);
 
-// --- Giving up --------------------------------------------------------------------
+// --- Giving up -------------------------------------------------------------------
 
 // Whether an item may run again after a failed run. Its route sets how often it may fail. While no
 // route is known the item keeps waiting: otherwise an item whose route isn't known yet would be
@@ -109,9 +109,9 @@
 // accepted the job: an owner with an outdated configuration may not know the route
 // yet, and listing an item as dead is final. For the same reason a job expires only
 // by the store's clock, never while that is unknown.
-[[nodiscard]] std::optional<std::string_view> WhyGivenUp(const JobHead& head, bool has_route,
-                                                         std::uint64_t config_version,
-                                                         std::optional<StoreTime> now);
+[[nodiscard]] std::optional<std::string_view> GiveUpReason(const JobHead& head, bool has_route,
+                                                           std::uint64_t config_version,
+                                                           std::optional<StoreTime> now);
 
 // --- Duration --------------------------------------------------------------------
 
@@ -119,7 +119,7 @@
 // runs. Bursts of online load preempt an item several times before it completes. Only short items
 // complete in a single run; an estimate from those is too low, so that items would be started that
 // can't complete in time, and most of them would be slightly late.
-class ItemPace {
+class ItemDurationEstimator {
  public:
   // Running time of a complete item before any was observed.
   static constexpr Duration kDefaultWork{5'000'000};
@@ -127,7 +127,7 @@
   static constexpr double kNewestWeight = 0.1;
   // Ratio of the time from an item's first run to its end to its running time, before any was
   // observed: assumes that online load holds its slot half of the time.
-  static constexpr double kUsualStretch = 2;
+  static constexpr double kDefaultSlowdown = 2;
   // With a higher ratio hardly any item would be expected to complete in time.
   static constexpr double kMaxSlowdown = 4;
   // Share of a started item that remains, before any complete item was observed. With a share of
@@ -137,16 +137,16 @@
   static constexpr double kMinRemainingShare = 0.05;
 
   // A run of the given length delivered `events`.
-  void RunEnded(std::uint64_t events, Duration length);
+  void OnRunEnded(std::uint64_t events, Duration length);
   // An item completed in time, with `events` in all. Its runs took `work` together; `took` has
   // passed since the first one's start.
-  void Whole(std::uint64_t events, Duration work, Duration took);
+  void OnCompleted(std::uint64_t events, Duration work, Duration took);
 
   // Remaining running time of an item that has delivered `events`, without interruptions.
-  [[nodiscard]] Duration WorkLeft(std::uint64_t events) const;
+  [[nodiscard]] Duration RemainingWork(std::uint64_t events) const;
   // Remaining time until the item completes, with the expected interruptions: nearly none for an
   // item that is almost complete, the average for one that has not started.
-  [[nodiscard]] Duration TimeLeft(std::uint64_t events) const;
+  [[nodiscard]] Duration TimeToFinish(std::uint64_t events) const;
 
  private:
   [[nodiscard]] double RemainingShare(std::uint64_t events) const;
@@ -156,14 +156,14 @@
   double run_us_ = 0;
   double run_events_ = 0;
   double item_events_ = 0;  // average of a complete item; 0: none was observed
-  double slowdown_ = kUsualStretch;
+  double slowdown_ = kDefaultSlowdown;
 };
 
 // --- Order of work ---------------------------------------------------------------
 
 // The times that decide whether and in which order waiting items start.
 struct BacklogTime {
-  Time here{};                     // clock of this process; for retry delays
+  Time local{};                    // clock of this process; for retry delays
   std::optional<StoreTime> store;  // the store's clock, for due times; empty until it is known
 };
 
@@ -171,9 +171,9 @@
 enum class ItemRank : std::uint8_t {
   // Has delivered output and can complete in time. Its work is wasted if it completes late, and
   // after each burst of online load there are as many of these items as slots.
-  kBegun,
-  kFresh,  // has no output yet, and can complete in time
-  kLate,   // can't complete in time any more; uses the slots that the others leave
+  kStarted,
+  kNotStarted,  // has no output yet, and can complete in time
+  kLate,        // can't complete in time any more; uses the slots that the others leave
 };
 
 // Waiting items of all jobs, and which of them runs next. There may be more items than can run
@@ -185,9 +185,9 @@
     JobId job;
     std::size_t item = 0;
     StoreTime due{0};
-    Duration needed{0};  // expected until it is complete, see ItemPace::TimeLeft
-    Time not_before{};   // earliest start, after a failure
-    bool begun = false;  // it has delivered a part of its output
+    Duration time_to_finish{0};  // estimated by ItemDurationEstimator::TimeToFinish
+    Time not_before{};           // earliest start, after a failure
+    bool started = false;        // it has delivered a part of its output
   };
 
   // While `now` is unknown every item counts as able to complete in time.
@@ -210,7 +210,7 @@
   std::vector<Entry> entries_;
 };
 
-// --- Items of an owner ---------------------------------------------------------------------
+// --- Items of an owner -----------------------------------------------------------
 
 // Progress of an open item.
 struct ItemProgress {
@@ -226,26 +226,26 @@
 };
 
 // All open items of the jobs that an entry owns: the progress of each, and the waiting ones.
-class ItemWork {
+class ItemScheduler {
  public:
   // Restores output of the item that an earlier owner stored.
   void Restore(const JobItemRef& key, const ledger::ProgressPiece& piece);
-  void Wait(const JobItemRef& key, StoreTime due, Time not_before);
+  void Enqueue(const JobItemRef& key, StoreTime due, Time not_before);
   // Removes the next item that may start now and fits from the backlog, and starts a run of it.
-  [[nodiscard]] std::optional<ItemBacklog::Entry> Next(
+  [[nodiscard]] std::optional<ItemBacklog::Entry> StartNext(
       const BacklogTime& now, const std::function<bool(const JobItemRef&)>& fits);
   // The item's run has ended, successfully or not.
-  void RunEnded(const JobItemRef& key, Time now);
+  void OnRunEnded(const JobItemRef& key, Time now);
   // The item's last run completed its output.
-  void Whole(const JobItemRef& key, const BacklogTime& now);
+  void OnCompleted(const JobItemRef& key, const BacklogTime& now);
   // The item will not run any more.
   ItemProgress Remove(const JobItemRef& key);
   void RemoveJob(const JobId& job);
 
-  [[nodiscard]] ItemProgress& Of(const JobItemRef& key) { return progress_[key]; }
+  [[nodiscard]] ItemProgress& ProgressOf(const JobItemRef& key) { return progress_[key]; }
   // Expected until the item is complete.
-  [[nodiscard]] Duration TimeLeft(const JobItemRef& key) const;
-  [[nodiscard]] const std::map<JobItemRef, ItemProgress>& open() const { return progress_; }
+  [[nodiscard]] Duration TimeToFinish(const JobItemRef& key) const;
+  [[nodiscard]] const std::map<JobItemRef, ItemProgress>& open_items() const { return progress_; }
   [[nodiscard]] const ItemBacklog& backlog() const { return backlog_; }
   [[nodiscard]] std::set<JobId> Jobs() const;
   // The output of the job's runs since the last call.
@@ -254,7 +254,7 @@
  private:
   std::map<JobItemRef, ItemProgress> progress_;
   ItemBacklog backlog_;
-  ItemPace pace_;
+  ItemDurationEstimator estimator_;
 };
 
 }  // namespace figmill
--- a/src/gateway/batch_runner.cc
+++ b/src/gateway/batch_runner.cc
@@ -25,7 +25,7 @@
   for (const auto& [group, items] : work_.backlog().Startable(TimeNow())) {
     const auto& [rank, due] = group;
     if (waiting.size() < WaitingItems::kMaxGroups) {
-      waiting.push_back({due, items, rank == ItemRank::kBegun});
+      waiting.push_back({due, items, rank == ItemRank::kStarted});
     } else {
       waiting.back().items += items;
     }
@@ -77,7 +77,7 @@
   const OwnedJob* job = jobs_.Owned(key.job);
   if (job == nullptr) return;
   pause = std::max(pause, QuarantineLeft(*job, key));
-  work_.Wait(key, job->head().due, Loop::Now() + pause);
+  work_.Enqueue(key, job->head().due, Loop::Now() + pause);
   if (pause.count() > 0) tools_.loop.Later(pause, [this] { Pump(); });
 }
 
@@ -131,7 +131,7 @@
   for (const auto& [backend, count] : excess) {
     std::vector<RunningItem> there;
     for (const auto& [key, run] : runs_) {
-      if (run.backend.id == backend) there.push_back({key, run.due, work_.TimeLeft(key)});
+      if (run.backend.id == backend) there.push_back({key, run.due, work_.TimeToFinish(key)});
     }
     for (const JobItemRef& key : ItemsToStop(std::move(there), count, TimeNow().store)) {
       Requeue(key, relay::SendEnd::kAbandoned, "gives way to online", Duration{0});
@@ -159,8 +159,8 @@
 }
 
 bool BatchRunner::StartOn(const BackendInfo& backend) {
-  const auto entry =
-      work_.Next(TimeNow(), [this, &backend](const JobItemRef& key) { return Fits(key, backend); });
+  const auto entry = work_.StartNext(
+      TimeNow(), [this, &backend](const JobItemRef& key) { return Fits(key, backend); });
   if (!entry) return false;
   Start({entry->job, entry->item}, entry->due, backend);
   return true;
@@ -169,7 +169,7 @@
 void BatchRunner::Start(const JobItemRef& key, StoreTime due, const BackendInfo& backend) {
   const OwnedJob* job = jobs_.Owned(key.job);
   const JobItem& item = job->items()[key.item];
-  const ItemProgress& progress = work_.Of(key);
+  const ItemProgress& progress = work_.ProgressOf(key);
   HttpCall call = ItemCall(tools_.names, job->head(), item);
   const RequestFingerprint fingerprint = FingerprintOf(job->head(), call);
   call.to = backend.address;
@@ -250,14 +250,14 @@
                                                        : relay::SendEnd::kRejected;
                    Requeue(key, end, "not run, " + why, kRetryPause);
                  },
-                 [&](item_answer::Stray) {
+                 [&](item_answer::WrongRequest) {
                    Requeue(key, relay::SendEnd::kBroken, "answered another request", kRetryPause);
                  },
-                 [&](item_answer::Impossible) {
+                 [&](item_answer::Unprocessable) {
                    EndRun(key, relay::SendEnd::kAnswered);
                    Finish(key, ResultState::kDead, why);
                  },
-                 [&](item_answer::Failed failed) { OnFailed(key, failed.counts, why); },
+                 [&](item_answer::Failed failed) { OnFailed(key, failed.counts_as_failure, why); },
              },
              ItemAnswerOf({head.status, not_run, id}));
 }
@@ -265,7 +265,7 @@
 void BatchRunner::OnFailed(const JobItemRef& key, bool counts, const std::string& why) {
   const OwnedJob* job = jobs_.Owned(key.job);
   const Route* route = RouteOf(job->head(), job->items()[key.item]);
-  int& failures = work_.Of(key).failures;
+  int& failures = work_.ProgressOf(key).failures;
   if (counts) ++failures;
   FailedRuns failed{failures, {}};
   if (route != nullptr) failed.allowed = route->max_backends;
@@ -278,19 +278,19 @@
 
 void BatchRunner::OnBytes(const JobItemRef& key, std::string_view bytes) {
   if (!runs_[key].answering) return;
-  ItemText& text = work_.Of(key).text;
+  ItemText& text = work_.ProgressOf(key).text;
   text.Feed(bytes);
   if (text.repeats()) Requeue(key, relay::SendEnd::kBroken, "an event came again", kRetryPause);
 }
 
 void BatchRunner::OnEnd(const JobItemRef& key) {
   const Run& run = runs_[key];
-  if (!run.answering || !work_.Of(key).text.at_event_end()) {
+  if (!run.answering || !work_.ProgressOf(key).text.at_event_end()) {
     return Requeue(key, relay::SendEnd::kBroken, "ended early", kRetryPause);
   }
   if (tools_.crashes.has_reports()) tools_.crashes.Completed(run.lost_send.request);
   EndRun(key, relay::SendEnd::kAnswered);
-  work_.Whole(key, TimeNow());
+  work_.OnCompleted(key, TimeNow());
   Finish(key, ResultState::kComplete, "");
 }
 
@@ -302,14 +302,14 @@
   run.cancel();
   const Time now = Loop::Now();
   tools_.sends.Remove(run.number);
-  work_.RunEnded(key, now);
+  work_.OnRunEnded(key, now);
   tools_.places.Ended(run.place, end, now - run.started_at, now);
 }
 
 void BatchRunner::Requeue(const JobItemRef& key, relay::SendEnd end, std::string_view why,
                           Duration pause) {
-  ItemProgress& progress = work_.Of(key);
-  progress.text.BreakOff();
+  ItemProgress& progress = work_.ProgressOf(key);
+  progress.text.DropPartialEvent();
   tools_.metrics.ItemStopped(end);
   Log(LogLevel::kInfo, "item_stopped",
       {{"job", key.job.value},
--- a/src/gateway/batch_sweep.cc
+++ b/src/gateway/batch_sweep.cc
@@ -16,14 +16,14 @@
 void BatchRunner::GiveUpHopeless() {
   const bool check_routes = std::exchange(check_routes_, false) && routes_;
   std::vector<std::pair<JobItemRef, std::string_view>> hopeless;
-  for (const auto& [key, progress] : work_.open()) {
+  for (const auto& [key, progress] : work_.open_items()) {
     const OwnedJob* job = jobs_.Owned(key.job);
     if (job == nullptr) continue;
     const JobHead& head = job->head();
     const bool has_route =
         !check_routes || routes_->Find(head.host, job->items()[key.item].target) != nullptr;
     const std::uint64_t version = routes_ ? routes_->version() : 0;
-    const auto why = WhyGivenUp(head, has_route, version, TimeNow().store);
+    const auto why = GiveUpReason(head, has_route, version, TimeNow().store);
     if (why) hopeless.emplace_back(key, *why);
   }
   for (const auto& [key, why] : hopeless) {
--- a/src/items/item_answer.cc
+++ b/src/items/item_answer.cc
@@ -11,10 +11,10 @@
 
 ItemAnswer ItemAnswerOf(const ItemAnswerHead& head) {
   const bool not_run = head.not_run || head.status == kMisdirected;
-  if (!IsOurs(head.id, not_run)) return item_answer::Stray{};
+  if (!IsOurs(head.id, not_run)) return item_answer::WrongRequest{};
   if (not_run) return item_answer::NotRun{head.status == kMisdirected};
   if (head.status == kOk) return item_answer::Output{};
-  if (head.status == kUnprocessable) return item_answer::Impossible{};
+  if (head.status == kUnprocessable) return item_answer::Unprocessable{};
   return item_answer::Failed{head.status == kServerError};
 }
 
--- a/src/items/item_backlog.cc
+++ b/src/items/item_backlog.cc
@@ -6,9 +6,9 @@
 namespace figmill {
 
 ItemRank ItemBacklog::RankOf(const Entry& entry, std::optional<StoreTime> now) {
-  const bool in_time = !now || *now + entry.needed <= entry.due;
+  const bool in_time = !now || *now + entry.time_to_finish <= entry.due;
   if (!in_time) return ItemRank::kLate;
-  return entry.begun ? ItemRank::kBegun : ItemRank::kFresh;
+  return entry.started ? ItemRank::kStarted : ItemRank::kNotStarted;
 }
 
 void ItemBacklog::RemoveJob(const JobId& job) {
@@ -28,7 +28,7 @@
   };
   auto best = entries_.end();
   for (auto it = entries_.begin(); it != entries_.end(); ++it) {
-    if (it->not_before > now.here || !fits(*it)) continue;
+    if (it->not_before > now.local || !fits(*it)) continue;
     if (best == entries_.end() || order(*it) < order(*best)) best = it;
   }
   if (best == entries_.end()) return std::nullopt;
@@ -41,7 +41,7 @@
 std::map<ItemBacklog::Group, int> ItemBacklog::Startable(const BacklogTime& now) const {
   std::map<Group, int> startable;
   for (const Entry& entry : entries_) {
-    if (entry.not_before > now.here) continue;
+    if (entry.not_before > now.local) continue;
     const ItemRank rank = RankOf(entry, now.store);
     ++startable[{rank, rank == ItemRank::kLate ? kLate : entry.due}];
   }
--- a/src/items/item_pace.cc
+++ b/src/items/item_duration_estimator.cc
@@ -15,13 +15,13 @@
 
 }  // namespace
 
-void ItemPace::RunEnded(std::uint64_t events, Duration length) {
+void ItemDurationEstimator::OnRunEnded(std::uint64_t events, Duration length) {
   if (events == 0) return;
   run_us_ = run_us_ * (1 - kNewestWeight) + ToMicroseconds(length);
   run_events_ = run_events_ * (1 - kNewestWeight) + static_cast<double>(events);
 }
 
-void ItemPace::Whole(std::uint64_t events, Duration work, Duration took) {
+void ItemDurationEstimator::OnCompleted(std::uint64_t events, Duration work, Duration took) {
   const auto total_events = static_cast<double>(events);
   item_events_ = item_events_ == 0
                      ? total_events
@@ -32,21 +32,21 @@
   slowdown_ = slowdown_ * (1 - kNewestWeight) + slowdown * kNewestWeight;
 }
 
-double ItemPace::ExpectedWork() const {
+double ItemDurationEstimator::ExpectedWork() const {
   if (item_events_ == 0 || run_events_ == 0) return ToMicroseconds(kDefaultWork);
   return item_events_ * run_us_ / run_events_;
 }
 
-double ItemPace::RemainingShare(std::uint64_t events) const {
+double ItemDurationEstimator::RemainingShare(std::uint64_t events) const {
   if (item_events_ == 0) return events == 0 ? 1 : kDefaultRemainingShare;
   return std::clamp(1 - static_cast<double>(events) / item_events_, kMinRemainingShare, 1.0);
 }
 
-Duration ItemPace::WorkLeft(std::uint64_t events) const {
+Duration ItemDurationEstimator::RemainingWork(std::uint64_t events) const {
   return Microseconds(ExpectedWork() * RemainingShare(events));
 }
 
-Duration ItemPace::TimeLeft(std::uint64_t events) const {
+Duration ItemDurationEstimator::TimeToFinish(std::uint64_t events) const {
   const double left = RemainingShare(events);
   return Microseconds(ExpectedWork() * left * (1 + (slowdown_ - 1) * left));
 }
--- a/src/items/item_work.cc
+++ b/src/items/item_scheduler.cc
@@ -8,8 +8,8 @@
 std::vector<JobItemRef> ItemsToStop(std::vector<RunningItem> running, int excess,
                                     std::optional<StoreTime> now) {
   const auto order = [now](const RunningItem& item) {
-    const bool in_time = !now || *now + item.needed <= item.due;
-    return std::pair(in_time, item.needed - item.due);
+    const bool in_time = !now || *now + item.time_to_finish <= item.due;
+    return std::pair(in_time, item.time_to_finish - item.due);
   };
   std::stable_sort(
       running.begin(), running.end(),
@@ -22,18 +22,18 @@
   return stop;
 }
 
-void ItemWork::Restore(const JobItemRef& key, const ledger::ProgressPiece& piece) {
+void ItemScheduler::Restore(const JobItemRef& key, const ledger::ProgressPiece& piece) {
   progress_[key].text.Restore(piece);
 }
 
-void ItemWork::Wait(const JobItemRef& key, StoreTime due, Time not_before) {
+void ItemScheduler::Enqueue(const JobItemRef& key, StoreTime due, Time not_before) {
   ItemProgress& progress = progress_[key];
   progress.due = due;
-  const bool begun = progress.text.events() > 0;
-  backlog_.Add({key.job, key.item, due, TimeLeft(key), not_before, begun});
+  const bool started = progress.text.events() > 0;
+  backlog_.Add({key.job, key.item, due, TimeToFinish(key), not_before, started});
 }
 
-std::optional<ItemBacklog::Entry> ItemWork::Next(
+std::optional<ItemBacklog::Entry> ItemScheduler::StartNext(
     const BacklogTime& now, const std::function<bool(const JobItemRef&)>& fits) {
   std::optional<ItemBacklog::Entry> entry =
       backlog_.Take(now, [&fits](const ItemBacklog::Entry& each) {
@@ -41,48 +41,48 @@
       });
   if (!entry) return std::nullopt;
   ItemProgress& progress = progress_[{entry->job, entry->item}];
-  if (++progress.runs == 1) progress.first_run_at = now.here;
-  progress.run_at = now.here;
+  if (++progress.runs == 1) progress.first_run_at = now.local;
+  progress.run_at = now.local;
   progress.events_before = progress.text.events();
   return entry;
 }
 
-void ItemWork::RunEnded(const JobItemRef& key, Time now) {
+void ItemScheduler::OnRunEnded(const JobItemRef& key, Time now) {
   const auto found = progress_.find(key);
   if (found == progress_.end()) return;
   ItemProgress& progress = found->second;
   const Duration length = now - progress.run_at;
   progress.work += length;
-  pace_.RunEnded(progress.text.events() - progress.events_before, length);
+  estimator_.OnRunEnded(progress.text.events() - progress.events_before, length);
 }
 
-void ItemWork::Whole(const JobItemRef& key, const BacklogTime& now) {
+void ItemScheduler::OnCompleted(const JobItemRef& key, const BacklogTime& now) {
   const ItemProgress& progress = progress_[key];
   // A late item has waited for all others; its time says nothing about items that can be in time.
   const bool in_time = !now.store || *now.store <= progress.due;
   if (!in_time) return;
-  pace_.Whole(progress.text.events(), progress.work, now.here - progress.first_run_at);
+  estimator_.OnCompleted(progress.text.events(), progress.work, now.local - progress.first_run_at);
 }
 
-ItemProgress ItemWork::Remove(const JobItemRef& key) {
+ItemProgress ItemScheduler::Remove(const JobItemRef& key) {
   backlog_.RemoveItem(key.job, key.item);
   ItemProgress progress = std::move(progress_[key]);
   progress_.erase(key);
   return progress;
 }
 
-void ItemWork::RemoveJob(const JobId& job) {
+void ItemScheduler::RemoveJob(const JobId& job) {
   backlog_.RemoveJob(job);
   std::erase_if(progress_, [&job](const auto& each) { return each.first.job == job; });
 }
 
-std::set<JobId> ItemWork::Jobs() const {
+std::set<JobId> ItemScheduler::Jobs() const {
   std::set<JobId> jobs;
   for (const auto& [key, progress] : progress_) jobs.insert(key.job);
   return jobs;
 }
 
-std::vector<ledger::ProgressPiece> ItemWork::TakePieces(const JobId& job) {
+std::vector<ledger::ProgressPiece> ItemScheduler::TakePieces(const JobId& job) {
   std::vector<ledger::ProgressPiece> pieces;
   for (auto it = progress_.lower_bound({job, 0}); it != progress_.end() && it->first.job == job;
        ++it) {
@@ -91,9 +91,9 @@
   return pieces;
 }
 
-Duration ItemWork::TimeLeft(const JobItemRef& key) const {
+Duration ItemScheduler::TimeToFinish(const JobItemRef& key) const {
   const auto found = progress_.find(key);
-  return pace_.TimeLeft(found == progress_.end() ? 0 : found->second.text.events());
+  return estimator_.TimeToFinish(found == progress_.end() ? 0 : found->second.text.events());
 }
 
 }  // namespace figmill
--- a/test/items-test.cc
+++ b/test/items-test.cc
@@ -29,7 +29,7 @@
   ItemText text;
   text.Feed("id: 1\ndata: a\n\nid: 2\nda");
   CHECK_FALSE(text.at_event_end());
-  text.BreakOff();
+  text.DropPartialEvent();
   CHECK(text.last_id() == "1");
   text.Feed("id: 2\ndata: b\n\n");
   CHECK(text.text() == "a\nb");
@@ -42,11 +42,11 @@
 TEST_CASE("an item's text contains no event twice") {
   ItemText text;
   text.Feed(kEvents + "id: 3\nda");
-  text.BreakOff();
+  text.DropPartialEvent();
   text.Feed(kEvents);
   CHECK(text.repeats());
   CHECK(text.text() == "a\nb");
-  text.BreakOff();
+  text.DropPartialEvent();
   CHECK_FALSE(text.repeats());
   text.Feed("id: 3\ndata: c\n\n");
   CHECK(text.text() == "a\nb\nc");
@@ -62,8 +62,8 @@
   backlog.Add(entry("later", 30));
   backlog.Add(entry("soon", 20));
   const BacklogTime now{Time{}, std::chrono::seconds(10)};
-  const std::map<ItemBacklog::Group, int> groups{{{ItemRank::kFresh, seconds(20)}, 1},
-                                                 {{ItemRank::kFresh, seconds(30)}, 1},
+  const std::map<ItemBacklog::Group, int> groups{{{ItemRank::kNotStarted, seconds(20)}, 1},
+                                                 {{ItemRank::kNotStarted, seconds(30)}, 1},
                                                  {{ItemRank::kLate, ItemBacklog::kLate}, 1}};
   CHECK(backlog.Startable(now) == groups);
   CHECK(backlog.Take(now, all)->job.value == "soon");
@@ -105,15 +105,15 @@
   head.expires = Duration{9'000};
   head.config_version = 7;
   const Duration before{8'999};
-  CHECK_FALSE(WhyGivenUp(head, true, 7, before));
-  CHECK_FALSE(WhyGivenUp(head, true, 7, std::nullopt));
-  CHECK(WhyGivenUp(head, true, 7, head.expires));
-  CHECK(WhyGivenUp(head, false, 8, before));
+  CHECK_FALSE(GiveUpReason(head, true, 7, before));
+  CHECK_FALSE(GiveUpReason(head, true, 7, std::nullopt));
+  CHECK(GiveUpReason(head, true, 7, head.expires));
+  CHECK(GiveUpReason(head, false, 8, before));
   // The owner doesn't yet have the configuration that added the route.
-  CHECK_FALSE(WhyGivenUp(head, false, 6, before));
-  CHECK_FALSE(WhyGivenUp(head, false, 7, before));
+  CHECK_FALSE(GiveUpReason(head, false, 6, before));
+  CHECK_FALSE(GiveUpReason(head, false, 7, before));
   head.expires = head.submitted;  // the job has no expiry
-  CHECK_FALSE(WhyGivenUp(head, true, 7, Duration{99'000}));
+  CHECK_FALSE(GiveUpReason(head, true, 7, Duration{99'000}));
 }
 
 // Guards against an item listed as dead after one failure: its run fails while its owner knows no
@@ -132,9 +132,9 @@
   CHECK(Is<item_answer::Output>(says(200)));
   CHECK(Is<item_answer::NotRun>(says(503, /*not_run=*/true)));
   CHECK(Is<item_answer::NotRun>(says(421)));
-  CHECK(Is<item_answer::Impossible>(says(422)));
-  CHECK(std::get<item_answer::Failed>(says(500)).counts);
-  CHECK_FALSE(std::get<item_answer::Failed>(says(504)).counts);
+  CHECK(Is<item_answer::Unprocessable>(says(422)));
+  CHECK(std::get<item_answer::Failed>(says(500)).counts_as_failure);
+  CHECK_FALSE(std::get<item_answer::Failed>(says(504)).counts_as_failure);
   // Refusals need not name the request.
   CHECK(Is<item_answer::NotRun>(ItemAnswerOf({503, true, AnsweredId::kNone})));
   CHECK(Is<item_answer::NotRun>(ItemAnswerOf({421, false, AnsweredId::kNone})));
@@ -144,11 +144,11 @@
 // responds twice, and its second response, to another item, arrives in place of this item's.
 // If it says "not run", the item would run twice.
 TEST_CASE("a response to another request says nothing about the item") {
-  CHECK(Is<item_answer::Stray>(ItemAnswerOf({503, true, AnsweredId::kAnothers})));
-  CHECK(Is<item_answer::Stray>(ItemAnswerOf({421, false, AnsweredId::kAnothers})));
+  CHECK(Is<item_answer::WrongRequest>(ItemAnswerOf({503, true, AnsweredId::kAnothers})));
+  CHECK(Is<item_answer::WrongRequest>(ItemAnswerOf({421, false, AnsweredId::kAnothers})));
   for (const int status : {200, 422, 500}) {
-    CHECK(Is<item_answer::Stray>(ItemAnswerOf({status, false, AnsweredId::kNone})));
-    CHECK(Is<item_answer::Stray>(ItemAnswerOf({status, false, AnsweredId::kAnothers})));
+    CHECK(Is<item_answer::WrongRequest>(ItemAnswerOf({status, false, AnsweredId::kNone})));
+    CHECK(Is<item_answer::WrongRequest>(ItemAnswerOf({status, false, AnsweredId::kAnothers})));
   }
 }
 
@@ -174,17 +174,18 @@
 }
 
 // Guards against late items that were mostly complete at their due time (two thirds of the late
-// ones had four fifths of their work done): a burst of online load stops all runs; after it the
-// slots go to items that are due a little earlier and have not run yet, when items are ordered by
-// due time alone.
+// ones had four fifths of their work done): a burst of online load stops all runs; after it
+// the slots go to items that are due a little earlier and have not run yet, when items are ordered
+// by due time alone.
 TEST_CASE("items that have started continue before others start") {
   ItemBacklog backlog;
   const auto all = [](const ItemBacklog::Entry&) { return true; };
-  backlog.Add({JobId{"fresh"}, 0, seconds(20), seconds(5), {}, /*begun=*/false});
-  backlog.Add({JobId{"begun"}, 0, seconds(30), seconds(5), {}, /*begun=*/true});
-  backlog.Add({JobId{"too late"}, 0, seconds(12), seconds(5), {}, /*begun=*/true});
+  backlog.Add({JobId{"fresh"}, 0, seconds(20), seconds(5), {}, /*started=*/false});
+  backlog.Add({JobId{"begun"}, 0, seconds(30), seconds(5), {}, /*started=*/true});
+  backlog.Add({JobId{"too late"}, 0, seconds(12), seconds(5), {}, /*started=*/true});
   const BacklogTime now{Time{}, seconds(10)};
-  CHECK(backlog.Startable(now).begin()->first == ItemBacklog::Group{ItemRank::kBegun, seconds(30)});
+  CHECK(backlog.Startable(now).begin()->first ==
+        ItemBacklog::Group{ItemRank::kStarted, seconds(30)});
   CHECK(backlog.Take(now, all)->job.value == "begun");
   CHECK(backlog.Take(now, all)->job.value == "fresh");
   CHECK(backlog.Take(now, all)->job.value == "too late");
@@ -194,62 +195,62 @@
 // late: bursts of online load are so frequent that only short items complete in a single run, and
 // the duration is estimated from items with one run.
 TEST_CASE("an item's duration is estimated from all runs and the interruptions between them") {
-  ItemPace pace;
-  CHECK(pace.WorkLeft(0) == ItemPace::kDefaultWork);
+  ItemDurationEstimator estimator;
+  CHECK(estimator.RemainingWork(0) == ItemDurationEstimator::kDefaultWork);
   for (int item = 0; item < 50; ++item) {
-    pace.RunEnded(60, seconds(3));
-    pace.RunEnded(40, seconds(2));
-    pace.Whole(100, seconds(5), seconds(15));
+    estimator.OnRunEnded(60, seconds(3));
+    estimator.OnRunEnded(40, seconds(2));
+    estimator.OnCompleted(100, seconds(5), seconds(15));
   }
   const auto near = [](Duration a, Duration b) { return a - b < seconds(1) && b - a < seconds(1); };
-  CHECK(near(pace.WorkLeft(0), seconds(5)));
-  CHECK(near(pace.WorkLeft(80), seconds(1)));
-  CHECK(near(pace.TimeLeft(0), seconds(15)));
-  CHECK(pace.TimeLeft(90) < seconds(1));
+  CHECK(near(estimator.RemainingWork(0), seconds(5)));
+  CHECK(near(estimator.RemainingWork(80), seconds(1)));
+  CHECK(near(estimator.TimeToFinish(0), seconds(15)));
+  CHECK(estimator.TimeToFinish(90) < seconds(1));
 }
 
 // Guards against half complete items that run last and are late after a restart of all hosts:
 // each process takes items over before it has observed a complete one, and estimates the
 // remaining work of each as that of a complete item.
 TEST_CASE("a started item has less time left than a new one, even before any was observed") {
-  const ItemPace pace;
-  CHECK(2 * pace.TimeLeft(50) < pace.TimeLeft(0));
+  const ItemDurationEstimator estimator;
+  CHECK(2 * estimator.TimeToFinish(50) < estimator.TimeToFinish(0));
 }
 
 TEST_CASE("an item continues from the output that an earlier owner stored, with less work left") {
   const JobItemRef fresh{JobId{"fresh"}, 0};
-  const JobItemRef begun{JobId{"begun"}, 0};
+  const JobItemRef started{JobId{"begun"}, 0};
   const auto all = [](const JobItemRef&) { return true; };
   const BacklogTime now{Time{seconds(100)}, seconds(0)};
-  ItemWork work;
-  work.Wait(fresh, seconds(30), now.here);
-  REQUIRE(work.Next(now, all));
-  work.Of(fresh).text.Feed(kEvents);
-  work.RunEnded(fresh, now.here + ItemPace::kDefaultWork);
-  work.Whole(fresh, {now.here + ItemPace::kDefaultWork, seconds(5)});
-  CHECK(work.Of(fresh).first_run_at == now.here);
-  work.Remove(fresh);
-
-  work.Restore(begun, PieceOf("a\n", 1));
-  work.Wait(begun, seconds(30), now.here);
-  const auto entry = work.Next(now, all);
+  ItemScheduler scheduler;
+  scheduler.Enqueue(fresh, seconds(30), now.local);
+  REQUIRE(scheduler.StartNext(now, all));
+  scheduler.ProgressOf(fresh).text.Feed(kEvents);
+  scheduler.OnRunEnded(fresh, now.local + ItemDurationEstimator::kDefaultWork);
+  scheduler.OnCompleted(fresh, {now.local + ItemDurationEstimator::kDefaultWork, seconds(5)});
+  CHECK(scheduler.ProgressOf(fresh).first_run_at == now.local);
+  scheduler.Remove(fresh);
+
+  scheduler.Restore(started, PieceOf("a\n", 1));
+  scheduler.Enqueue(started, seconds(30), now.local);
+  const auto entry = scheduler.StartNext(now, all);
   REQUIRE(entry);
-  CHECK(entry->begun);
-  CHECK(entry->needed < ItemPace::kDefaultWork);
-  CHECK(work.Of(begun).text.last_id() == "1");
+  CHECK(entry->started);
+  CHECK(entry->time_to_finish < ItemDurationEstimator::kDefaultWork);
+  CHECK(scheduler.ProgressOf(started).text.last_id() == "1");
 }
 
 TEST_CASE("the output of runs is taken in pieces, each once, and a removed job leaves nothing") {
   const JobItemRef key{JobId{"j"}, 0};
-  ItemWork work;
-  work.Wait(key, seconds(30), Time{});
-  CHECK(work.TakePieces(key.job).empty());
-  work.Of(key).text.Feed(kEvents);
-  const auto pieces = work.TakePieces(key.job);
+  ItemScheduler scheduler;
+  scheduler.Enqueue(key, seconds(30), Time{});
+  CHECK(scheduler.TakePieces(key.job).empty());
+  scheduler.ProgressOf(key).text.Feed(kEvents);
+  const auto pieces = scheduler.TakePieces(key.job);
   REQUIRE(pieces.size() == 1);
   CHECK(pieces[0].events == 2);
-  CHECK(work.TakePieces(key.job).empty());
-  work.RemoveJob(key.job);
-  CHECK(work.open().empty());
-  CHECK(work.backlog().size() == 0);
+  CHECK(scheduler.TakePieces(key.job).empty());
+  scheduler.RemoveJob(key.job);
+  CHECK(scheduler.open_items().empty());
+  CHECK(scheduler.backlog().size() == 0);
 }
--- a/test/place-sim.h
+++ b/test/place-sim.h
@@ -210,14 +210,15 @@
     At(Duration(static_cast<Duration::rep>(gap * 1e6)), [this] { ArriveJob(); });
   }
 
-  // As an owner would queue it. Online takes an item's place as often as ItemPace expects it to.
+  // As an owner would queue it. Online takes an item's place as often as ItemDurationEstimator
+  // expects it to.
   ItemBacklog::Entry AsQueued(const Item& item) const {
     const double left =
         static_cast<double>(item.left.count()) / static_cast<double>(load_.batch_run.count());
-    const double stretch = 1 + (ItemPace::kUsualStretch - 1) * left;
-    const Duration needed(
+    const double stretch = 1 + (ItemDurationEstimator::kDefaultSlowdown - 1) * left;
+    const Duration time_to_finish(
         static_cast<Duration::rep>(static_cast<double>(item.left.count()) * stretch));
-    return {{}, 0, item.due.time_since_epoch(), needed, {}, item.left < load_.batch_run};
+    return {{}, 0, item.due.time_since_epoch(), time_to_finish, {}, item.left < load_.batch_run};
   }
   ItemRank RankOf(const Item& item) const {
     return ItemBacklog::RankOf(AsQueued(item), now_.time_since_epoch());
@@ -229,12 +230,13 @@
       const ItemRank rank = RankOf(item);
       const StoreTime due =
           rank == ItemRank::kLate ? WaitingItems::kLate : item.due.time_since_epoch();
-      ++groups[load_.tells_due ? std::pair(rank, due) : std::pair(ItemRank::kFresh, StoreTime{0})];
+      ++groups[load_.tells_due ? std::pair(rank, due)
+                               : std::pair(ItemRank::kNotStarted, StoreTime{0})];
     }
     std::vector<WaitingItems> waiting;
     waiting.reserve(groups.size());
     for (const auto& [group, items] : groups) {
-      waiting.push_back({group.second, items, group.first == ItemRank::kBegun});
+      waiting.push_back({group.second, items, group.first == ItemRank::kStarted});
     }
     return waiting;
   }
@@ -512,7 +514,7 @@
       const BatchRun& run = engine.batch[i];
       if (run.entry != e) continue;
       const Item item{run.item.left - (now_ - run.since), run.item.due};
-      running.push_back({{{}, i}, item.due.time_since_epoch(), AsQueued(item).needed});
+      running.push_back({{{}, i}, item.due.time_since_epoch(), AsQueued(item).time_to_finish});
     }
     const auto stop = ItemsToStop(std::move(running), 1, now_.time_since_epoch());
     if (stop.empty()) return;
