--- a/include/figmill/once.h
+++ b/include/figmill/once.h
@@ -27,7 +27,7 @@
 
 enum class OncePhase : std::uint8_t {
   kQueued,    // accepted for asynchronous execution (respond-async); not yet claimed
-  kIntended,  // claimed: only `sender` may send `request`, and only to `agent`
+  kClaimed,   // claimed: only `sender` may send `request`, and only to `agent`
   kDone,      // final: every request with the key gets `outcome`
   kUnknown,   // may have run, but its answer was lost; never run again
   kReleased,  // known not to have run; the next request with the key may claim it
@@ -35,10 +35,10 @@
 [[nodiscard]] std::string_view ToString(OncePhase phase);
 
 // One incarnation of a process: an entry that sends items, or the agent that receives them.
-struct OnceParty {
+struct NodeInstance {
   NodeId node;
   Incarnation incarnation = 0;
-  auto operator<=>(const OnceParty&) const = default;
+  auto operator<=>(const NodeInstance&) const = default;
 };
 
 // A complete response. A small body is stored in the row, a larger one as an object.
@@ -54,32 +54,32 @@
 // Row `once/<key>`. Changes to it are ordered by its version, never by a clock.
 struct OnceRow {
   Token token;  // identifies the write that produced this value
-  OncePhase phase = OncePhase::kIntended;
+  OncePhase phase = OncePhase::kClaimed;
   std::string content;  // digest of the request; a request with another digest is a conflict
   TeamId team;
   bool repeatable = false;
   Epoch epoch = 0;  // incremented by every claim and change of owner
-  OnceParty sender;
-  OnceParty agent;
+  NodeInstance sender;
+  NodeInstance agent;
   std::int64_t stamp = 0;  // the agent's clock as last read by the sender; 0: unknown
   RequestId request;
   std::string request_object;  // respond-async: the stored request
   OnceOutcome outcome;
-  std::uint64_t tick = 0;  // value of row kRetentionClockKey at the write
+  std::uint64_t retention_tick = 0;  // value of row kRetentionClockKey at the write
 };
 
 [[nodiscard]] std::string OnceRowKey(const ItemKey& key);
 // Marker row of an accepted item that isn't finished. It names the item's owner, so
 // that a successor finds the item without scanning every key.
-inline constexpr std::string_view kOnceOpenPrefix = "once-open/";
-[[nodiscard]] std::string OnceOpenKey(const NodeId& node, const ItemKey& key);
-struct OnceOpen {
-  OnceParty owner;
+inline constexpr std::string_view kOpenItemMarkerPrefix = "once-open/";
+[[nodiscard]] std::string OpenItemMarkerKey(const NodeId& node, const ItemKey& key);
+struct OpenItemMarker {
+  NodeInstance owner;
   ItemKey key;
 };
 // Errors: kInternal, when the row was not written by figmill.
-[[nodiscard]] Result<OnceOpen> ParseOnceOpen(const Row& row);
-[[nodiscard]] std::string SerializeOnceOpen(const OnceRow& row);
+[[nodiscard]] Result<OpenItemMarker> ParseOpenItemMarker(const Row& row);
+[[nodiscard]] std::string SerializeOpenItemMarker(const OnceRow& row);
 [[nodiscard]] std::string SerializeOnceRow(const OnceRow& row);
 // Errors: kInternal, when the value was not written by figmill.
 [[nodiscard]] Result<OnceRow> ParseOnceRow(std::string_view value);
@@ -98,8 +98,8 @@
 struct OnceWrite {
   RowCondition condition;
   std::string value;
-  std::vector<RowWrite> side;  // of marker rows, in the same transaction
-  bool refusable = false;      // a claim: fails immediately while the store is down
+  std::vector<RowWrite> marker_writes;  // of marker rows, in the same transaction
+  bool fail_fast = false;               // a claim: fails immediately while the store is down
 };
 
 // Result of one OnceWrite.
@@ -109,7 +109,7 @@
 struct OnceRejected {
   std::optional<Row> current;
 };
-using OnceFate = std::variant<OnceCommitted, OnceRejected, NotWritten, FateUnknown>;
+using OnceWriteResult = std::variant<OnceCommitted, OnceRejected, NotWritten, FateUnknown>;
 
 // An agent's answer to `revoke`.
 enum class RevokeState : std::uint8_t {
@@ -127,11 +127,11 @@
 // The online run asks to dispatch `request` to `agent`.
 struct Claim {
   RequestId request;
-  OnceParty agent;
+  NodeInstance agent;
   std::int64_t stamp = 0;  // see OnceRow
 };
-struct Wrote {
-  OnceFate fate;
+struct WriteDone {
+  OnceWriteResult result;
 };
 struct ReadDone {
   Result<std::optional<Row>> row;
@@ -147,24 +147,25 @@
   bool retry = false;
 };
 // The sender doesn't know whether the dispatch ran.
-struct Lost {
+struct SendOutcomeUnknown {
   Error error;
 };
-struct Revoked {
+struct RevokeDone {
   RevokeState state = RevokeState::kUnreachable;
 };
 // The engine answered Resume: it has no such stream.
-struct StreamGone {};
+struct StreamNotFound {};
 // Resume was interrupted, or its agent could not be reached.
 struct ResumeFailed {};
 // The caller has disconnected; a dispatched item runs to its end.
-struct Detached {};
+struct CallerGone {};
 struct ObjectStored {
   bool stored = false;
 };
 struct Tick {};
-using Event = std::variant<Claim, Wrote, ReadDone, Answered, DidNotRun, Lost, Revoked, StreamGone,
-                           ResumeFailed, Detached, ObjectStored, Tick>;
+using Event =
+    std::variant<Claim, WriteDone, ReadDone, Answered, DidNotRun, SendOutcomeUnknown, RevokeDone,
+                 StreamNotFound, ResumeFailed, CallerGone, ObjectStored, Tick>;
 
 // Actions.
 
@@ -181,42 +182,42 @@
 // The claim is durable: this dispatch, and no other, may be sent now.
 struct Send {
   RequestId request;
-  OnceParty agent;
+  NodeInstance agent;
 };
 struct Revoke {
   RequestId request;
-  OnceParty agent;
+  NodeInstance agent;
   std::int64_t stamp = 0;
 };
 // Requests the stream from the engine behind `agent`, whatever the agent's current incarnation.
 struct Resume {
   RequestId request;
-  OnceParty agent;
+  NodeInstance agent;
 };
 // The final response to the caller; `replayed`: it was produced for another request with the key.
-struct TellOutcome {
+struct ReplyOutcome {
   OnceOutcome outcome;
   bool replayed = false;
 };
-struct TellError {
+struct ReplyError {
   Error error;
 };
 // An accepted item did not run and should be dispatched again, beginning with Claim.
-struct TryAgain {};
+struct RetryDispatch {};
 struct WakeAt {
   Time at;
 };
-using Action = std::variant<WriteRow, ReadRow, PutObject, Send, Revoke, Resume, TellOutcome,
-                            TellError, TryAgain, WakeAt>;
+using Action = std::variant<WriteRow, ReadRow, PutObject, Send, Revoke, Resume, ReplyOutcome,
+                            ReplyError, RetryDispatch, WakeAt>;
 
 struct Spec {
   ItemKey key;
   std::string content;
   TeamId team;
   bool repeatable = false;
-  OnceParty self;  // this process
-  std::uint64_t tick = 0;
-  std::optional<Time> wait_until = {};  // the caller's deadline
+  NodeInstance self;  // this process
+  std::uint64_t retention_tick = 0;
+  std::optional<Time> caller_deadline = {};  // the caller's deadline
 };
 
 // The row of an accepted (respond-async) item that this process owns.
@@ -225,7 +226,7 @@
   RowVersion version = 0;
 };
 
-struct Tuning {
+struct Timeouts {
   // How long a claim write with an unknown result is retried before the request is refused.
   Duration claim_timeout{2'000'000};
   // A claim of another sender that stays unchanged for so long is taken to its agent (Revoke).
@@ -244,19 +245,19 @@
   Time now;
   const RandomBits& random;
   // Whether a sender's process is known to be dead or replaced.
-  const std::function<bool(const OnceParty&)>& gone;
+  const std::function<bool(const NodeInstance&)>& gone;
 };
 
 }  // namespace once
 
 // State machine of one request for a keyed or not-repeatable item, at the process that
 // received it, from claim to committed outcome. At most one WriteRow, ReadRow, PutObject,
-// Send, Revoke, Resume or TryAgain is in flight at a time; each is answered by one
+// Send, Revoke, Resume or RetryDispatch is in flight at a time; each is answered by one
 // event.
 class KeyedItem {
  public:
   explicit KeyedItem(once::Spec spec, std::optional<once::Accepted> accepted = {},
-                     once::Tuning tuning = {});
+                     once::Timeouts timeouts = {});
 
   [[nodiscard]] std::vector<once::Action> Handle(const once::Event& event,
                                                  const once::Context& context);
@@ -267,7 +268,7 @@
   [[nodiscard]] bool idle() const { return state_ == State::kIdle || finished(); }
   // A dispatch was sent, and its result is awaited.
   [[nodiscard]] bool sent() const { return state_ == State::kSent; }
-  [[nodiscard]] bool told() const { return replied_; }
+  [[nodiscard]] bool replied() const { return replied_; }
   // The outcome is known and only its commit is awaited.
   [[nodiscard]] bool committing() const { return state_ == State::kCommitting; }
   [[nodiscard]] const once::Spec& spec() const { return spec_; }
@@ -287,15 +288,15 @@
 
   // Each handler appends to actions_.
   void On(const once::Claim& event);
-  void On(const once::Wrote& event);
+  void On(const once::WriteDone& event);
   void On(const once::ReadDone& event);
   void On(const once::Answered& event);
   void On(const once::DidNotRun& event);
-  void On(const once::Lost& event);
-  void On(const once::Revoked& event);
-  void On(const once::StreamGone& event);
+  void On(const once::SendOutcomeUnknown& event);
+  void On(const once::RevokeDone& event);
+  void On(const once::StreamNotFound& event);
   void On(const once::ResumeFailed& event);
-  void On(const once::Detached& event);
+  void On(const once::CallerGone& event);
   void On(const once::ObjectStored& event);
   void On(const once::Tick& event);
 
@@ -325,11 +326,11 @@
   [[nodiscard]] bool ClaimIsStale() const;
 
   once::Spec spec_;
-  once::Tuning tuning_;
+  once::Timeouts timeouts_;
   bool accepted_ = false;
   State state_ = State::kIdle;
   bool replied_ = false;
-  bool detached_ = false;
+  bool caller_gone_ = false;
 
   std::optional<once::Claim> pending_claim_;  // the dispatch whose claim is not committed yet
   RequestId claimed_request_;                 // the last request that this process claimed
@@ -349,7 +350,7 @@
   // Valid during Handle.
   Time now_;
   const RandomBits* random_ = nullptr;
-  const std::function<bool(const OnceParty&)>* gone_ = nullptr;
+  const std::function<bool(const NodeInstance&)>* gone_ = nullptr;
   std::vector<once::Action> actions_;
 };
 
@@ -362,25 +363,25 @@
 // The write by which a successor takes an accepted item over. `row` was read at `version`, and
 // its owner is dead or replaced.
 [[nodiscard]] OnceWrite TakeOverWrite(const ItemKey& key, const OnceRow& row, RowVersion version,
-                                      const OnceParty& self, const RandomBits& random);
+                                      const NodeInstance& self, const RandomBits& random);
 
 // --- Group commit ------------------------------------------------------------------
 
-struct FunnelLimits {
-  std::size_t rows_per_transaction = 100;
+struct GroupCommitLimits {
+  std::size_t max_rows_per_transaction = 100;
   // Between the starts of two transactions: bounds transactions per second under load. A
   // write that arrives after a longer idle time is sent immediately.
-  Duration interval{20'000};
-  std::size_t transactions_in_flight = 4;
-  std::size_t waiting = 10'000;  // queued writes; further ones are refused as not written
-  Duration probe{250'000};       // between claims that probe a store that is down
+  Duration min_interval{20'000};
+  std::size_t max_transactions_in_flight = 4;
+  std::size_t max_waiting = 10'000;  // queued writes; further ones are refused as not written
+  Duration probe_interval{250'000};  // between claims that probe a store that is down
 };
 
 // Group commit: combines the writes of many items into few transactions. A transaction
 // succeeds or fails as a whole; a write whose condition failed is removed from its group and
 // answered, and the rest is submitted again. Used within one process, and by the few
 // entries of a data centre to which the others relay their writes.
-class CommitFunnel {
+class GroupCommitter {
  public:
   using WriteId = std::uint64_t;
   using TransactionId = std::uint64_t;
@@ -391,14 +392,14 @@
   };
   struct Reply {
     WriteId id = 0;
-    OnceFate fate;
+    OnceWriteResult result;
   };
   struct WakeAt {
     Time at;
   };
   using Action = std::variant<Begin, Reply, WakeAt>;
 
-  explicit CommitFunnel(FunnelLimits limits = {}) : limits_(limits) {}
+  explicit GroupCommitter(GroupCommitLimits limits = {}) : limits_(limits) {}
 
   // `id` is chosen by the calling code and unique among writes not yet replied to.
   [[nodiscard]] std::vector<Action> Submit(WriteId id, OnceWrite write, Time now);
@@ -424,7 +425,7 @@
   void ReplyCommitted(const Group& group, const Committed& committed, std::vector<Action>& actions);
   void ReplyRejected(Group group, const Rejected& rejected, std::vector<Action>& actions);
 
-  FunnelLimits limits_;
+  GroupCommitLimits limits_;
   std::deque<PendingWrite> waiting_;
   std::map<TransactionId, Group> in_flight_;
   TransactionId next_id_ = 1;
--- a/src/figmilld/agent/once_agent.cc
+++ b/src/figmilld/agent/once_agent.cc
@@ -37,7 +37,7 @@
 void Read(Reading& reading, DispatchEvent event) {
   const auto refused = [&](const Error& error) {
     const bool gone = error.kind == ErrorKind::kNotFound;
-    reading.done(gone ? OnceAgent::Resumed{once::StreamGone{}}
+    reading.done(gone ? OnceAgent::Resumed{once::StreamNotFound{}}
                       : OnceAgent::Resumed{once::ResumeFailed{}});
   };
   std::visit(Overloaded{
--- a/src/figmilld/agent/once_agent.h
+++ b/src/figmilld/agent/once_agent.h
@@ -19,7 +19,7 @@
   // The agent's present process, whatever its incarnation; null when not known.
   std::function<std::optional<Member>(const NodeId&)> agent;
   // Whether this very process is known to be dead or replaced.
-  std::function<bool(const OnceParty&)> gone;
+  std::function<bool(const NodeInstance&)> gone;
   // The entry of this data centre that writes for it; nothing when that is this one,
   // or none is known.
   std::function<std::optional<Address>()> writer;
@@ -29,7 +29,7 @@
 
 class OnceAgent {
  public:
-  using Resumed = std::variant<OnceOutcome, once::StreamGone, once::ResumeFailed>;
+  using Resumed = std::variant<OnceOutcome, once::StreamNotFound, once::ResumeFailed>;
 
   OnceAgent(HttpClient& client, const OnceView& view) : client_(client), view_(view) {}
 
--- a/src/figmilld/traffic/entry_once.cc
+++ b/src/figmilld/traffic/entry_once.cc
@@ -25,7 +25,7 @@
 }  // namespace
 
 EntryOnce::EntryOnce(Loop& loop, HttpClient& client, TableStore& table, ObjectStore& objects,
-                     OnceParty self, OnceView view, Route route)
+                     NodeInstance self, OnceView view, Route route)
     : loop_(loop),
       self_(std::move(self)),
       view_(std::move(view)),
@@ -63,7 +63,7 @@
   spec.team = team;
   spec.repeatable = repeatable;
   spec.self = self_;
-  spec.tick = sweep_.tick();
+  spec.retention_tick = sweep_.tick();
   return spec;
 }
 
@@ -87,7 +87,7 @@
     return Error{ErrorKind::kOverloaded, "too many requests wait for their outcome's commit"};
   }
   once::Spec spec = SpecOf(request, std::move(ValueOf(key)), repeatable);
-  spec.wait_until = Loop::Now() + time_left;
+  spec.caller_deadline = Loop::Now() + time_left;
   auto ticket = std::make_shared<OnceTicket>(tools_, KeyedItem(std::move(spec)), std::move(reply));
   open_.insert(ticket);
   return ticket;
@@ -105,7 +105,7 @@
 void EntryOnce::OnWrite(const HttpRequest& request, std::shared_ptr<HttpReply> reply) {
   Result<OnceWrite> write = ParseOnceWrite(request.body);
   if (!IsOk(write)) return reply->Send(ProblemOf(ErrorOf(write)));
-  tools_.writer.WriteHere(std::move(ValueOf(write)), [reply](const OnceFate& fate) {
+  tools_.writer.WriteHere(std::move(ValueOf(write)), [reply](const OnceWriteResult& fate) {
     reply->Send({200, "application/json", {}, SerializeOnceFate(fate)});
   });
 }
@@ -212,13 +212,13 @@
                       "the item may be accepted: ask for its result, or send it again",
                       Ran::kUnknown});
   });
-  WriteUntilKnown(acceptance->write, [this, acceptance, object](const OnceFate& fate) {
+  WriteUntilKnown(acceptance->write, [this, acceptance, object](const OnceWriteResult& fate) {
     OnAcceptFate(acceptance, object, fate);
   });
 }
 
 void EntryOnce::OnAcceptFate(const std::shared_ptr<Acceptance>& acceptance,
-                             const std::string& object, const OnceFate& fate) {
+                             const std::string& object, const OnceWriteResult& fate) {
   if (std::holds_alternative<NotWritten>(fate)) {
     return acceptance->Tell({ErrorKind::kStoreUnavailable, "the item could not be recorded"});
   }
@@ -258,11 +258,11 @@
 
 // Submits again until the fate is known; a refusal counts only when no earlier
 // submission can have taken effect.
-void EntryOnce::WriteUntilKnown(OnceWrite write, std::function<void(OnceFate)> done,
+void EntryOnce::WriteUntilKnown(OnceWrite write, std::function<void(OnceWriteResult)> done,
                                 bool unknown_before) {
   const OnceWrite copy = write;
   tools_.writer.Write(copy, [this, write = std::move(write), done = std::move(done),
-                             unknown_before](OnceFate fate) {
+                             unknown_before](OnceWriteResult fate) {
     const bool lost = std::holds_alternative<FateUnknown>(fate);
     if (lost || (unknown_before && std::holds_alternative<NotWritten>(fate))) {
       const std::size_t id = next_retry_++;
--- a/src/figmilld/traffic/entry_once.h
+++ b/src/figmilld/traffic/entry_once.h
@@ -21,8 +21,8 @@
   using Route = std::function<void(HttpRequest, std::shared_ptr<HttpReply>)>;
 
   // `route` runs a stored request as if a caller had sent it.
-  EntryOnce(Loop& loop, HttpClient& client, TableStore& table, ObjectStore& objects, OnceParty self,
-            OnceView view, Route route);
+  EntryOnce(Loop& loop, HttpClient& client, TableStore& table, ObjectStore& objects,
+            NodeInstance self, OnceView view, Route route);
   ~EntryOnce();
 
   // Whether the request must have a ticket: it has a key, or may not be repeated.
@@ -50,17 +50,17 @@
   struct Acceptance;
   [[nodiscard]] Result<ItemKey> KeyOf(const HttpRequest& request) const;
   [[nodiscard]] once::Spec SpecOf(const HttpRequest& request, ItemKey key, bool repeatable) const;
-  void WriteUntilKnown(OnceWrite write, std::function<void(OnceFate)> done,
+  void WriteUntilKnown(OnceWrite write, std::function<void(OnceWriteResult)> done,
                        bool unknown_before = false);
   void WriteAcceptance(const std::shared_ptr<Acceptance>& acceptance, const std::string& object,
                        RowVersion released);
   void OnAcceptFate(const std::shared_ptr<Acceptance>& acceptance, const std::string& object,
-                    const OnceFate& fate);
+                    const OnceWriteResult& fate);
   void StartAccepted(const once::Spec& spec, once::Accepted accepted, HttpRequest request);
   void Answer(const ItemKey& key, const OnceRow& row, const std::shared_ptr<HttpReply>& reply);
   void StartCare();
   void Care();
-  void CareFor(const OnceOpen& open);
+  void CareFor(const OpenItemMarker& open);
   void TakeOver(const ItemKey& key, const OnceRow& row, RowVersion version);
   void Adopt(const ItemKey& key, const OnceRow& row, RowVersion version);
   void ReadClock();
@@ -69,7 +69,7 @@
   void DropFinished();
 
   Loop& loop_;
-  OnceParty self_;
+  NodeInstance self_;
   OnceView view_;
   Route route_;
   OnceTools tools_;
--- a/src/figmilld/traffic/entry_once_care.cc
+++ b/src/figmilld/traffic/entry_once_care.cc
@@ -27,19 +27,19 @@
 void EntryOnce::Care() {
   DropFinished();
   if (!view_.caretaker()) return;
-  tools_.table.Scan({std::string(kOnceOpenPrefix), care_after_, kCarePage},
+  tools_.table.Scan({std::string(kOpenItemMarkerPrefix), care_after_, kCarePage},
                     [this](const Result<std::vector<Row>>& page) {
                       if (!IsOk(page)) return;
                       const std::vector<Row>& rows = ValueOf(page);
                       care_after_ = rows.size() < kCarePage ? std::string() : rows.back().key;
                       for (const Row& row : rows) {
-                        const Result<OnceOpen> open = ParseOnceOpen(row);
+                        const Result<OpenItemMarker> open = ParseOpenItemMarker(row);
                         if (IsOk(open)) CareFor(ValueOf(open));
                       }
                     });
 }
 
-void EntryOnce::CareFor(const OnceOpen& open) {
+void EntryOnce::CareFor(const OpenItemMarker& open) {
   if (open.owner == self_ || !view_.gone(open.owner) || owned_.contains(open.key.value)) return;
   owned_.insert(open.key.value);
   tools_.table.Read(OnceRowKey(open.key),
@@ -53,11 +53,11 @@
 }
 
 void EntryOnce::TakeOver(const ItemKey& key, const OnceRow& row, RowVersion version) {
-  const bool open = row.phase == OncePhase::kQueued || row.phase == OncePhase::kIntended;
+  const bool open = row.phase == OncePhase::kQueued || row.phase == OncePhase::kClaimed;
   if (!open || !view_.gone(row.sender)) return;
   owned_.insert(key.value);
   const OnceWrite write = TakeOverWrite(key, row, version, self_, tools_.random);
-  WriteUntilKnown(write, [this, key, value = write.value](const OnceFate& fate) {
+  WriteUntilKnown(write, [this, key, value = write.value](const OnceWriteResult& fate) {
     const auto* committed = std::get_if<OnceCommitted>(&fate);
     if (committed == nullptr) {
       owned_.erase(key.value);
@@ -88,7 +88,7 @@
     spec.team = row.team;
     spec.repeatable = row.repeatable;
     spec.self = self_;
-    spec.tick = sweep_.tick();
+    spec.retention_tick = sweep_.tick();
     StartAccepted(spec, {row, version}, std::move(ValueOf(request)));
   });
 }
--- a/src/figmilld/traffic/once_relay.cc
+++ b/src/figmilld/traffic/once_relay.cc
@@ -23,7 +23,7 @@
   return DeleteRow{std::move(key)};
 }
 
-OnceFate FateFrom(const Json& json) {
+OnceWriteResult FateFrom(const Json& json) {
   const std::string fate = json.at("fate").get<std::string>();
   if (fate == "committed") return OnceCommitted{json.at("version").get<RowVersion>()};
   if (fate == "not-written") return NotWritten{json.at("why").get<std::string>()};
@@ -39,12 +39,12 @@
 
 std::string SerializeOnceWrite(const OnceWrite& write) {
   Json side = Json::array();
-  for (const RowWrite& row : write.side) side.push_back(ToJson(row));
+  for (const RowWrite& row : write.marker_writes) side.push_back(ToJson(row));
   return Json{{"key", write.condition.key},
               {"version", write.condition.version},
               {"value", write.value},
               {"side", std::move(side)},
-              {"refusable", write.refusable}}
+              {"refusable", write.fail_fast}}
       .dump();
 }
 
@@ -54,15 +54,15 @@
     OnceWrite write;
     write.condition = {json.at("key").get<std::string>(), json.at("version").get<RowVersion>()};
     write.value = json.at("value").get<std::string>();
-    for (const Json& row : json.at("side")) write.side.push_back(RowWriteFrom(row));
-    write.refusable = json.at("refusable").get<bool>();
+    for (const Json& row : json.at("side")) write.marker_writes.push_back(RowWriteFrom(row));
+    write.fail_fast = json.at("refusable").get<bool>();
     return write;
   } catch (const Json::exception& problem) {
     return Error{ErrorKind::kBadRequest, problem.what()};
   }
 }
 
-std::string SerializeOnceFate(const OnceFate& fate) {
+std::string SerializeOnceFate(const OnceWriteResult& fate) {
   return std::visit(Overloaded{
                         [](const OnceCommitted& committed) {
                           return Json{{"fate", "committed"}, {"version", committed.version}};
@@ -87,7 +87,7 @@
       .dump();
 }
 
-OnceFate ParseOnceFate(std::string_view body) {
+OnceWriteResult ParseOnceFate(std::string_view body) {
   try {
     return FateFrom(Json::parse(body));
   } catch (const Json::exception& problem) {
--- a/src/figmilld/traffic/once_relay.h
+++ b/src/figmilld/traffic/once_relay.h
@@ -16,8 +16,8 @@
 // Errors: kBadRequest.
 [[nodiscard]] Result<OnceWrite> ParseOnceWrite(std::string_view body);
 
-[[nodiscard]] std::string SerializeOnceFate(const OnceFate& fate);
+[[nodiscard]] std::string SerializeOnceFate(const OnceWriteResult& fate);
 // What can't be read leaves the fate unknown.
-[[nodiscard]] OnceFate ParseOnceFate(std::string_view body);
+[[nodiscard]] OnceWriteResult ParseOnceFate(std::string_view body);
 
 }  // namespace figmill
--- a/src/figmilld/traffic/once_ticket.cc
+++ b/src/figmilld/traffic/once_ticket.cc
@@ -38,7 +38,7 @@
   if (!item_.idle()) return;
   run_over_ = false;
   go_ = std::move(go);
-  once::Claim claim{request, OnceParty{agent.node, agent.incarnation}};
+  once::Claim claim{request, NodeInstance{agent.node, agent.incarnation}};
   tools_.agent.ReadStamp(
       agent.http, [self = shared_from_this(), claim](std::optional<std::int64_t> stamp) mutable {
         if (!self->item_.idle()) return;
@@ -65,7 +65,7 @@
         OutcomeOf(problem.status, std::move(problem.content_type), std::move(problem.body))});
   }
   if (error.ran == Ran::kNo) return Step(once::DidNotRun{error, false});
-  Step(once::Lost{error});
+  Step(once::SendOutcomeUnknown{error});
 }
 
 void OnceTicket::Send(HttpResponse response) {
@@ -85,7 +85,7 @@
 
 void OnceTicket::Write(std::string bytes) {
   body_ += bytes;
-  if (!streaming_ || item_.told()) return;
+  if (!streaming_ || item_.replied()) return;
   passed_ = body_.size();
   reply_->Write(std::move(bytes));
 }
@@ -100,7 +100,7 @@
   reply_->OnClosed([self = weak_from_this(), closed = std::move(closed)] {
     const auto ticket = self.lock();
     if (!ticket) return;
-    ticket->Step(once::Detached{});
+    ticket->Step(once::CallerGone{});
     if (!ticket->claimed_) closed();
   });
 }
@@ -124,8 +124,9 @@
   std::visit(
       Overloaded{
           [this](once::WriteRow& write) {
-            tools_.writer.Write(std::move(write.write),
-                                [back = Back<once::Wrote>()](OnceFate fate) { back({fate}); });
+            tools_.writer.Write(
+                std::move(write.write),
+                [back = Back<once::WriteDone>()](OnceWriteResult fate) { back({fate}); });
           },
           [this](once::ReadRow& read) {
             tools_.table.Read(std::move(read.key),
@@ -148,7 +149,7 @@
           },
           [this](once::Revoke& revoke) {
             tools_.agent.Revoke(
-                revoke, [back = Back<once::Revoked>()](RevokeState state) { back({state}); });
+                revoke, [back = Back<once::RevokeDone>()](RevokeState state) { back({state}); });
           },
           [this](once::Resume& resume) {
             tools_.agent.Resume(resume, item_.spec().key, item_.spec().repeatable,
@@ -161,9 +162,9 @@
                                       resumed);
                                 });
           },
-          [this](once::TellOutcome& told) { Tell(told); },
-          [this](once::TellError& told) { TellError(told.error); },
-          [this](once::TryAgain&) {
+          [this](once::ReplyOutcome& told) { Tell(told); },
+          [this](once::ReplyError& told) { TellError(told.error); },
+          [this](once::RetryDispatch&) {
             if (try_again_) try_again_();
           },
           [this](once::WakeAt& wake) { WakeAt(wake.at); },
@@ -181,7 +182,7 @@
 
 // --- To the caller -------------------------------------------------------------------
 
-void OnceTicket::Tell(const once::TellOutcome& told) {
+void OnceTicket::Tell(const once::ReplyOutcome& told) {
   if (!reply_) return;
   if (told.outcome.object.empty() || !told.outcome.body.empty()) {
     return TellWith(told.outcome, told.replayed);
--- a/src/figmilld/traffic/once_ticket.h
+++ b/src/figmilld/traffic/once_ticket.h
@@ -64,7 +64,7 @@
   void Step(const once::Event& event);
   void Act(once::Action action);
   void WakeAt(Time at);
-  void Tell(const once::TellOutcome& told);
+  void Tell(const once::ReplyOutcome& told);
   void TellWith(const OnceOutcome& outcome, bool replayed);
   void TellError(const Error& error);
   void NameItem(HttpResponse& response) const;
--- a/src/figmilld/traffic/once_view.cc
+++ b/src/figmilld/traffic/once_view.cc
@@ -18,7 +18,7 @@
 // An entry that knows nobody else may be the one that is cut off, so it calls
 // nobody gone. Being wrong costs a retry, not a second run: that is what the
 // agent's tombstone and the compare-and-set on the row are for.
-bool IsGone(const Snapshot& snapshot, const OnceParty& party) {
+bool IsGone(const Snapshot& snapshot, const NodeInstance& party) {
   const std::optional<Member> present = FindIn(snapshot, party.node);
   if (present) return present->incarnation > party.incarnation;
   return snapshot.members.size() > 1;
@@ -47,7 +47,7 @@
 OnceView ViewOver(const ControlShell& control, Member self) {
   OnceView view;
   view.agent = [&control](const NodeId& node) { return FindIn(*control.current(), node); };
-  view.gone = [&control](const OnceParty& party) { return IsGone(*control.current(), party); };
+  view.gone = [&control](const NodeInstance& party) { return IsGone(*control.current(), party); };
   view.writer = [&control, self]() -> std::optional<Address> {
     const auto chosen = EntryFor("once-writer", *control.current(), &self.data_centre);
     if (!chosen || chosen->node == self.node) return std::nullopt;
--- a/src/figmilld/traffic/once_writer.cc
+++ b/src/figmilld/traffic/once_writer.cc
@@ -21,7 +21,7 @@
       client_(client),
       store_(store),
       writer_of_(std::move(writer_of)),
-      funnel_(FunnelLimits{.interval = kInterval}) {}
+      funnel_(GroupCommitLimits{.min_interval = kInterval}) {}
 
 void OnceWriter::Write(OnceWrite write, Done done) {
   const std::optional<Address> writer = writer_of_();
@@ -54,25 +54,25 @@
 }
 
 void OnceWriter::WriteHere(OnceWrite write, Done done) {
-  const CommitFunnel::WriteId id = next_++;
+  const GroupCommitter::WriteId id = next_++;
   waiting_.emplace(id, std::move(done));
   Act(funnel_.Submit(id, std::move(write), Loop::Now()));
 }
 
-void OnceWriter::Act(std::vector<CommitFunnel::Action> actions) {
-  for (CommitFunnel::Action& action : actions) {
+void OnceWriter::Act(std::vector<GroupCommitter::Action> actions) {
+  for (GroupCommitter::Action& action : actions) {
     std::visit(Overloaded{
-                   [this](CommitFunnel::Begin& begin) {
+                   [this](GroupCommitter::Begin& begin) {
                      store_.Commit(std::move(begin.transaction),
                                    [this, id = begin.id](const TransactionOutcome& outcome) {
                                      Act(funnel_.Done(id, outcome, Loop::Now()));
                                    });
                    },
-                   [this](CommitFunnel::Reply& reply) {
+                   [this](GroupCommitter::Reply& reply) {
                      auto found = waiting_.extract(reply.id);
-                     if (!found.empty()) found.mapped()(std::move(reply.fate));
+                     if (!found.empty()) found.mapped()(std::move(reply.result));
                    },
-                   [this](CommitFunnel::WakeAt& wake) {
+                   [this](GroupCommitter::WakeAt& wake) {
                      timer_ = loop_.After(std::max(wake.at - Loop::Now(), Duration{0}),
                                           [this] { Act(funnel_.Tick(Loop::Now())); });
                    },
--- a/src/figmilld/traffic/once_writer.h
+++ b/src/figmilld/traffic/once_writer.h
@@ -14,7 +14,7 @@
 
 class OnceWriter {
  public:
-  using Done = std::function<void(OnceFate)>;
+  using Done = std::function<void(OnceWriteResult)>;
   // The entry that writes for this one at present; nothing when it does so itself.
   using WriterOf = std::function<std::optional<Address>()>;
 
@@ -26,15 +26,15 @@
 
  private:
   void Relay(const Address& to, OnceWrite write, Done done);
-  void Act(std::vector<CommitFunnel::Action> actions);
+  void Act(std::vector<GroupCommitter::Action> actions);
 
   Loop& loop_;
   HttpClient& client_;
   TableStore& store_;
   WriterOf writer_of_;
-  CommitFunnel funnel_;
-  CommitFunnel::WriteId next_ = 1;
-  std::unordered_map<CommitFunnel::WriteId, Done> waiting_;
+  GroupCommitter funnel_;
+  GroupCommitter::WriteId next_ = 1;
+  std::unordered_map<GroupCommitter::WriteId, Done> waiting_;
   Time avoid_until_;
   Timer timer_;
 };
--- a/src/once/accepted.cc
+++ b/src/once/accepted.cc
@@ -15,18 +15,19 @@
   row.epoch = 1;
   row.sender = spec.self;
   row.request_object = std::move(request_object);
-  row.tick = spec.tick;
+  row.retention_tick = spec.retention_tick;
 
   OnceWrite write;
   write.condition = RowCondition{OnceRowKey(spec.key), released};
   write.value = SerializeOnceRow(row);
-  write.side.emplace_back(PutRow{OnceOpenKey(spec.self.node, spec.key), SerializeOnceOpen(row)});
-  write.refusable = true;
+  write.marker_writes.emplace_back(
+      PutRow{OpenItemMarkerKey(spec.self.node, spec.key), SerializeOpenItemMarker(row)});
+  write.fail_fast = true;
   return write;
 }
 
 OnceWrite TakeOverWrite(const ItemKey& key, const OnceRow& row, RowVersion version,
-                        const OnceParty& self, const RandomBits& random) {
+                        const NodeInstance& self, const RandomBits& random) {
   OnceRow taken = row;
   taken.token = FreshToken(random);
   taken.sender = self;
@@ -36,9 +37,10 @@
   write.condition = RowCondition{OnceRowKey(key), version};
   write.value = SerializeOnceRow(taken);
   if (row.sender.node != self.node) {
-    write.side.emplace_back(DeleteRow{OnceOpenKey(row.sender.node, key)});
+    write.marker_writes.emplace_back(DeleteRow{OpenItemMarkerKey(row.sender.node, key)});
   }
-  write.side.emplace_back(PutRow{OnceOpenKey(self.node, key), SerializeOnceOpen(taken)});
+  write.marker_writes.emplace_back(
+      PutRow{OpenItemMarkerKey(self.node, key), SerializeOpenItemMarker(taken)});
   return write;
 }
 
--- a/src/once/commit_funnel.cc
+++ b/src/once/group_committer.cc
@@ -9,7 +9,7 @@
 
 // Rows that a write adds to its transaction.
 std::size_t RowsOf(const OnceWrite& write) {
-  return 1 + write.side.size();
+  return 1 + write.marker_writes.size();
 }
 
 const Row* FindRow(std::span<const Row> rows, std::string_view key) {
@@ -20,17 +20,17 @@
 
 }  // namespace
 
-std::vector<CommitFunnel::Action> CommitFunnel::Submit(WriteId id, OnceWrite write, Time now) {
+std::vector<GroupCommitter::Action> GroupCommitter::Submit(WriteId id, OnceWrite write, Time now) {
   std::vector<Action> actions;
-  if (waiting_.size() >= limits_.waiting) {
+  if (waiting_.size() >= limits_.max_waiting) {
     actions.emplace_back(Reply{id, NotWritten{"too many writes wait for the store"}});
     return actions;
   }
   // While the store is down a claim is refused immediately rather than after a
   // timeout, so that its caller can retry elsewhere; one claim per probe interval is
   // let through to detect that the store has recovered.
-  if (store_down() && write.refusable) {
-    if (now - last_probe_ < limits_.probe) {
+  if (store_down() && write.fail_fast) {
+    if (now - last_probe_ < limits_.probe_interval) {
       actions.emplace_back(Reply{id, NotWritten{"the store can't be reached"}});
       return actions;
     }
@@ -41,20 +41,21 @@
   return actions;
 }
 
-std::vector<CommitFunnel::Action> CommitFunnel::Tick(Time now) {
+std::vector<GroupCommitter::Action> GroupCommitter::Tick(Time now) {
   std::vector<Action> actions;
   Flush(now, actions);
   return actions;
 }
 
-std::vector<CommitFunnel::Action> CommitFunnel::Done(TransactionId id,
-                                                     const TransactionOutcome& outcome, Time now) {
+std::vector<GroupCommitter::Action> GroupCommitter::Done(TransactionId id,
+                                                         const TransactionOutcome& outcome,
+                                                         Time now) {
   std::vector<Action> actions;
   auto node = in_flight_.extract(id);
   if (node.empty()) return actions;
   Group group = std::move(node.mapped());
-  const auto reply_all = [&](const auto& fate) {
-    for (const PendingWrite& member : group) actions.emplace_back(Reply{member.id, fate});
+  const auto reply_all = [&](const auto& result) {
+    for (const PendingWrite& member : group) actions.emplace_back(Reply{member.id, result});
   };
   std::visit(Overloaded{[&](const Committed& committed) {
                           consecutive_failures_ = 0;
@@ -64,25 +65,25 @@
                           consecutive_failures_ = 0;
                           ReplyRejected(std::move(group), rejected, actions);
                         },
-                        [&](const NotWritten& fate) {
+                        [&](const NotWritten& result) {
                           consecutive_failures_ = kFailuresForOutage;
                           last_probe_ = now;
-                          reply_all(fate);
+                          reply_all(result);
                         },
-                        [&](const FateUnknown& fate) {
+                        [&](const FateUnknown& result) {
                           ++consecutive_failures_;
                           last_probe_ = now;
-                          reply_all(fate);
+                          reply_all(result);
                         }},
              outcome);
   Flush(now, actions);
   return actions;
 }
 
-void CommitFunnel::Flush(Time now, std::vector<Action>& actions) {
-  while (!waiting_.empty() && in_flight_.size() < limits_.transactions_in_flight) {
-    if (last_begin_ && now - *last_begin_ < limits_.interval) {
-      actions.emplace_back(WakeAt{*last_begin_ + limits_.interval});
+void GroupCommitter::Flush(Time now, std::vector<Action>& actions) {
+  while (!waiting_.empty() && in_flight_.size() < limits_.max_transactions_in_flight) {
+    if (last_begin_ && now - *last_begin_ < limits_.min_interval) {
+      actions.emplace_back(WakeAt{*last_begin_ + limits_.min_interval});
       return;
     }
     last_begin_ = now;
@@ -92,7 +93,8 @@
       const OnceWrite& write = member.write;
       transaction.conditions.push_back(write.condition);
       transaction.writes.emplace_back(PutRow{write.condition.key, write.value});
-      transaction.writes.insert(transaction.writes.end(), write.side.begin(), write.side.end());
+      transaction.writes.insert(transaction.writes.end(), write.marker_writes.begin(),
+                                write.marker_writes.end());
     }
     const TransactionId id = next_id_++;
     in_flight_.emplace(id, std::move(group));
@@ -102,7 +104,7 @@
 
 // In order of arrival; a second write of a row waits for the next transaction, as
 // its condition depends on the result of the first one.
-CommitFunnel::Group CommitFunnel::TakeGroup() {
+GroupCommitter::Group GroupCommitter::TakeGroup() {
   Group group;
   std::set<std::string> keys;
   std::deque<PendingWrite> left;
@@ -110,7 +112,7 @@
   while (!waiting_.empty()) {
     PendingWrite& member = waiting_.front();
     const std::size_t more = RowsOf(member.write);
-    if (!group.empty() && rows + more > limits_.rows_per_transaction) break;
+    if (!group.empty() && rows + more > limits_.max_rows_per_transaction) break;
     if (keys.insert(member.write.condition.key).second) {
       rows += more;
       group.push_back(std::move(member));
@@ -124,8 +126,8 @@
   return group;
 }
 
-void CommitFunnel::ReplyCommitted(const Group& group, const Committed& committed,
-                                  std::vector<Action>& actions) {
+void GroupCommitter::ReplyCommitted(const Group& group, const Committed& committed,
+                                    std::vector<Action>& actions) {
   for (const PendingWrite& member : group) {
     const Row* row = FindRow(committed.rows, member.write.condition.key);
     // When the store's answer lacks the version of a committed row, the write is resolved
@@ -141,8 +143,8 @@
 
 // One failed condition rejects the whole group. The failed writes are removed before the
 // rest is submitted again: otherwise one resent key would block every group that it is in.
-void CommitFunnel::ReplyRejected(Group group, const Rejected& rejected,
-                                 std::vector<Action>& actions) {
+void GroupCommitter::ReplyRejected(Group group, const Rejected& rejected,
+                                   std::vector<Action>& actions) {
   std::deque<PendingWrite> again;
   for (PendingWrite& member : group) {
     const Row* row = FindRow(rejected.current, member.write.condition.key);
--- a/src/once/keyed_item.cc
+++ b/src/once/keyed_item.cc
@@ -12,8 +12,8 @@
 using namespace once;    // NOLINT(google-build-using-namespace): events and actions
 using namespace detail;  // NOLINT(google-build-using-namespace)
 
-KeyedItem::KeyedItem(Spec spec, std::optional<Accepted> accepted, Tuning tuning)
-    : spec_(std::move(spec)), tuning_(tuning), accepted_(accepted.has_value()) {
+KeyedItem::KeyedItem(Spec spec, std::optional<Accepted> accepted, Timeouts timeouts)
+    : spec_(std::move(spec)), timeouts_(timeouts), accepted_(accepted.has_value()) {
   if (!accepted) return;
   row_ = std::move(accepted->row);
   version_ = accepted->version;
@@ -26,7 +26,7 @@
   gone_ = &context.gone;
   actions_.clear();
   const bool unsolicited =
-      std::holds_alternative<Tick>(event) || std::holds_alternative<Detached>(event);
+      std::holds_alternative<Tick>(event) || std::holds_alternative<CallerGone>(event);
   if (!unsolicited) awaiting_event_ = false;
   if (!finished()) std::visit([this](const auto& concrete) { On(concrete); }, event);
   return std::move(actions_);
@@ -42,12 +42,12 @@
   ClaimKey();
 }
 
-void KeyedItem::On(const Wrote& event) {
-  std::visit(Overloaded{[this](const OnceCommitted& fate) { OnCommitted(fate.version); },
-                        [this](const OnceRejected& fate) { OnRejected(fate.current); },
+void KeyedItem::On(const WriteDone& event) {
+  std::visit(Overloaded{[this](const OnceCommitted& result) { OnCommitted(result.version); },
+                        [this](const OnceRejected& result) { OnRejected(result.current); },
                         [this](const NotWritten&) { OnNotConfirmed(false); },
                         [this](const FateUnknown&) { OnNotConfirmed(true); }},
-             event.fate);
+             event.result);
 }
 
 void KeyedItem::On(const Answered& event) {
@@ -68,42 +68,42 @@
   if (state_ != State::kSent && state_ != State::kIdle) return;
   ran_ = Ran::kNo;
   state_ = State::kIdle;
-  const bool claimed = OwnsRow() && row_.phase == OncePhase::kIntended;
+  const bool claimed = OwnsRow() && row_.phase == OncePhase::kClaimed;
   if (event.retry) return;
   if (claimed) return Release(event.error);
-  if (accepted_) return WakeAfter(tuning_.redispatch_delay);
-  ReplyAndFinish(TellError{event.error});
+  if (accepted_) return WakeAfter(timeouts_.redispatch_delay);
+  ReplyAndFinish(ReplyError{event.error});
 }
 
-void KeyedItem::On(const Lost& event) {
+void KeyedItem::On(const SendOutcomeUnknown& event) {
   if (state_ != State::kSent) return;
   not_run_error_ = event.error;
   attempts_since_ = now_;
   RevokeDispatch();
 }
 
-void KeyedItem::On(const Detached&) {
-  detached_ = true;
+void KeyedItem::On(const CallerGone&) {
+  caller_gone_ = true;
   // Another sender's item completes without this request.
   if (state_ == State::kWaitingForOther || state_ == State::kIdle) state_ = State::kFinished;
 }
 
 void KeyedItem::On(const Tick&) {
-  const bool out_of_time = spec_.wait_until && now_ >= *spec_.wait_until;
+  const bool out_of_time = spec_.caller_deadline && now_ >= *spec_.caller_deadline;
   switch (state_) {
     case State::kIdle:
       if (!accepted_ || awaiting_event_) return;
-      if (row_.phase == OncePhase::kQueued) return StartAction(TryAgain{});
+      if (row_.phase == OncePhase::kQueued) return StartAction(RetryDispatch{});
       attempts_since_ = now_;
       return RevokeDispatch();
     case State::kWaitingForOther:
-      if (out_of_time) return ReplyAndFinish(TellError{StillRunning()});
+      if (out_of_time) return ReplyAndFinish(ReplyError{StillRunning()});
       if (!awaiting_event_) StartAction(ReadRow{OnceRowKey(spec_.key)});
       return;
     case State::kRevoking:
     case State::kResuming:
       // The caller's deadline has passed; the item's outcome is still recovered.
-      if (out_of_time && !OwnsRow()) SendReply(TellError{StillRunning()});
+      if (out_of_time && !OwnsRow()) SendReply(ReplyError{StillRunning()});
       if (!awaiting_event_) RevokeDispatch();
       return;
     case State::kClaiming:
@@ -120,7 +120,7 @@
 
 void KeyedItem::On(const ObjectStored& event) {
   if (state_ != State::kCommitting) return;
-  if (!event.stored) return WakeAfter(tuning_.retry_delay);
+  if (!event.stored) return WakeAfter(timeouts_.retry_delay);
   unstored_body_.clear();
   StoreBodyOrSendWrite();
 }
@@ -130,14 +130,14 @@
 // repeatable item the commit comes first: another sender may have run it too, and one key
 // would get two different responses.
 void KeyedItem::OnCommitTimer() {
-  const bool reply_waits = now_ - attempts_since_ < tuning_.max_reply_delay;
-  const bool out_of_time = spec_.wait_until && now_ >= *spec_.wait_until;
+  const bool reply_waits = now_ - attempts_since_ < timeouts_.max_reply_delay;
+  const bool out_of_time = spec_.caller_deadline && now_ >= *spec_.caller_deadline;
   if (pending_row_.phase == OncePhase::kUnknown) {
-    if (!reply_waits) SendReply(TellError{OutcomeUnknown()});
+    if (!reply_waits) SendReply(ReplyError{OutcomeUnknown()});
   } else if (!pending_row_.repeatable) {
-    if (!reply_waits) SendReply(TellOutcome{answer_, false});
+    if (!reply_waits) SendReply(ReplyOutcome{answer_, false});
   } else if (out_of_time) {
-    SendReply(TellError{OutcomeNotRecorded()});
+    SendReply(ReplyError{OutcomeNotRecorded()});
   }
   if (!awaiting_event_) StoreBodyOrSendWrite();
 }
@@ -147,11 +147,11 @@
 void KeyedItem::Submit(OnceRow row, State state) {
   pending_row_ = std::move(row);
   pending_row_.token = FreshToken(*random_);
-  pending_row_.tick = spec_.tick;
+  pending_row_.retention_tick = spec_.retention_tick;
   state_ = state;
   attempts_since_ = now_;
   write_attempts_ = 0;
-  if (state == State::kCommitting && !replied_) WakeAfter(tuning_.max_reply_delay);
+  if (state == State::kCommitting && !replied_) WakeAfter(timeouts_.max_reply_delay);
   StoreBodyOrSendWrite();
 }
 
@@ -167,11 +167,11 @@
   OnceWrite write;
   write.condition = RowCondition{OnceRowKey(spec_.key), version_};
   write.value = SerializeOnceRow(pending_row_);
-  write.refusable = state_ == State::kClaiming;
+  write.fail_fast = state_ == State::kClaiming;
   const bool final =
       pending_row_.phase == OncePhase::kDone || pending_row_.phase == OncePhase::kUnknown;
   if (final && !row_.request_object.empty()) {
-    write.side.emplace_back(DeleteRow{OnceOpenKey(row_.sender.node, spec_.key)});
+    write.marker_writes.emplace_back(DeleteRow{OpenItemMarkerKey(row_.sender.node, spec_.key)});
   }
   ++write_attempts_;
   StartAction(WriteRow{std::move(write)});
@@ -181,7 +181,7 @@
   SetKnownRow(pending_row_, version);
   switch (state_) {
     case State::kClaiming:
-      if (detached_ && !accepted_) return Release(CallerDisconnected());
+      if (caller_gone_ && !accepted_) return Release(CallerDisconnected());
       state_ = State::kSent;
       ran_ = Ran::kUnknown;
       StartAction(Send{pending_claim_->request, pending_claim_->agent});
@@ -190,9 +190,9 @@
     case State::kCommitting:
       return ReplyFromRow(false);
     case State::kReleasing:
-      if (!accepted_) return ReplyAndFinish(TellError{not_run_error_});
+      if (!accepted_) return ReplyAndFinish(ReplyError{not_run_error_});
       state_ = State::kIdle;
-      return WakeAfter(tuning_.redispatch_delay);
+      return WakeAfter(timeouts_.redispatch_delay);
     default:
       return;
   }
@@ -201,13 +201,13 @@
 void KeyedItem::OnRejected(const std::optional<Row>& current) {
   // The condition may have failed because an earlier attempt, whose answer was lost, succeeded.
   Result<OnceRow> parsed = current ? ParseOnceRow(current->value) : OnceRow{};
-  if (!IsOk(parsed)) return ReplyAndFinish(TellError{ErrorOf(parsed)});
+  if (!IsOk(parsed)) return ReplyAndFinish(ReplyError{ErrorOf(parsed)});
   if (current && ValueOf(parsed).token == pending_row_.token) return OnCommitted(current->version);
 
   SetKnownRow(std::move(ValueOf(parsed)), current ? current->version : 0);
   if (state_ == State::kCommitting) return OnOutcomeRejected();
   const bool free = version_ == 0 || row_.phase == OncePhase::kReleased;
-  if (state_ == State::kReleasing && free) return ReplyAndFinish(TellError{not_run_error_});
+  if (state_ == State::kReleasing && free) return ReplyAndFinish(ReplyError{not_run_error_});
   HandleCurrentRow();
 }
 
@@ -231,17 +231,17 @@
 }
 
 void KeyedItem::OnNotConfirmed(bool may_be_written) {
-  const bool retrying = now_ - attempts_since_ < tuning_.claim_timeout;
+  const bool retrying = now_ - attempts_since_ < timeouts_.claim_timeout;
   if (state_ == State::kClaiming && !accepted_ && !(may_be_written && retrying)) {
     // Nothing was sent, so "not run" is true even if the claim was written: a later
     // request with the key revokes the dispatch at the agent and claims the key again.
-    return ReplyAndFinish(TellError{StoreDown()});
+    return ReplyAndFinish(ReplyError{StoreDown()});
   }
   // The release itself is retried until it succeeds: while its sender is alive, a claim
   // left in place would make later requests wait for an outcome that never comes.
-  if (state_ == State::kReleasing && !accepted_ && !retrying) SendReply(TellError{not_run_error_});
+  if (state_ == State::kReleasing && !accepted_ && !retrying) SendReply(ReplyError{not_run_error_});
   constexpr int kMaxDoublings = 4;
-  WakeAfter(tuning_.retry_delay * (1 << std::min(write_attempts_ - 1, kMaxDoublings)));
+  WakeAfter(timeouts_.retry_delay * (1 << std::min(write_attempts_ - 1, kMaxDoublings)));
 }
 
 void KeyedItem::CommitOutcome(OncePhase phase, OnceOutcome outcome) {
@@ -274,9 +274,9 @@
 void KeyedItem::ReplyFromRow(bool replayed) {
   const bool received_here = !answer_.digest.empty() && answer_.digest == row_.outcome.digest;
   if (row_.phase == OncePhase::kDone) {
-    return ReplyAndFinish(TellOutcome{received_here ? answer_ : row_.outcome, replayed});
+    return ReplyAndFinish(ReplyOutcome{received_here ? answer_ : row_.outcome, replayed});
   }
-  ReplyAndFinish(TellError{OutcomeUnknown()});
+  ReplyAndFinish(ReplyError{OutcomeUnknown()});
 }
 
 void KeyedItem::SendReply(Action answer) {
@@ -284,7 +284,7 @@
   replied_ = true;
   // A later step may fail with an error that says "not run" while an earlier
   // dispatch of the same item may have run.
-  if (auto* refusal = std::get_if<TellError>(&answer); refusal && refusal->error.ran == Ran::kNo) {
+  if (auto* refusal = std::get_if<ReplyError>(&answer); refusal && refusal->error.ran == Ran::kNo) {
     refusal->error.ran = ran_;
   }
   actions_.push_back(std::move(answer));
--- a/src/once/keyed_item_recovery.cc
+++ b/src/once/keyed_item_recovery.cc
@@ -16,7 +16,7 @@
 }
 
 bool KeyedItem::ClaimIsStale() const {
-  return now_ - unchanged_since_ >= tuning_.stale_after || (*gone_)(row_.sender);
+  return now_ - unchanged_since_ >= timeouts_.stale_after || (*gone_)(row_.sender);
 }
 
 void KeyedItem::HandleCurrentRow() {
@@ -26,7 +26,7 @@
     return;
   }
   const bool free = row_.phase == OncePhase::kReleased;
-  if (!free && row_.content != spec_.content) return ReplyAndFinish(TellError{ContentMismatch()});
+  if (!free && row_.content != spec_.content) return ReplyAndFinish(ReplyError{ContentMismatch()});
   switch (row_.phase) {
     case OncePhase::kDone:
     case OncePhase::kUnknown:
@@ -35,7 +35,7 @@
       return ClaimKey();
     case OncePhase::kQueued:
       return accepted_ ? ClaimKey() : WaitForOtherSender();
-    case OncePhase::kIntended:
+    case OncePhase::kClaimed:
       // An accepted item stays with its owner or the owner's successor: a request
       // that claimed it could give up, and then no process would run it.
       if (!accepted_ && !row_.request_object.empty()) return WaitForOtherSender();
@@ -47,9 +47,9 @@
 }
 
 void KeyedItem::WaitForOtherSender() {
-  state_ = detached_ || replied_ ? State::kFinished : State::kWaitingForOther;
+  state_ = caller_gone_ || replied_ ? State::kFinished : State::kWaitingForOther;
   if (finished()) return;
-  WakeAfter(tuning_.poll_interval);
+  WakeAfter(timeouts_.poll_interval);
 }
 
 void KeyedItem::On(const ReadDone& event) {
@@ -57,7 +57,7 @@
   if (!IsOk(event.row)) return WaitForOtherSender();
   const std::optional<Row>& row = ValueOf(event.row);
   Result<OnceRow> parsed = row ? ParseOnceRow(row->value) : OnceRow{};
-  if (!IsOk(parsed)) return ReplyAndFinish(TellError{ErrorOf(parsed)});
+  if (!IsOk(parsed)) return ReplyAndFinish(ReplyError{ErrorOf(parsed)});
   SetKnownRow(std::move(ValueOf(parsed)), row ? row->version : 0);
   HandleCurrentRow();
 }
@@ -66,11 +66,11 @@
 // run (there was none, or it is known not to have run and is blocked by a tombstone), or
 // when the item is repeatable.
 void KeyedItem::ClaimKey() {
-  if (!accepted_ && (!pending_claim_ || detached_ || replied_))
-    return ReplyAndFinish(TellError{not_run_error_});
+  if (!accepted_ && (!pending_claim_ || caller_gone_ || replied_))
+    return ReplyAndFinish(ReplyError{not_run_error_});
   if (!pending_claim_) return Release(not_run_error_);
   OnceRow row;
-  row.phase = OncePhase::kIntended;
+  row.phase = OncePhase::kClaimed;
   row.content = spec_.content;
   row.team = spec_.team;
   row.repeatable = spec_.repeatable;
@@ -89,7 +89,7 @@
   StartAction(Revoke{row_.request, row_.agent, row_.stamp});
 }
 
-void KeyedItem::On(const Revoked& event) {
+void KeyedItem::On(const RevokeDone& event) {
   if (state_ != State::kRevoking) return;
   const bool sender_alive = !OwnsRow() && !(*gone_)(row_.sender);
   switch (event.state) {
@@ -115,7 +115,7 @@
   }
 }
 
-void KeyedItem::On(const StreamGone&) {
+void KeyedItem::On(const StreamNotFound&) {
   if (state_ == State::kResuming) ConcludeRecovery();
 }
 
@@ -126,11 +126,11 @@
 void KeyedItem::RetryRecoveryOrConclude() {
   const bool sender_gone = OwnsRow() || (*gone_)(row_.sender);
   const bool agent_gone = (*gone_)(row_.agent);
-  const bool may_retry = now_ - attempts_since_ < tuning_.recovery_timeout;
+  const bool may_retry = now_ - attempts_since_ < timeouts_.recovery_timeout;
   if ((sender_gone && (agent_gone || !may_retry)) || (agent_gone && !may_retry))
     return ConcludeRecovery();
   state_ = State::kRevoking;
-  WakeAfter(tuning_.poll_interval);
+  WakeAfter(timeouts_.poll_interval);
 }
 
 // Neither agent nor engine knows the outcome. A repeatable item may run again; any
--- a/src/once/retention_sweep.cc
+++ b/src/once/retention_sweep.cc
@@ -19,7 +19,7 @@
 // is: its sender ended long ago, and no later request asked for its outcome.
 bool MayBeDeleted(const OnceRow& row) {
   return row.phase != OncePhase::kQueued &&
-         (row.phase != OncePhase::kIntended || row.request_object.empty());
+         (row.phase != OncePhase::kClaimed || row.request_object.empty());
 }
 
 }  // namespace
@@ -58,7 +58,7 @@
     const Result<OnceRow> parsed = ParseOnceRow(row.value);
     if (!IsOk(parsed)) continue;
     const OnceRow& once = ValueOf(parsed);
-    if (!MayBeDeleted(once) || once.tick + limits_.keep_ticks >= tick_) continue;
+    if (!MayBeDeleted(once) || once.retention_tick + limits_.keep_ticks >= tick_) continue;
     // Objects first: an object whose row was deleted would never be found again.
     for (const std::string& object : {once.outcome.object, once.request_object}) {
       if (!object.empty()) actions.emplace_back(DeleteObject{object});
--- a/src/once/row.cc
+++ b/src/once/row.cc
@@ -20,13 +20,13 @@
   return std::nullopt;
 }
 
-Json ToJson(const OnceParty& party) {
-  return Json{{"node", party.node.value}, {"incarnation", party.incarnation}};
+Json ToJson(const NodeInstance& instance) {
+  return Json{{"node", instance.node.value}, {"incarnation", instance.incarnation}};
 }
 
-OnceParty PartyFrom(const Json& json) {
-  return OnceParty{NodeId{json.at("node").get<std::string>()},
-                   json.at("incarnation").get<Incarnation>()};
+NodeInstance InstanceFrom(const Json& json) {
+  return NodeInstance{NodeId{json.at("node").get<std::string>()},
+                      json.at("incarnation").get<Incarnation>()};
 }
 
 Json ToJson(const OnceOutcome& outcome) {
@@ -51,13 +51,13 @@
   row.team.value = json.at("team").get<std::string>();
   row.repeatable = json.at("repeatable").get<bool>();
   row.epoch = json.at("epoch").get<Epoch>();
-  row.sender = PartyFrom(json.at("sender"));
-  row.agent = PartyFrom(json.at("agent"));
+  row.sender = InstanceFrom(json.at("sender"));
+  row.agent = InstanceFrom(json.at("agent"));
   row.stamp = json.at("stamp").get<std::int64_t>();
   row.request.value = json.at("request").get<std::string>();
   row.request_object = json.value("request_object", std::string());
   if (phase == OncePhase::kDone) row.outcome = OutcomeFrom(json.at("outcome"));
-  row.tick = json.at("tick").get<std::uint64_t>();
+  row.retention_tick = json.at("tick").get<std::uint64_t>();
   return row;
 }
 
@@ -76,19 +76,19 @@
   return "once/" + key.value;
 }
 
-std::string OnceOpenKey(const NodeId& node, const ItemKey& key) {
-  return std::string(kOnceOpenPrefix) + node.value + "/" + key.value;
+std::string OpenItemMarkerKey(const NodeId& node, const ItemKey& key) {
+  return std::string(kOpenItemMarkerPrefix) + node.value + "/" + key.value;
 }
 
-std::string SerializeOnceOpen(const OnceRow& row) {
+std::string SerializeOpenItemMarker(const OnceRow& row) {
   return Json{{"token", row.token.value}, {"owner", ToJson(row.sender)}}.dump();
 }
 
-Result<OnceOpen> ParseOnceOpen(const Row& row) {
+Result<OpenItemMarker> ParseOpenItemMarker(const Row& row) {
   try {
-    OnceOpen open;
-    open.owner = PartyFrom(Json::parse(row.value).at("owner"));
-    const std::string prefix = OnceOpenKey(open.owner.node, ItemKey{});
+    OpenItemMarker open;
+    open.owner = InstanceFrom(Json::parse(row.value).at("owner"));
+    const std::string prefix = OpenItemMarkerKey(open.owner.node, ItemKey{});
     if (!row.key.starts_with(prefix)) return BadRow("an open marker names another owner");
     open.key.value = row.key.substr(prefix.size());
     return open;
@@ -107,7 +107,7 @@
                {"sender", ToJson(row.sender)},
                {"agent", ToJson(row.agent)},
                {"request", row.request.value},
-               {"tick", row.tick},
+               {"tick", row.retention_tick},
                {"stamp", row.stamp}};
   if (!row.request_object.empty()) json["request_object"] = row.request_object;
   if (row.phase == OncePhase::kDone) json["outcome"] = ToJson(row.outcome);
--- a/test/once-item-test.cc
+++ b/test/once-item-test.cc
@@ -11,7 +11,7 @@
 namespace {
 
 const ItemKey kKey{"invoice-7"};
-const OnceParty kAgent{NodeId{"agent"}, 3};
+const NodeInstance kAgent{NodeId{"agent"}, 3};
 const OnceOutcome kAnswer{200, "text/plain", "digest", "paid", ""};
 
 // A store of one row. A test simulates a lost answer by ignoring what Apply returns.
@@ -19,7 +19,7 @@
   std::optional<Row> row;
   RowVersion last = 0;
 
-  OnceFate Apply(const OnceWrite& write) {
+  OnceWriteResult Apply(const OnceWrite& write) {
     if ((row ? row->version : 0) != write.condition.version) return OnceRejected{row};
     row = Row{write.condition.key, write.value, ++last};
     return OnceCommitted{last};
@@ -31,7 +31,7 @@
 struct Process {
   explicit Process(const std::string& node, std::string content = "c", bool repeatable = false)
       : item(once::Spec{kKey, std::move(content), TeamId{"t"}, repeatable,
-                        OnceParty{NodeId{node}, 1}}),
+                        NodeInstance{NodeId{node}, 1}}),
         rng(std::hash<std::string>{}(node)) {}
 
   template <typename A>
@@ -53,8 +53,8 @@
   Process& Step(const once::Event& event, Duration later = Duration{1'000}) {
     now += later;
     const RandomBits random = [this] { return rng(); };
-    const std::function<bool(const OnceParty&)> gone = [this](const OnceParty& party) {
-      return party.node.value == gone_node;
+    const std::function<bool(const NodeInstance&)> gone = [this](const NodeInstance& instance) {
+      return instance.node.value == gone_node;
     };
     actions = item.Handle(event, {now, random, gone});
     return *this;
@@ -62,10 +62,10 @@
   // Claims request `id` in `store`, and expects it to be sent.
   void ClaimAndSend(Store& store, const std::string& id) {
     Step(once::Claim{RequestId{id}, kAgent});
-    Step(once::Wrote{store.Apply(Expect<once::WriteRow>().write)});
+    Step(once::WriteDone{store.Apply(Expect<once::WriteRow>().write)});
     CHECK(Expect<once::Send>().request.value == id);
   }
-  void Write(Store& store) { Step(once::Wrote{store.Apply(Expect<once::WriteRow>().write)}); }
+  void Write(Store& store) { Step(once::WriteDone{store.Apply(Expect<once::WriteRow>().write)}); }
 
   KeyedItem item;
   std::mt19937_64
@@ -86,7 +86,7 @@
   Process entry("e1");
   entry.Step(once::Claim{RequestId{"r1"}, kAgent});
   (void)store.Apply(entry.Expect<once::WriteRow>().write);
-  entry.Step(once::Wrote{FateUnknown{"lost"}});
+  entry.Step(once::WriteDone{FateUnknown{"lost"}});
   CHECK_FALSE(entry.Has<once::Send>());
   entry.Step(once::Tick{}, Duration{200'000});
   entry.Write(store);
@@ -102,9 +102,9 @@
   Process first("e1");
   first.Step(once::Claim{RequestId{"r1"}, kAgent});
   (void)store.Apply(first.Expect<once::WriteRow>().write);
-  first.Step(once::Wrote{FateUnknown{"lost"}}, Duration{3'000'000});
-  CHECK(first.Expect<once::TellError>().error.kind == ErrorKind::kStoreUnavailable);
-  CHECK(first.Expect<once::TellError>().error.ran == Ran::kNo);
+  first.Step(once::WriteDone{FateUnknown{"lost"}}, Duration{3'000'000});
+  CHECK(first.Expect<once::ReplyError>().error.kind == ErrorKind::kStoreUnavailable);
+  CHECK(first.Expect<once::ReplyError>().error.ran == Ran::kNo);
   CHECK(first.item.finished());
 
   Process second("e2");
@@ -113,7 +113,7 @@
   CHECK(second.Has<once::WakeAt>());  // the sender may still send
   second.Step(once::Tick{}, Duration{2'500'000}).Step(once::ReadDone{store.row});
   CHECK(second.Expect<once::Revoke>().request.value == "r1");
-  second.Step(once::Revoked{RevokeState::kNeverStarted});
+  second.Step(once::RevokeDone{RevokeState::kNeverStarted});
   second.Write(store);
   CHECK(second.Expect<once::Send>().request.value == "r2");
   CHECK(store.Now().epoch == 2);
@@ -122,9 +122,9 @@
 TEST_CASE("while the store is down a request is refused immediately as not run") {
   Process entry("e1");
   entry.Step(once::Claim{RequestId{"r1"}, kAgent});
-  entry.Step(once::Wrote{NotWritten{"down"}});
-  CHECK(entry.Expect<once::TellError>().error.ran == Ran::kNo);
-  CHECK(entry.Expect<once::TellError>().error.retry_after);
+  entry.Step(once::WriteDone{NotWritten{"down"}});
+  CHECK(entry.Expect<once::ReplyError>().error.ran == Ran::kNo);
+  CHECK(entry.Expect<once::ReplyError>().error.retry_after);
   CHECK(entry.item.finished());
 }
 
@@ -139,12 +139,12 @@
   second.Write(store);
   CHECK_FALSE(second.Has<once::Send>());
   first.Step(once::Answered{kAnswer});
-  CHECK_FALSE(first.Has<once::TellOutcome>());  // not before it is committed
+  CHECK_FALSE(first.Has<once::ReplyOutcome>());  // not before it is committed
   first.Write(store);
-  CHECK(first.Expect<once::TellOutcome>().outcome == kAnswer);
+  CHECK(first.Expect<once::ReplyOutcome>().outcome == kAnswer);
   second.Step(once::Tick{}, Duration{250'000}).Step(once::ReadDone{store.row});
-  CHECK(second.Expect<once::TellOutcome>().outcome == kAnswer);
-  CHECK(second.Expect<once::TellOutcome>().replayed);
+  CHECK(second.Expect<once::ReplyOutcome>().outcome == kAnswer);
+  CHECK(second.Expect<once::ReplyOutcome>().replayed);
 }
 
 TEST_CASE("other content under the same key is refused") {
@@ -154,8 +154,8 @@
   Process second("e2", "other");
   second.Step(once::Claim{RequestId{"r2"}, kAgent});
   second.Write(store);
-  CHECK(second.Expect<once::TellError>().error.kind == ErrorKind::kConflict);
-  CHECK(second.Expect<once::TellError>().error.ran == Ran::kNo);
+  CHECK(second.Expect<once::ReplyError>().error.kind == ErrorKind::kConflict);
+  CHECK(second.Expect<once::ReplyError>().error.ran == Ran::kNo);
 }
 
 TEST_CASE("a sender killed after its send: the successor takes the stream from the engine") {
@@ -169,29 +169,29 @@
   second.gone_node = "e1";
   second.Step(once::Claim{RequestId{"r2"}, kAgent});
   second.Write(store);
-  second.Step(once::Revoked{RevokeState::kFinished});
+  second.Step(once::RevokeDone{RevokeState::kFinished});
   CHECK(second.Expect<once::Resume>().request.value == "r1");
 
   SUBCASE("the engine has it") {
     second.Step(once::Answered{kAnswer});
     second.Write(store);
-    CHECK(second.Expect<once::TellOutcome>().outcome == kAnswer);
+    CHECK(second.Expect<once::ReplyOutcome>().outcome == kAnswer);
     CHECK(store.Now().phase == OncePhase::kDone);
   }
   SUBCASE("the engine lost it: unknown, recorded, and never run again") {
-    second.Step(once::StreamGone{});
+    second.Step(once::StreamNotFound{});
     second.Write(store);
-    CHECK(second.Expect<once::TellError>().error.kind == ErrorKind::kOutcomeUnknown);
+    CHECK(second.Expect<once::ReplyError>().error.kind == ErrorKind::kOutcomeUnknown);
     Process third("e3");
     third.Step(once::Claim{RequestId{"r3"}, kAgent});
     third.Write(store);
-    CHECK(third.Expect<once::TellError>().error.ran == Ran::kUnknown);
+    CHECK(third.Expect<once::ReplyError>().error.ran == Ran::kUnknown);
     // The sender was paused, not gone_node, and resumes with the response of that run.
     first.Step(once::Answered{kAnswer});
     first.Write(store);
     first.Write(store);
     CHECK(store.Now().phase == OncePhase::kDone);
-    CHECK(first.Expect<once::TellOutcome>().outcome == kAnswer);
+    CHECK(first.Expect<once::ReplyOutcome>().outcome == kAnswer);
   }
 }
 
@@ -206,17 +206,17 @@
   second.gone_node = "e1";
   second.Step(once::Claim{RequestId{"r2"}, kAgent});
   second.Write(store);
-  second.Step(once::Revoked{RevokeState::kNeverStarted});
+  second.Step(once::RevokeDone{RevokeState::kNeverStarted});
   second.Write(store);
   CHECK(second.Expect<once::Send>().request.value == "r2");
 
   first.Step(once::DidNotRun{Error{ErrorKind::kStaleOrders, "revoked", Ran::kNo}});
   first.Write(store);
-  CHECK_FALSE(first.Has<once::TellError>());
+  CHECK_FALSE(first.Has<once::ReplyError>());
   second.Step(once::Answered{kAnswer});
   second.Write(store);
   first.Step(once::Tick{}, Duration{250'000}).Step(once::ReadDone{store.row});
-  CHECK(first.Expect<once::TellOutcome>().outcome == kAnswer);
+  CHECK(first.Expect<once::ReplyOutcome>().outcome == kAnswer);
 }
 
 TEST_CASE(
@@ -228,9 +228,9 @@
   Process entry("e1");
   entry.ClaimAndSend(store, "r1");
   entry.Step(once::Answered{kAnswer});
-  entry.Step(once::Wrote{NotWritten{"down"}});
+  entry.Step(once::WriteDone{NotWritten{"down"}});
   entry.Step(once::Tick{}, Duration{1'500'000});
-  CHECK(entry.Expect<once::TellOutcome>().outcome == kAnswer);
+  CHECK(entry.Expect<once::ReplyOutcome>().outcome == kAnswer);
   CHECK(entry.item.committing());
   entry.Write(store);
   CHECK(entry.item.finished());
@@ -248,7 +248,7 @@
   const std::string object = entry.Expect<once::PutObject>().key;
   entry.Step(once::ObjectStored{true});
   entry.Write(store);
-  CHECK(entry.Expect<once::TellOutcome>().outcome == large);
+  CHECK(entry.Expect<once::ReplyOutcome>().outcome == large);
   CHECK(store.Now().outcome.object == object);
   CHECK(store.Now().outcome.body.empty());
 }
--- a/test/once-schedule-test.cc
+++ b/test/once-schedule-test.cc
@@ -35,8 +35,8 @@
  public:
   Simulation(std::uint64_t seed, Faults faults, bool repeatable)
       : rng_(seed), faults_(faults), repeatable_(repeatable) {
-    for (int i = 0; i < 3; ++i) entries_[i].party = {NodeId{"e" + std::to_string(i)}, 1};
-    for (int i = 0; i < 2; ++i) agents_[i].party = {NodeId{"a" + std::to_string(i)}, 1};
+    for (int i = 0; i < 3; ++i) entries_[i].instance = {NodeId{"e" + std::to_string(i)}, 1};
+    for (int i = 0; i < 2; ++i) agents_[i].instance = {NodeId{"a" + std::to_string(i)}, 1};
     for (int second = 0; second < 6; ++second) ScheduleFaults(second * 1000 * kMs);
   }
 
@@ -70,14 +70,14 @@
     Run();
   }
 
-  struct Told {
+  struct Replied {
     bool outcome = false;
     std::string digest;
     Error error;
     bool after_faults = false;
     std::string content;
   };
-  std::vector<Told> told;
+  std::vector<Replied> replied;
   std::map<std::string, int> executions;  // by content
   bool accepted = false;
   std::uint64_t steps() const { return steps_; }
@@ -97,14 +97,14 @@
     std::set<std::string> sent;  // request ids of this item
   };
   struct Entry {
-    OnceParty party;
+    NodeInstance instance;
     Time paused_until;
   };
   using DeliverLater =
       std::function<void(Duration, once::Event)>;  // delivers an event after a delay
   enum class RequestState { kTombstone, kRefused, kRunning, kFinished };
   struct Agent {
-    OnceParty party;
+    NodeInstance instance;
     Time paused_until;
     std::map<std::string, RequestState> requests;  // of this incarnation
     std::map<std::string, std::string>
@@ -122,7 +122,7 @@
     const auto when = [&] { return from + Delay(1000); };
     for (int i = 0; i < 3; ++i) {
       if (RandomFraction() < faults_.kills)
-        At(when(), [this, i] { ++entries_[i].party.incarnation; });
+        At(when(), [this, i] { ++entries_[i].instance.incarnation; });
       if (RandomFraction() < faults_.pauses) {
         At(when(), [this, i] { entries_[i].paused_until = now_ + Delay(6000); });
       }
@@ -139,7 +139,7 @@
   }
 
   void KillAgent(int i) {
-    ++agents_[i].party.incarnation;
+    ++agents_[i].instance.incarnation;
     agents_[i].requests.clear();
     if (RandomFraction() < 0.5) agents_[i].streams.clear();  // the engine has failed too
   }
@@ -147,13 +147,13 @@
   // Delivers an event to an item, after its process's pause, unless the process was replaced.
   void Deliver(int entry, Incarnation incarnation, std::shared_ptr<Item> item, once::Event event) {
     Entry& at = entries_[entry];
-    if (at.party.incarnation != incarnation) return;
+    if (at.instance.incarnation != incarnation) return;
     if (now_ < at.paused_until) {
       At(at.paused_until - Time{}, [=, this] { Deliver(entry, incarnation, item, event); });
       return;
     }
-    const std::function<bool(const OnceParty&)> gone = [this](const OnceParty& party) {
-      return Gone(party);
+    const std::function<bool(const NodeInstance&)> gone = [this](const NodeInstance& instance) {
+      return Gone(instance);
     };
     const RandomBits random = [this] { return rng_(); };
     for (once::Action& action : item->machine.Handle(event, {now_, random, gone})) {
@@ -162,26 +162,27 @@
   }
 
   // Simulates membership: reports dead processes, and some that are only paused.
-  bool Gone(const OnceParty& party) {
+  bool Gone(const NodeInstance& instance) {
     for (const Entry& entry : entries_) {
-      if (entry.party.node != party.node) continue;
-      return entry.party.incarnation != party.incarnation || now_ + 500 * kMs < entry.paused_until;
+      if (entry.instance.node != instance.node) continue;
+      return entry.instance.incarnation != instance.incarnation ||
+             now_ + 500 * kMs < entry.paused_until;
     }
     for (const Agent& agent : agents_) {
-      if (agent.party.node == party.node) return now_ + 500 * kMs < agent.paused_until;
+      if (agent.instance.node == instance.node) return now_ + 500 * kMs < agent.paused_until;
     }
     return true;
   }
 
   void StartRequest(int entry, const std::string& content) {
-    once::Spec spec{kKey, content, TeamId{"t"}, repeatable_, entries_[entry].party};
-    spec.wait_until = now_ + (faults_ended_ ? 60'000 : 8'000) * kMs;
+    once::Spec spec{kKey, content, TeamId{"t"}, repeatable_, entries_[entry].instance};
+    spec.caller_deadline = now_ + (faults_ended_ ? 60'000 : 8'000) * kMs;
     auto item = std::make_shared<Item>(Item{KeyedItem(spec), content, {}});
-    Dispatch(entry, entries_[entry].party.incarnation, item);
+    Dispatch(entry, entries_[entry].instance.incarnation, item);
   }
 
   void StartAccept(int entry) {
-    const OnceParty self = entries_[entry].party;
+    const NodeInstance self = entries_[entry].instance;
     const RandomBits random = [this] { return rng_(); };
     const once::Spec spec{kKey, "c", TeamId{"t"}, repeatable_, self};
     // The store does not fail here: this tests what follows the 202.
@@ -192,7 +193,7 @@
   }
 
   void StartOwnedItem(int entry, OnceRow row, RowVersion version) {
-    const OnceParty self = entries_[entry].party;
+    const NodeInstance self = entries_[entry].instance;
     const once::Spec spec{kKey, "c", TeamId{"t"}, repeatable_, self};
     auto item = std::make_shared<Item>(
         Item{KeyedItem(spec, once::Accepted{std::move(row), version}), "c", {}});
@@ -201,18 +202,18 @@
   }
 
   // A successor takes an accepted item over once its owner is reported as gone.
-  void WatchOwner(const OnceParty& owner) {
+  void WatchOwner(const NodeInstance& owner) {
     In(1000 * kMs, [this, owner] {
       const std::optional<Row> row = Current();
       const OnceRow once = row ? ValueOf(ParseOnceRow(row->value)) : OnceRow{};
-      const bool open = once.phase == OncePhase::kQueued || once.phase == OncePhase::kIntended;
+      const bool open = once.phase == OncePhase::kQueued || once.phase == OncePhase::kClaimed;
       if (!row || !open) return;
       if (once.sender != owner || !Gone(owner)) return WatchOwner(once.sender);
       const int entry = static_cast<int>(rng_() % entries_.size());
       if (now_ < entries_[entry].paused_until) return WatchOwner(owner);
       const RandomBits random = [this] { return rng_(); };
       const OnceWrite write =
-          TakeOverWrite(kKey, once, row->version, entries_[entry].party, random);
+          TakeOverWrite(kKey, once, row->version, entries_[entry].instance, random);
       if (IsCommitted(Apply(write))) {
         StartOwnedItem(entry, ValueOf(ParseOnceRow(write.value)), rows_[OnceRowKey(kKey)].version);
       }
@@ -220,7 +221,7 @@
   }
 
   void Dispatch(int entry, Incarnation incarnation, const std::shared_ptr<Item>& item) {
-    const OnceParty agent = agents_[rng_() % agents_.size()].party;
+    const NodeInstance agent = agents_[rng_() % agents_.size()].instance;
     const RequestId request{"r" + std::to_string(++requests_)};
     item->sent.insert(request.value);
     Deliver(entry, incarnation, item, once::Claim{request, agent});
@@ -234,7 +235,7 @@
     std::visit(
         Overloaded{
             [&](const once::WriteRow& write) {
-              deliver_later(Delay(20), once::Wrote{Write(write.write)});
+              deliver_later(Delay(20), once::WriteDone{Write(write.write)});
             },
             [&](const once::ReadRow&) {
               if (now_ < store_down_until_) {
@@ -250,17 +251,18 @@
               In(Delay(50), [=, this] { Run(send, item, deliver_later); });
             },
             [&](const once::Revoke& revoke) {
-              In(Delay(20), [=, this] { deliver_later(Delay(20), once::Revoked{Revoke(revoke)}); });
+              In(Delay(20),
+                 [=, this] { deliver_later(Delay(20), once::RevokeDone{Revoke(revoke)}); });
             },
             [&](const once::Resume& resume) { Resume(resume, item, deliver_later); },
-            [&](const once::TellOutcome& tell) {
-              told.push_back({true, tell.outcome.digest, {}, faults_ended_, item->content});
+            [&](const once::ReplyOutcome& tell) {
+              replied.push_back({true, tell.outcome.digest, {}, faults_ended_, item->content});
             },
-            [&](const once::TellError& tell) {
-              told.push_back({false, "", tell.error, faults_ended_, item->content});
+            [&](const once::ReplyError& tell) {
+              replied.push_back({false, "", tell.error, faults_ended_, item->content});
               if (tell.error.ran == Ran::kNo) CheckNotRun(*item, tell.error);
             },
-            [&](const once::TryAgain&) { Dispatch(entry, incarnation, item); },
+            [&](const once::RetryDispatch&) { Dispatch(entry, incarnation, item); },
             [&](const once::WakeAt& wake) { deliver_later(wake.at - now_, once::Tick{}); },
         },
         action);
@@ -282,8 +284,8 @@
 
   // --- Store ---
 
-  static bool IsCommitted(const OnceFate& fate) {
-    return std::holds_alternative<OnceCommitted>(fate);
+  static bool IsCommitted(const OnceWriteResult& result) {
+    return std::holds_alternative<OnceCommitted>(result);
   }
 
   std::optional<Row> Current() {
@@ -291,14 +293,14 @@
     return found == rows_.end() ? std::nullopt : std::optional(found->second);
   }
 
-  OnceFate Apply(const OnceWrite& write) {
+  OnceWriteResult Apply(const OnceWrite& write) {
     Row& row = rows_[write.condition.key];
     if (row.version != write.condition.version) return OnceRejected{row};
     row = Row{write.condition.key, write.value, row.version + 1};
     return OnceCommitted{row.version};
   }
 
-  OnceFate Write(const OnceWrite& write) {
+  OnceWriteResult Write(const OnceWrite& write) {
     if (now_ < store_down_until_) return NotWritten{"down"};
     if (RandomFraction() >= faults_.lost_answer) return Apply(write);
     const double kind = RandomFraction();
@@ -309,9 +311,9 @@
 
   // --- Agents ---
 
-  Agent& AgentOf(const OnceParty& party) {
+  Agent& AgentOf(const NodeInstance& instance) {
     return *std::find_if(agents_.begin(), agents_.end(),
-                         [&](const Agent& agent) { return agent.party.node == party.node; });
+                         [&](const Agent& agent) { return agent.instance.node == instance.node; });
   }
 
   void Run(const once::Send& send, const std::shared_ptr<Item>& item,
@@ -320,12 +322,12 @@
     if (now_ < agent.paused_until) {
       // The agent handles the dispatch after its pause; the sender has given up by then.
       At(agent.paused_until - Time{}, [=, this] { Run(send, item, [](auto, const auto&) {}); });
-      return deliver_later(Delay(500),
-                           once::Lost{Error{ErrorKind::kBackendFailed, "", Ran::kUnknown}});
+      return deliver_later(Delay(500), once::SendOutcomeUnknown{
+                                           Error{ErrorKind::kBackendFailed, "", Ran::kUnknown}});
     }
     const bool seen = agent.requests.contains(send.request.value);
     const bool refuse = RandomFraction() < faults_.refused;
-    if (agent.party.incarnation != send.agent.incarnation || seen || refuse) {
+    if (agent.instance.incarnation != send.agent.incarnation || seen || refuse) {
       if (!seen) agent.requests[send.request.value] = RequestState::kRefused;
       const bool retry = RandomFraction() < 0.5;
       deliver_later(Delay(20), once::DidNotRun{Error{ErrorKind::kOverloaded, "", Ran::kNo}, retry});
@@ -333,24 +335,24 @@
       return;
     }
     if (RandomFraction() < faults_.broken_send / 2) {
-      return deliver_later(Delay(500),
-                           once::Lost{Error{ErrorKind::kBackendFailed, "", Ran::kUnknown}});
+      return deliver_later(Delay(500), once::SendOutcomeUnknown{
+                                           Error{ErrorKind::kBackendFailed, "", Ran::kUnknown}});
     }
     CHECK_FALSE(refused_.contains(send.request.value));
     ran_.insert(send.request.value);
     ++executions[item->content];
     agent.requests[send.request.value] = RequestState::kRunning;
     agent.streams[send.request.value] = "";
-    const Incarnation started = agent.party.incarnation;
+    const Incarnation started = agent.instance.incarnation;
     const bool interrupted = RandomFraction() < faults_.broken_send;
     In(Delay(3000), [=, this, &agent] {
       const std::string digest = "d-" + send.request.value;
       if (agent.streams.contains(send.request.value)) agent.streams[send.request.value] = digest;
-      const bool alive = agent.party.incarnation == started;
+      const bool alive = agent.instance.incarnation == started;
       if (alive) agent.requests[send.request.value] = RequestState::kFinished;
       if (!alive || interrupted) {
-        return deliver_later(Delay(20),
-                             once::Lost{Error{ErrorKind::kBackendFailed, "", Ran::kUnknown}});
+        return deliver_later(Delay(20), once::SendOutcomeUnknown{
+                                            Error{ErrorKind::kBackendFailed, "", Ran::kUnknown}});
       }
       deliver_later(Delay(20), once::Answered{OnceOutcome{200, "text/plain", digest, "body", ""}});
     });
@@ -360,13 +362,14 @@
   void Retry(const std::shared_ptr<Item>& item, const DeliverLater& deliver_later) {
     const RequestId request{"r" + std::to_string(++requests_)};
     item->sent.insert(request.value);
-    deliver_later(kMs, once::Claim{request, agents_[rng_() % agents_.size()].party});
+    deliver_later(kMs, once::Claim{request, agents_[rng_() % agents_.size()].instance});
   }
 
   RevokeState Revoke(const once::Revoke& revoke) {
     Agent& agent = AgentOf(revoke.agent);
     if (now_ < agent.paused_until) return RevokeState::kUnreachable;
-    if (agent.party.incarnation != revoke.agent.incarnation) return RevokeState::kOtherIncarnation;
+    if (agent.instance.incarnation != revoke.agent.incarnation)
+      return RevokeState::kOtherIncarnation;
     const auto [found, fresh] =
         agent.requests.emplace(revoke.request.value, RequestState::kTombstone);
     if (found->second == RequestState::kRunning) return RevokeState::kRunning;
@@ -379,7 +382,7 @@
     Agent& agent = AgentOf(resume.agent);
     if (now_ < agent.paused_until) return deliver_later(Delay(500), once::ResumeFailed{});
     const auto found = agent.streams.find(resume.request.value);
-    if (found == agent.streams.end()) return deliver_later(Delay(20), once::StreamGone{});
+    if (found == agent.streams.end()) return deliver_later(Delay(20), once::StreamNotFound{});
     if (found->second.empty()) return deliver_later(Delay(2000), once::ResumeFailed{});
     deliver_later(Delay(20),
                   once::Answered{OnceOutcome{200, "text/plain", found->second, "body", ""}});
@@ -403,8 +406,8 @@
 
 void CheckOneOutcome(const Simulation& simulation, bool repeatable) {
   std::set<std::string> digests;
-  for (const auto& told : simulation.told) {
-    if (told.outcome) digests.insert(told.digest);
+  for (const auto& replied : simulation.replied) {
+    if (replied.outcome) digests.insert(replied.digest);
   }
   CHECK(digests.size() <= 1);  // all responses for the key agree
   if (!repeatable) {
@@ -415,12 +418,12 @@
 
 void CheckFinalReplies(const Simulation& simulation) {
   int final_replies = 0;
-  for (const auto& told : simulation.told) {
-    if (!told.after_faults) continue;
+  for (const auto& replied : simulation.replied) {
+    if (!replied.after_faults) continue;
     ++final_replies;
-    CHECK((told.outcome || told.error.kind == ErrorKind::kOutcomeUnknown ||
-           told.error.kind == ErrorKind::kConflict));
-    CHECK(told.error.detail.find("still running") == std::string::npos);
+    CHECK((replied.outcome || replied.error.kind == ErrorKind::kOutcomeUnknown ||
+           replied.error.kind == ErrorKind::kConflict));
+    CHECK(replied.error.detail.find("still running") == std::string::npos);
   }
   CHECK(final_replies >= 2);
 }
@@ -482,8 +485,8 @@
     Simulation simulation(seed, {}, false);
     for (int i = 0; i < 3; ++i) simulation.Request(Duration(seed % 3 * 1000 * i), i);
     simulation.Run();
-    REQUIRE(simulation.told.size() == 3);
-    for (const auto& told : simulation.told) CHECK(told.outcome);
+    REQUIRE(simulation.replied.size() == 3);
+    for (const auto& replied : simulation.replied) CHECK(replied.outcome);
     CHECK(simulation.executions["c"] == 1);
   }
 }
