--- a/include/figmill/once.h
+++ b/include/figmill/once.h
@@ -229,7 +229,7 @@
 struct Timeouts {
   // How long a claim write with an unknown result is retried before the request is refused.
   Duration claim_timeout{2'000'000};
-  // A claim of another sender that stays unchanged for so long is taken to its agent (Revoke).
+  // A claim of another sender that stays unchanged for this long is resolved by Revoke.
   Duration stale_after{2'000'000};
   Duration poll_interval{250'000};
   // How long agent and engine are queried before the outcome counts as unknown.
--- a/src/items/item_duration_estimator.cc
+++ b/src/items/item_duration_estimator.cc
@@ -47,8 +47,8 @@
 }
 
 Duration ItemDurationEstimator::TimeToFinish(std::uint64_t events) const {
-  const double left = RemainingShare(events);
-  return Microseconds(ExpectedWork() * left * (1 + (slowdown_ - 1) * left));
+  const double share = RemainingShare(events);
+  return Microseconds(ExpectedWork() * share * (1 + (slowdown_ - 1) * share));
 }
 
 }  // namespace figmill
--- a/src/once/accepted.cc
+++ b/src/once/accepted.cc
@@ -28,19 +28,19 @@
 
 OnceWrite TakeOverWrite(const ItemKey& key, const OnceRow& row, RowVersion version,
                         const NodeInstance& self, const RandomBits& random) {
-  OnceRow taken = row;
-  taken.token = FreshToken(random);
-  taken.sender = self;
-  ++taken.epoch;
+  OnceRow successor_row = row;
+  successor_row.token = FreshToken(random);
+  successor_row.sender = self;
+  ++successor_row.epoch;
 
   OnceWrite write;
   write.condition = RowCondition{OnceRowKey(key), version};
-  write.value = SerializeOnceRow(taken);
+  write.value = SerializeOnceRow(successor_row);
   if (row.sender.node != self.node) {
     write.marker_writes.emplace_back(DeleteRow{OpenItemMarkerKey(row.sender.node, key)});
   }
   write.marker_writes.emplace_back(
-      PutRow{OpenItemMarkerKey(self.node, key), SerializeOpenItemMarker(taken)});
+      PutRow{OpenItemMarkerKey(self.node, key), SerializeOpenItemMarker(successor_row)});
   return write;
 }
 
--- a/src/once/group_committer.cc
+++ b/src/once/group_committer.cc
@@ -107,7 +107,7 @@
 GroupCommitter::Group GroupCommitter::TakeGroup() {
   Group group;
   std::set<std::string> keys;
-  std::deque<PendingWrite> left;
+  std::deque<PendingWrite> deferred;
   std::size_t rows = 0;
   while (!waiting_.empty()) {
     PendingWrite& member = waiting_.front();
@@ -117,12 +117,12 @@
       rows += more;
       group.push_back(std::move(member));
     } else {
-      left.push_back(std::move(member));
+      deferred.push_back(std::move(member));
     }
     waiting_.pop_front();
   }
-  waiting_.insert(waiting_.begin(), std::make_move_iterator(left.begin()),
-                  std::make_move_iterator(left.end()));
+  waiting_.insert(waiting_.begin(), std::make_move_iterator(deferred.begin()),
+                  std::make_move_iterator(deferred.end()));
   return group;
 }
 
@@ -145,11 +145,11 @@
 // rest is submitted again: otherwise one resent key would block every group that it is in.
 void GroupCommitter::ReplyRejected(Group group, const Rejected& rejected,
                                    std::vector<Action>& actions) {
-  std::deque<PendingWrite> again;
+  std::deque<PendingWrite> resubmitted;
   for (PendingWrite& member : group) {
     const Row* row = FindRow(rejected.current, member.write.condition.key);
     if (row == nullptr) {
-      again.push_back(std::move(member));
+      resubmitted.push_back(std::move(member));
       continue;
     }
     std::optional<Row> current;
@@ -157,15 +157,15 @@
     actions.emplace_back(Reply{member.id, OnceRejected{std::move(current)}});
   }
   // If the store names none of the failed rows, the group would be resubmitted forever.
-  if (again.size() == group.size()) {
-    for (const PendingWrite& member : again) {
+  if (resubmitted.size() == group.size()) {
+    for (const PendingWrite& member : resubmitted) {
       actions.emplace_back(
           Reply{member.id, FateUnknown{"rejected, but the store did not name the failed row"}});
     }
     return;
   }
-  waiting_.insert(waiting_.begin(), std::make_move_iterator(again.begin()),
-                  std::make_move_iterator(again.end()));
+  waiting_.insert(waiting_.begin(), std::make_move_iterator(resubmitted.begin()),
+                  std::make_move_iterator(resubmitted.end()));
 }
 
 }  // namespace figmill
--- a/test/once-group-commit-test.cc
+++ b/test/once-group-commit-test.cc
@@ -102,7 +102,7 @@
 
 }  // namespace
 
-TEST_CASE("one funnel per data centre handles the peak within the store's transaction rate") {
+TEST_CASE("one committer per data centre handles the peak within the store's transaction rate") {
   // 4,400 requests/s, two writes each (claim and outcome), on 330 entries in 8
   // data centres, with a store of 500 transactions/s.
   constexpr double kPeakWrites = 8'800;
--- a/test/once-item-test.cc
+++ b/test/once-item-test.cc
@@ -68,8 +68,8 @@
   void Write(Store& store) { Step(once::WriteDone{store.Apply(Expect<once::WriteRow>().write)}); }
 
   KeyedItem item;
-  std::mt19937_64
-      rng;  // one per process: with equal tokens a process would take another's write for its own
+  // One generator per process: with equal tokens a process would take another's write for its own.
+  std::mt19937_64 rng;
   std::string gone_node;
   Time now;
   std::vector<once::Action> actions;
--- a/test/once-schedule-test.cc
+++ b/test/once-schedule-test.cc
@@ -255,12 +255,12 @@
                  [=, this] { deliver_later(Delay(20), once::RevokeDone{Revoke(revoke)}); });
             },
             [&](const once::Resume& resume) { Resume(resume, item, deliver_later); },
-            [&](const once::ReplyOutcome& tell) {
-              replied.push_back({true, tell.outcome.digest, {}, faults_ended_, item->content});
+            [&](const once::ReplyOutcome& reply) {
+              replied.push_back({true, reply.outcome.digest, {}, faults_ended_, item->content});
             },
-            [&](const once::ReplyError& tell) {
-              replied.push_back({false, "", tell.error, faults_ended_, item->content});
-              if (tell.error.ran == Ran::kNo) CheckNotRun(*item, tell.error);
+            [&](const once::ReplyError& reply) {
+              replied.push_back({false, "", reply.error, faults_ended_, item->content});
+              if (reply.error.ran == Ran::kNo) CheckNotRun(*item, reply.error);
             },
             [&](const once::RetryDispatch&) { Dispatch(entry, incarnation, item); },
             [&](const once::WakeAt& wake) { deliver_later(wake.at - now_, once::Tick{}); },
