--- a/include/figmill/once.h
+++ b/include/figmill/once.h
@@ -304,7 +304,7 @@
   void SendWrite();
   void OnCommitted(RowVersion version);
   void OnRejected(const std::optional<Row>& current);
-  void OnNotConfirmed(bool unknown);
+  void OnNotConfirmed(bool may_be_written);
   void SetKnownRow(OnceRow row, RowVersion version);
   void StoreBodyOrSendWrite();
   void OnCommitTimer();
--- a/test/once-schedule-test.cc
+++ b/test/once-schedule-test.cc
@@ -100,15 +100,15 @@
     NodeInstance instance;
     Time paused_until;
   };
-  using DeliverLater =
-      std::function<void(Duration, once::Event)>;  // delivers an event after a delay
+  // Delivers an event after a delay.
+  using DeliverLater = std::function<void(Duration, once::Event)>;
   enum class RequestState { kTombstone, kRefused, kRunning, kFinished };
   struct Agent {
     NodeInstance instance;
     Time paused_until;
     std::map<std::string, RequestState> requests;  // of this incarnation
-    std::map<std::string, std::string>
-        streams;  // of the engine: digest of the response, "" while it runs
+    // Of the engine: digest of the response, "" while it runs.
+    std::map<std::string, std::string> streams;
   };
 
   double RandomFraction() { return std::uniform_real_distribution<>(0, 1)(rng_); }
