--- a/include/figmill/items.h
+++ b/include/figmill/items.h
@@ -35,9 +35,9 @@
   // Bytes of an event stream.
   void Feed(std::string_view bytes);
   // The run was interrupted: drops an incomplete event, which the next run sends again.
-  void DropPartialEvent() { pieces_.DropTail(); }
+  void DropIncomplete() { pieces_.DropTail(); }
   // Whether the run sends events that earlier runs have already delivered.
-  [[nodiscard]] bool repeats() const { return pieces_.repeats(); }
+  [[nodiscard]] bool has_duplicate() const { return pieces_.repeats(); }
   // Whether the bytes so far end with a complete event.
   [[nodiscard]] bool at_event_end() const { return !pieces_.in_event(); }
   [[nodiscard]] const std::optional<std::string>& last_id() const { return pieces_.last_id(); }
--- a/include/figmill/once.h
+++ b/include/figmill/once.h
@@ -158,14 +158,14 @@
 // Resume was interrupted, or its agent could not be reached.
 struct ResumeFailed {};
 // The caller has disconnected; a dispatched item runs to its end.
-struct CallerGone {};
+struct CallerDisconnected {};
 struct ObjectStored {
   bool stored = false;
 };
 struct Tick {};
 using Event =
     std::variant<Claim, WriteDone, ReadDone, Answered, DidNotRun, SendOutcomeUnknown, RevokeDone,
-                 StreamNotFound, ResumeFailed, CallerGone, ObjectStored, Tick>;
+                 StreamNotFound, ResumeFailed, CallerDisconnected, ObjectStored, Tick>;
 
 // Actions.
 
@@ -296,7 +296,7 @@
   void On(const once::RevokeDone& event);
   void On(const once::StreamNotFound& event);
   void On(const once::ResumeFailed& event);
-  void On(const once::CallerGone& event);
+  void On(const once::CallerDisconnected& event);
   void On(const once::ObjectStored& event);
   void On(const once::Tick& event);
 
@@ -330,7 +330,7 @@
   bool accepted_ = false;
   State state_ = State::kIdle;
   bool replied_ = false;
-  bool caller_gone_ = false;
+  bool caller_disconnected_ = false;
 
   std::optional<once::Claim> pending_claim_;  // the dispatch whose claim is not committed yet
   RequestId claimed_request_;                 // the last request that this process claimed
--- a/src/figmilld/traffic/once_ticket.cc
+++ b/src/figmilld/traffic/once_ticket.cc
@@ -100,7 +100,7 @@
   reply_->OnClosed([self = weak_from_this(), closed = std::move(closed)] {
     const auto ticket = self.lock();
     if (!ticket) return;
-    ticket->Step(once::CallerGone{});
+    ticket->Step(once::CallerDisconnected{});
     if (!ticket->claimed_) closed();
   });
 }
--- a/src/gateway/batch_runner.cc
+++ b/src/gateway/batch_runner.cc
@@ -280,7 +280,8 @@
   if (!runs_[key].answering) return;
   ItemText& text = work_.ProgressOf(key).text;
   text.Feed(bytes);
-  if (text.repeats()) Requeue(key, relay::SendEnd::kBroken, "an event came again", kRetryPause);
+  if (text.has_duplicate())
+    Requeue(key, relay::SendEnd::kBroken, "an event came again", kRetryPause);
 }
 
 void BatchRunner::OnEnd(const JobItemRef& key) {
@@ -309,7 +310,7 @@
 void BatchRunner::Requeue(const JobItemRef& key, relay::SendEnd end, std::string_view why,
                           Duration pause) {
   ItemProgress& progress = work_.ProgressOf(key);
-  progress.text.DropPartialEvent();
+  progress.text.DropIncomplete();
   tools_.metrics.ItemStopped(end);
   Log(LogLevel::kInfo, "item_stopped",
       {{"job", key.job.value},
--- a/src/once/errors.h
+++ b/src/once/errors.h
@@ -23,7 +23,7 @@
   return Error{ErrorKind::kConflict, "the key was used with other content", Ran::kNo};
 }
 
-[[nodiscard]] inline Error CallerDisconnected() {
+[[nodiscard]] inline Error DisconnectedBeforeSend() {
   return Error{ErrorKind::kCancelled, "the caller disconnected before the item was sent", Ran::kNo};
 }
 
--- a/src/once/keyed_item.cc
+++ b/src/once/keyed_item.cc
@@ -26,7 +26,7 @@
   gone_ = &context.gone;
   actions_.clear();
   const bool unsolicited =
-      std::holds_alternative<Tick>(event) || std::holds_alternative<CallerGone>(event);
+      std::holds_alternative<Tick>(event) || std::holds_alternative<CallerDisconnected>(event);
   if (!unsolicited) awaiting_event_ = false;
   if (!finished()) std::visit([this](const auto& concrete) { On(concrete); }, event);
   return std::move(actions_);
@@ -82,8 +82,8 @@
   RevokeDispatch();
 }
 
-void KeyedItem::On(const CallerGone&) {
-  caller_gone_ = true;
+void KeyedItem::On(const CallerDisconnected&) {
+  caller_disconnected_ = true;
   // Another sender's item completes without this request.
   if (state_ == State::kWaitingForOther || state_ == State::kIdle) state_ = State::kFinished;
 }
@@ -181,7 +181,7 @@
   SetKnownRow(pending_row_, version);
   switch (state_) {
     case State::kClaiming:
-      if (caller_gone_ && !accepted_) return Release(CallerDisconnected());
+      if (caller_disconnected_ && !accepted_) return Release(DisconnectedBeforeSend());
       state_ = State::kSent;
       ran_ = Ran::kUnknown;
       StartAction(Send{pending_claim_->request, pending_claim_->agent});
--- a/src/once/keyed_item_recovery.cc
+++ b/src/once/keyed_item_recovery.cc
@@ -47,7 +47,7 @@
 }
 
 void KeyedItem::WaitForOtherSender() {
-  state_ = caller_gone_ || replied_ ? State::kFinished : State::kWaitingForOther;
+  state_ = caller_disconnected_ || replied_ ? State::kFinished : State::kWaitingForOther;
   if (finished()) return;
   WakeAfter(timeouts_.poll_interval);
 }
@@ -66,7 +66,7 @@
 // run (there was none, or it is known not to have run and is blocked by a tombstone), or
 // when the item is repeatable.
 void KeyedItem::ClaimKey() {
-  if (!accepted_ && (!pending_claim_ || caller_gone_ || replied_))
+  if (!accepted_ && (!pending_claim_ || caller_disconnected_ || replied_))
     return ReplyAndFinish(ReplyError{not_run_error_});
   if (!pending_claim_) return Release(not_run_error_);
   OnceRow row;
--- a/test/items-test.cc
+++ b/test/items-test.cc
@@ -29,7 +29,7 @@
   ItemText text;
   text.Feed("id: 1\ndata: a\n\nid: 2\nda");
   CHECK_FALSE(text.at_event_end());
-  text.DropPartialEvent();
+  text.DropIncomplete();
   CHECK(text.last_id() == "1");
   text.Feed("id: 2\ndata: b\n\n");
   CHECK(text.text() == "a\nb");
@@ -42,12 +42,12 @@
 TEST_CASE("an item's text contains no event twice") {
   ItemText text;
   text.Feed(kEvents + "id: 3\nda");
-  text.DropPartialEvent();
+  text.DropIncomplete();
   text.Feed(kEvents);
-  CHECK(text.repeats());
+  CHECK(text.has_duplicate());
   CHECK(text.text() == "a\nb");
-  text.DropPartialEvent();
-  CHECK_FALSE(text.repeats());
+  text.DropIncomplete();
+  CHECK_FALSE(text.has_duplicate());
   text.Feed("id: 3\ndata: c\n\n");
   CHECK(text.text() == "a\nb\nc");
 }
