--- a/include/figmill/items.h
+++ b/include/figmill/items.h
@@ -226,7 +226,7 @@
 };
 
 // All open items of the jobs that an entry owns: the progress of each, and the waiting ones.
-class ItemScheduler {
+class OpenItems {
  public:
   // Restores output of the item that an earlier owner stored.
   void Restore(const JobItemRef& key, const ledger::ProgressPiece& piece);
--- a/src/gateway/batch_runner.h
+++ b/src/gateway/batch_runner.h
@@ -92,7 +92,7 @@
   const StoreClock& clock_;
   std::function<void()> wanted_changed_;
   std::shared_ptr<const RouteTable> routes_;
-  ItemScheduler work_;
+  OpenItems work_;
   std::map<JobItemRef, Run> runs_;
   bool check_routes_ = false;  // of open items: the configuration or the jobs have changed
   Timer sweep_timer_, keep_timer_;
--- a/src/items/item_scheduler.cc
+++ b/src/items/open_items.cc
@@ -22,18 +22,18 @@
   return stop;
 }
 
-void ItemScheduler::Restore(const JobItemRef& key, const ledger::ProgressPiece& piece) {
+void OpenItems::Restore(const JobItemRef& key, const ledger::ProgressPiece& piece) {
   progress_[key].text.Restore(piece);
 }
 
-void ItemScheduler::Enqueue(const JobItemRef& key, StoreTime due, Time not_before) {
+void OpenItems::Enqueue(const JobItemRef& key, StoreTime due, Time not_before) {
   ItemProgress& progress = progress_[key];
   progress.due = due;
   const bool started = progress.text.events() > 0;
   backlog_.Add({key.job, key.item, due, TimeToFinish(key), not_before, started});
 }
 
-std::optional<ItemBacklog::Entry> ItemScheduler::StartNext(
+std::optional<ItemBacklog::Entry> OpenItems::StartNext(
     const BacklogTime& now, const std::function<bool(const JobItemRef&)>& fits) {
   std::optional<ItemBacklog::Entry> entry =
       backlog_.Take(now, [&fits](const ItemBacklog::Entry& each) {
@@ -47,7 +47,7 @@
   return entry;
 }
 
-void ItemScheduler::OnRunEnded(const JobItemRef& key, Time now) {
+void OpenItems::OnRunEnded(const JobItemRef& key, Time now) {
   const auto found = progress_.find(key);
   if (found == progress_.end()) return;
   ItemProgress& progress = found->second;
@@ -56,7 +56,7 @@
   estimator_.OnRunEnded(progress.text.events() - progress.events_before, length);
 }
 
-void ItemScheduler::OnCompleted(const JobItemRef& key, const BacklogTime& now) {
+void OpenItems::OnCompleted(const JobItemRef& key, const BacklogTime& now) {
   const ItemProgress& progress = progress_[key];
   // A late item has waited for all others; its time says nothing about items that can be in time.
   const bool in_time = !now.store || *now.store <= progress.due;
@@ -64,25 +64,25 @@
   estimator_.OnCompleted(progress.text.events(), progress.work, now.local - progress.first_run_at);
 }
 
-ItemProgress ItemScheduler::Remove(const JobItemRef& key) {
+ItemProgress OpenItems::Remove(const JobItemRef& key) {
   backlog_.RemoveItem(key.job, key.item);
   ItemProgress progress = std::move(progress_[key]);
   progress_.erase(key);
   return progress;
 }
 
-void ItemScheduler::RemoveJob(const JobId& job) {
+void OpenItems::RemoveJob(const JobId& job) {
   backlog_.RemoveJob(job);
   std::erase_if(progress_, [&job](const auto& each) { return each.first.job == job; });
 }
 
-std::set<JobId> ItemScheduler::Jobs() const {
+std::set<JobId> OpenItems::Jobs() const {
   std::set<JobId> jobs;
   for (const auto& [key, progress] : progress_) jobs.insert(key.job);
   return jobs;
 }
 
-std::vector<ledger::ProgressPiece> ItemScheduler::TakePieces(const JobId& job) {
+std::vector<ledger::ProgressPiece> OpenItems::TakePieces(const JobId& job) {
   std::vector<ledger::ProgressPiece> pieces;
   for (auto it = progress_.lower_bound({job, 0}); it != progress_.end() && it->first.job == job;
        ++it) {
@@ -91,7 +91,7 @@
   return pieces;
 }
 
-Duration ItemScheduler::TimeToFinish(const JobItemRef& key) const {
+Duration OpenItems::TimeToFinish(const JobItemRef& key) const {
   const auto found = progress_.find(key);
   return estimator_.TimeToFinish(found == progress_.end() ? 0 : found->second.text.events());
 }
--- a/test/items-test.cc
+++ b/test/items-test.cc
@@ -222,7 +222,7 @@
   const JobItemRef started{JobId{"begun"}, 0};
   const auto all = [](const JobItemRef&) { return true; };
   const BacklogTime now{Time{seconds(100)}, seconds(0)};
-  ItemScheduler scheduler;
+  OpenItems scheduler;
   scheduler.Enqueue(fresh, seconds(30), now.local);
   REQUIRE(scheduler.StartNext(now, all));
   scheduler.ProgressOf(fresh).text.Feed(kEvents);
@@ -242,7 +242,7 @@
 
 TEST_CASE("the output of runs is taken in pieces, each once, and a removed job leaves nothing") {
   const JobItemRef key{JobId{"j"}, 0};
-  ItemScheduler scheduler;
+  OpenItems scheduler;
   scheduler.Enqueue(key, seconds(30), Time{});
   CHECK(scheduler.TakePieces(key.job).empty());
   scheduler.ProgressOf(key).text.Feed(kEvents);
