--- a/include/figmill/quota.h
+++ b/include/figmill/quota.h
@@ -195,7 +195,7 @@
     Time refused_until{};
     Time next_credit{};
     Duration every{0};
-    ReturnBook returns;
+    RetryScheduler returns;
     // What comes here, for credits ahead of need.
     double arrivals = 0;
     Time arrivals_at{};
--- a/src/fleet/fault_rate.cc
+++ b/src/fleet/outlier_detector.cc
@@ -4,16 +4,16 @@
 
 namespace figmill {
 
-void FaultRate::Count(bool fault, Time now) {
+void OutlierDetector::Record(bool fault, Time now) {
   // What ends meanwhile was sent before: it says nothing new.
   if (IsEjected(now)) return;
-  rate_ += ((fault ? 1.0 : 0.0) - rate_) * kNewest;
-  if (rate_ < kSound) ejections_ = 0;
-  if (rate_ < kTooHigh) return;
-  const Duration length = kFirstEjection * (1 << std::min(ejections_, 4));
-  ejected_until_ = now + std::min<Duration>(length, kLongestEjection);
+  rate_ += ((fault ? 1.0 : 0.0) - rate_) * kNewestWeight;
+  if (rate_ < kHealthyThreshold) ejections_ = 0;
+  if (rate_ < kEjectionThreshold) return;
+  const Duration duration = kFirstEjection * (1 << std::min(ejections_, 4));
+  ejected_until_ = now + std::min<Duration>(duration, kMaxEjection);
   ++ejections_;
-  rate_ = kProbation;
+  rate_ = kRateAfterEjection;
 }
 
 bool IsFault(WorkClass work, relay::SendEnd end) {
--- a/src/gateway/batch_runner.cc
+++ b/src/gateway/batch_runner.cc
@@ -124,7 +124,7 @@
 // Online has come.
 void BatchRunner::StopExcess() {
   std::vector<std::pair<BackendId, int>> excess;
-  tools_.places.ForEach([&excess](const BackendInfo& info, const PlaceUse& use) {
+  tools_.places.ForEach([&excess](const BackendInfo& info, const SlotUsage& use) {
     if (info.state == BackendState::kUnreadable) return;  // what runs there is left to end
     if (use.batch > use.batch_allowed) excess.emplace_back(info.id, use.batch - use.batch_allowed);
   });
@@ -143,11 +143,11 @@
   if (work_.backlog().size() == 0) return;
   const Time now = Loop::Now();
   std::vector<std::pair<double, BackendInfo>> open;
-  tools_.places.ForEach([&](const BackendInfo& info, const PlaceUse& use) {
+  tools_.places.ForEach([&](const BackendInfo& info, const SlotUsage& use) {
     if (use.batch >= use.batch_allowed || !tools_.places.IsUsable(info.id, now)) return;
     const int used = use.online + use.batch + use.online_other + use.batch_other;
     for (int i = use.batch; i < use.batch_allowed; ++i) {
-      open.emplace_back(static_cast<double>(used + i - use.batch) / info.places, info);
+      open.emplace_back(static_cast<double>(used + i - use.batch) / info.slots, info);
     }
   });
   // The least used first: there a run disturbs others least, and is stopped last.
@@ -179,7 +179,7 @@
     call.headers.push_back({tools_.names.last_event_id, *progress.text.last_id()});
   }
   call.bytes = &BytesOf(tools_, TrafficKind::kBatch, backend.id);
-  const PlaceUse use = tools_.places.Use(backend.id);
+  const SlotUsage use = tools_.places.UsageOf(backend.id);
   Log(LogLevel::kInfo, "item_run",
       {{"job", key.job.value},
        {"item", item.id},
@@ -196,7 +196,7 @@
   run.lost_send = {item.id, fingerprint, run.backend, run.started_at};
   tools_.crashes.Began(fingerprint);
   run.due = due;
-  run.place = tools_.places.Began(backend.id, WorkClass::kBatch, run.started_at);
+  run.place = tools_.places.AcquireSlot(backend.id, WorkClass::kBatch, run.started_at);
   run.number = tools_.sends.Add(run.backend, run.started_at, [this, key] {
     tools_.crashes.Crashed(runs_[key].lost_send);
     Requeue(key, relay::SendEnd::kBroken, "the backend server has started again", Duration{0});
@@ -212,7 +212,7 @@
   Run& run = found->second;
   run.heard_at = Loop::Now();
   if (!std::holds_alternative<HttpFailure>(event)) {
-    tools_.places.Heard(run.place, run.heard_at);
+    tools_.places.RecordActivity(run.place, run.heard_at);
     tools_.sends.Heard(run.number, run.heard_at);
   }
   std::visit(Overloaded{
@@ -303,7 +303,7 @@
   const Time now = Loop::Now();
   tools_.sends.Remove(run.number);
   work_.RunEnded(key, now);
-  tools_.places.Ended(run.place, end, now - run.started_at, now);
+  tools_.places.ReleaseSlot(run.place, end, now - run.started_at, now);
 }
 
 void BatchRunner::Requeue(const JobItemRef& key, relay::SendEnd end, std::string_view why,
--- a/src/gateway/batch_runner.h
+++ b/src/gateway/batch_runner.h
@@ -48,7 +48,7 @@
  private:
   struct Run {
     BackendAddress backend;
-    TakenPlace place;
+    AcquiredSlot place;
     OpenSends::Number number = 0;
     CancelCall cancel;
     bool answering = false;
--- a/src/gateway/caller_door.cc
+++ b/src/gateway/caller_door.cc
@@ -143,7 +143,7 @@
   if (!request.query.empty()) relayed.target += "?" + request.query;
   relayed.goal_at = Loop::Now() + route.goal;
   const Time now = Loop::Now();
-  relayed.last_chance = first_tries_.IsSecond(route.name, plan.limit - now, now);
+  relayed.last_chance = first_tries_.IsRetry(route.name, plan.limit - now, now);
   relayed.service = ChooseShare(route, random_());
   relayed.route = route.name;
   relayed.config_version = view_->routes->version();
--- a/src/gateway/caller_door.h
+++ b/src/gateway/caller_door.h
@@ -45,7 +45,7 @@
   JobDesk& jobs_;
   RandomBits random_;
   std::shared_ptr<const FleetView> view_;
-  FirstTries first_tries_;
+  RetryDetector first_tries_;
   std::size_t in_flight_ = 0;
   bool refusing_ = false;
 };
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -124,7 +124,7 @@
         desk_(loop_, jobs_, clock_, adapter),
         door_(tools_, adapter, desk_, SystemRandom()),
         control_(settings, adapter, metrics_, traffic_, peers_.self(), ControlHooks()) {
-    places_.OnUse([this](const BackendId& backend) { link_.Touch(backend); });
+    places_.SetUsageListener([this](const BackendId& backend) { link_.Touch(backend); });
   }
 
   int Run() {
@@ -306,7 +306,7 @@
   std::unique_ptr<SharedTables> tables_;
   StoreClock clock_;
   ClockedTables clocked_tables_;
-  PlaceBook places_;
+  BackendPool places_;
   BackendList backends_;  // of the view in use
   OpenSends sends_;
   PeerTable peers_;
--- a/src/gateway/peer_link.cc
+++ b/src/gateway/peer_link.cc
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-PeerLink::PeerLink(Loop& loop, PeerTable& peers, PlaceBook& places, Metrics& metrics,
+PeerLink::PeerLink(Loop& loop, PeerTable& peers, BackendPool& places, Metrics& metrics,
                    TrafficMetrics& traffic, Hooks hooks)
     : loop_(loop),
       peers_(peers),
@@ -47,7 +47,7 @@
   });
   heartbeat_ = loop_.Every(kHeartbeat, [this] { Heartbeat(); });
   watch_timer_ = loop_.Every(PeerTable::kPresence / 2, [this] { WatchPeers(); });
-  grant_timer_ = loop_.Every(PlaceKeeper::kCoalesce, [this] {
+  grant_timer_ = loop_.Every(SlotAllocator::kCoalesce, [this] {
     keeper_.Tick(Loop::Now());
     LogEjections();
     SendGrants();
@@ -191,7 +191,7 @@
     SendGrants();
   }
   if (message.ask) {
-    keeper_.OnAsk(message.from.node, *message.ask, now);
+    keeper_.OnRequest(message.from.node, *message.ask, now);
     SendGrants();
   }
   if (message.grant) OnGrant(message.from, *message.grant);
--- a/src/gateway/peer_link.h
+++ b/src/gateway/peer_link.h
@@ -30,12 +30,12 @@
     std::function<void(const QuotaGrant&)> quota_granted;
   };
   // Entries report to their keepers at least this often.
-  static constexpr Duration kHeartbeat = PlaceKeeper::kHeartbeat;
+  static constexpr Duration kHeartbeat = SlotAllocator::kHeartbeat;
   // A keeper that sent no grant for so long is taken for gone: three were lost or
   // it stands still.
   static constexpr Duration kKeeperSilence{700'000};
   // The same where this entry uses nothing and waits for nothing.
-  static constexpr Duration kIdleKeeperSilence = PlaceKeeper::kIdleReportLife;
+  static constexpr Duration kIdleKeeperSilence = SlotAllocator::kIdleReportTtl;
   // Seeds are asked whom they know if the store has listed nobody by then. When all entries start
   // together, each of three seeds would send a full datagram to each of them.
   static constexpr Duration kStorePatience{500'000};
@@ -49,7 +49,7 @@
   // Places kept free of batch at each backend server.
   static constexpr int kReserve = 0;
 
-  PeerLink(Loop& loop, PeerTable& peers, PlaceBook& places, Metrics& metrics,
+  PeerLink(Loop& loop, PeerTable& peers, BackendPool& places, Metrics& metrics,
            TrafficMetrics& traffic, Hooks hooks);
 
   // Errors: kInternal, with the cause.
@@ -113,14 +113,14 @@
 
   Loop& loop_;
   PeerTable& peers_;
-  PlaceBook& places_;
+  BackendPool& places_;
   Metrics& metrics_;
   TrafficMetrics& traffic_;
   Counter& datagrams_;
   Counter& datagram_bytes_;
   Counter& refused_;
   Hooks hooks_;
-  PlaceKeeper keeper_{kReserve};
+  SlotAllocator keeper_{kReserve};
   std::unique_ptr<UdpSocket> socket_;
   KeeperMap keepers_;
   std::map<BackendId, Peer> keeper_of_;  // of the backend servers that are used
--- a/src/gateway/peer_link_places.cc
+++ b/src/gateway/peer_link_places.cc
@@ -32,13 +32,13 @@
     if (!MayBeSame(line.incarnation, TagOf(line.backend))) {
       // One of the two hasn't heard of the restart yet, and the keeper doesn't know what this
       // entry has there: no batch item begins.
-      places_.DropGrant(line.backend);
+      places_.RevokeBatchGrant(line.backend);
       continue;
     }
-    changed |= places_.Use(line.backend).batch_allowed != line.allowed;
-    places_.SetGrant(line.backend,
-                     {line.online_other, line.batch_other, line.allowed, line.ejected},
-                     keeper.heard_at);
+    changed |= places_.UsageOf(line.backend).batch_allowed != line.allowed;
+    places_.ApplyGrant(line.backend,
+                       {line.online_other, line.batch_other, line.allowed, line.ejected},
+                       keeper.heard_at);
   }
   if (!changed) return;
   owed_.insert(from.node);
@@ -55,22 +55,22 @@
     const bool changed = before == keeper_of_.end() || before->second.node != keeper.node ||
                          before->second.incarnation != keeper.incarnation;
     if (!changed) continue;
-    places_.DropGrant(id);
+    places_.RevokeBatchGrant(id);
     touched_.insert(id);
     from_keeper_.try_emplace(keeper.node, FromKeeper{0, now, {}, {}, {}, {}, {}});
   }
   keeper_of_ = keepers_.used();
-  keeper_.Keep(keepers_.kept(), now);
+  keeper_.SetBackends(keepers_.kept(), now);
   if (!touched_.empty()) ScheduleFlush();
 }
 
 void PeerLink::SyncPlaces() {
   std::vector<BackendId> gone;
-  places_.ForEach([&](const BackendInfo& info, const PlaceUse& /*use*/) {
+  places_.ForEach([&](const BackendInfo& info, const SlotUsage& /*use*/) {
     if (!keepers_.used().contains(info.id)) gone.push_back(info.id);
   });
-  for (const BackendId& id : gone) places_.Forget(id);
-  for (const BackendInfo& info : keepers_.used_infos()) places_.Learn(info);
+  for (const BackendId& id : gone) places_.Remove(id);
+  for (const BackendInfo& info : keepers_.used_infos()) places_.AddOrUpdate(info);
 }
 
 void PeerLink::SuspectSilentKeepers() {
@@ -108,7 +108,7 @@
     const bool busy = waits || !std::all_of(each.begin(), each.end(), IsUnused);
     if (!busy) keeper.busy_since.reset();
     if (busy && !keeper.busy_since) keeper.busy_since = now;
-    const bool all = now - keeper.all_reported_at >= PlaceKeeper::kIdleHeartbeat;
+    const bool all = now - keeper.all_reported_at >= SlotAllocator::kIdleHeartbeat;
     if (!busy && !all) continue;
     if (all) keeper.all_reported_at = now;
     if (!all) std::erase_if(each, IsUnused);
@@ -117,7 +117,7 @@
 }
 
 PlaceReport::Line PeerLink::LineOf(const BackendId& backend) const {
-  const PlaceUse use = places_.Use(backend);
+  const SlotUsage use = places_.UsageOf(backend);
   return {backend, use.online, use.batch, use.usual_run, use.answers, use.faults, TagOf(backend)};
 }
 
@@ -180,7 +180,7 @@
 }
 
 void PeerLink::SendGrants() {
-  for (PlaceKeeper::Outgoing& outgoing : keeper_.Due(Loop::Now())) {
+  for (SlotAllocator::Outgoing& outgoing : keeper_.TakeOutgoing(Loop::Now())) {
     const Peer* peer = peers_.Find(outgoing.to);
     if (peer == nullptr) continue;
     if (peer->node == peers_.self().node) {
@@ -199,18 +199,18 @@
 }
 
 void PeerLink::LogEjections() {
-  for (const PlaceKeeper::Ejection& each : keeper_.TakeEjections()) {
+  for (const SlotAllocator::Ejection& each : keeper_.TakeEjections()) {
     Log(LogLevel::kWarning, each.ejected ? "backend_ejected" : "backend_readmitted",
         {{"backend", each.backend.value},
          {"service", each.service.value},
-         {"sick", std::to_string(each.sick)},
-         {"kept", std::to_string(each.kept)}});
+         {"sick", std::to_string(each.unhealthy)},
+         {"kept", std::to_string(each.total)}});
   }
 }
 
 void PeerLink::Ask(const NodeId& keeper, const PlaceAsk& ask) {
   if (keeper == peers_.self().node) {
-    keeper_.OnAsk(keeper, ask, Loop::Now());
+    keeper_.OnRequest(keeper, ask, Loop::Now());
     return SendGrants();
   }
   const Peer* peer = peers_.Find(keeper);
@@ -241,14 +241,14 @@
 std::vector<NodeId> PeerLink::KeepersFor(const ServiceName& service,
                                          std::span<const BackendId> tried) const {
   std::map<NodeId, KeeperShare> shares;
-  places_.ForEach([&](const BackendInfo& info, const PlaceUse& use) {
+  places_.ForEach([&](const BackendInfo& info, const SlotUsage& use) {
     const auto keeper = keeper_of_.find(info.id);
     const bool usable = info.service == service && info.state == BackendState::kReady &&
                         std::find(tried.begin(), tried.end(), info.id) == tried.end();
     if (keeper == keeper_of_.end() || !usable) return;
     KeeperShare& share = shares[keeper->second.node];
-    share.places += info.places;
-    share.free += std::max(0, info.places - use.online - use.online_other);
+    share.places += info.slots;
+    share.free += std::max(0, info.slots - use.online - use.online_other);
     share.near = info.data_centre == peers_.self().data_centre;
   });
   std::vector<std::pair<double, NodeId>> order;
--- a/src/gateway/place_finder.cc
+++ b/src/gateway/place_finder.cc
@@ -6,7 +6,7 @@
 
 class PlaceFinder::Search : public std::enable_shared_from_this<Search> {
  public:
-  Search(PlaceFinder& finder, const Need& need, PlaceSearch search, Done done)
+  Search(PlaceFinder& finder, const Need& need, SlotSearch search, Done done)
       : finder_(finder),
         service_(need.query.service),
         tried_(need.query.tried.begin(), need.query.tried.end()),
@@ -22,20 +22,20 @@
 
   void Start() { Do(search_.Start(Loop::Now())); }
   void OnAnswer(const PlaceAnswer& answer) {
-    if (done_) Do(search_.On(search::Answered{answer}, Loop::Now()));
+    if (done_) Do(search_.OnEvent(search::Answered{answer}, Loop::Now()));
   }
 
  private:
   void Do(const search::Action& action) {
     std::visit([this](const auto& each) { On(each); }, action);
   }
-  void On(const search::AskKeeper& ask) {
-    keeper_ = ask.keeper;
-    Arm(ask.patience);
-    finder_.link_.Ask(ask.keeper, ask.ask);
+  void On(const search::AskAllocator& ask) {
+    keeper_ = ask.allocator;
+    Arm(ask.timeout);
+    finder_.link_.Ask(ask.allocator, ask.request);
   }
-  void On(const search::Wait& wait) { Arm(wait.patience); }
-  void On(const search::Take& take) {
+  void On(const search::Wait& wait) { Arm(wait.timeout); }
+  void On(const search::UseSlot& take) {
     finder_.link_.ActedOn(keeper_, search_.number());
     const BackendInfo* info = finder_.places_.Find(take.backend);
     if (info != nullptr && finder_.places_.IsUsable(take.backend, Loop::Now())) {
@@ -48,15 +48,15 @@
          {"keeper", keeper_.value},
          {"why", leaves ? "it is leaving" : "it fails or is silent here"}});
     tried_.push_back(take.backend);
-    On(search::TakeUnasked{});
+    On(search::ChooseLocally{});
   }
-  void On(const search::TakeUnasked& /*action*/) {
-    PlaceQuery query;
+  void On(const search::ChooseLocally& /*action*/) {
+    BackendQuery query;
     query.service = service_;
     query.tried = tried_;
     Finish(finder_.places_.Choose(query, Loop::Now()));
   }
-  void On(const search::GiveUp& give_up) {
+  void On(const search::Refuse& give_up) {
     Finish(Error{ErrorKind::kOverloaded, "all places are taken", Ran::kNo, give_up.wait});
   }
   void Finish(Result<BackendAddress> result) {
@@ -66,25 +66,25 @@
   void Arm(Duration patience) {
     timer_ = finder_.loop_.After(patience, [weak = weak_from_this()] {
       const auto self = weak.lock();
-      if (self && self->done_) self->Do(self->search_.On(search::TimedOut{}, Loop::Now()));
+      if (self && self->done_) self->Do(self->search_.OnEvent(search::TimedOut{}, Loop::Now()));
     });
   }
 
   PlaceFinder& finder_;
   ServiceName service_;
   std::vector<BackendId> tried_;
-  PlaceSearch search_;
+  SlotSearch search_;
   Done done_;
   NodeId keeper_;
   Timer timer_;
 };
 
-PlaceFinder::PlaceFinder(Loop& loop, PlaceBook& places, PeerLink& link)
+PlaceFinder::PlaceFinder(Loop& loop, BackendPool& places, PeerLink& link)
     : loop_(loop), places_(places), link_(link) {}
 
 std::shared_ptr<PlaceFinder::Search> PlaceFinder::Find(const Need& need, Done done) {
   const Time now = Loop::Now();
-  if (const auto roomy = places_.ChooseRoomy(need.query, kRoomy, now)) {
+  if (const auto roomy = places_.ChooseLightlyLoaded(need.query, kRoomy, now)) {
     done(*roomy);
     return nullptr;
   }
@@ -102,15 +102,15 @@
   ask.last_chance = need.last_chance;
   ask.tried = not_there;
   auto search = std::make_shared<Search>(
-      *this, need, PlaceSearch(std::move(ask), std::move(keepers), now), std::move(done));
+      *this, need, SlotSearch(std::move(ask), std::move(keepers), now), std::move(done));
   searches_[next_ask_] = search;
   search->Start();
   return search;
 }
 
-std::vector<BackendId> PlaceFinder::NotThere(const PlaceQuery& query, Time now) const {
+std::vector<BackendId> PlaceFinder::NotThere(const BackendQuery& query, Time now) const {
   std::vector<BackendId> not_there(query.tried.begin(), query.tried.end());
-  for (BackendId& id : places_.LeftOut(query, now)) {
+  for (BackendId& id : places_.ExcludedBackends(query, now)) {
     if (not_there.size() >= kMostNotThere) break;
     not_there.push_back(std::move(id));
   }
--- a/src/gateway/place_finder.h
+++ b/src/gateway/place_finder.h
@@ -28,13 +28,13 @@
   class Search;
   using Done = std::function<void(Result<BackendAddress>)>;
   struct Need {
-    PlaceQuery query;
+    BackendQuery query;
     Duration goal_left{0};
     Duration time_left{0};  // until its caller gives up
     bool last_chance = false;
   };
 
-  PlaceFinder(Loop& loop, PlaceBook& places, PeerLink& link);
+  PlaceFinder(Loop& loop, BackendPool& places, PeerLink& link);
 
   // `done` is called once, perhaps within this call; never after the result was
   // destroyed. It is null when `done` was called already. Errors: kNoBackend,
@@ -46,10 +46,10 @@
   // Where the request may not go: where it was, and what fails or is silent to this entry. Its
   // keeper may hear of that much later, and dead backend servers look free: with a third of them
   // lost at a wave's peak, 434 of 1,980 places that keepers gave were at dead ones.
-  [[nodiscard]] std::vector<BackendId> NotThere(const PlaceQuery& query, Time now) const;
+  [[nodiscard]] std::vector<BackendId> NotThere(const BackendQuery& query, Time now) const;
 
   Loop& loop_;
-  PlaceBook& places_;
+  BackendPool& places_;
   PeerLink& link_;
   std::uint64_t next_ask_ = 0;
   std::map<std::uint64_t, std::weak_ptr<Search>> searches_;
--- a/src/gateway/relay_call.cc
+++ b/src/gateway/relay_call.cc
@@ -35,7 +35,7 @@
 }  // namespace
 
 Counter& BytesOf(RelayTools& tools, TrafficKind kind, const BackendId& backend) {
-  const Reach reach = tools.places.IsNear(backend) ? Reach::kSameCentre : Reach::kOtherCentre;
+  const Reach reach = tools.places.IsLocal(backend) ? Reach::kSameCentre : Reach::kOtherCentre;
   return tools.traffic.Of(kind, reach);
 }
 
@@ -132,7 +132,7 @@
 
 void RelayCall::Do(const relay::Send& action) {
   sent_to_ = action.backend;
-  const PlaceUse use = tools_.places.Use(action.backend.id);
+  const SlotUsage use = tools_.places.UsageOf(action.backend.id);
   Log(LogLevel::kInfo, "placed",
       {{"request", run_.plan().request.value},
        {"send", std::to_string(action.send)},
@@ -149,7 +149,7 @@
 void RelayCall::BeginSend(const relay::Send& action) {
   sent_at_ = Loop::Now();
   if (tools_.crashes.quarantines()) tools_.crashes.Began(Fingerprint());
-  place_ = tools_.places.Began(action.backend.id, WorkClass::kOnline, sent_at_);
+  place_ = tools_.places.AcquireSlot(action.backend.id, WorkClass::kOnline, sent_at_);
   open_send_ =
       tools_.sends.Add(action.backend, sent_at_, [weak = weak_from_this(), send = action.send] {
         const auto self = weak.lock();
@@ -166,7 +166,7 @@
 void RelayCall::OnHttp(SendNumber send, HttpEvent event) {
   const WireNames& names = tools_.names;
   if (!std::holds_alternative<HttpFailure>(event)) {
-    tools_.places.Heard(place_, Loop::Now());
+    tools_.places.RecordActivity(place_, Loop::Now());
     tools_.sends.Heard(open_send_, Loop::Now());
   }
   std::visit(Overloaded{
@@ -209,7 +209,7 @@
   if (const CancelCall cancel = std::exchange(cancel_, nullptr)) cancel();
   const Time now = Loop::Now();
   tools_.sends.Remove(open_send_);
-  tools_.places.Ended(place_, action.end, now - sent_at_, now);
+  tools_.places.ReleaseSlot(place_, action.end, now - sent_at_, now);
   tools_.metrics.SendEnded(action.end);
   if (action.end == relay::SendEnd::kAnswered) return;
   Log(LogLevel::kInfo, "send_over",
--- a/src/gateway/relay_call.h
+++ b/src/gateway/relay_call.h
@@ -25,7 +25,7 @@
 struct RelayTools {
   Loop& loop;
   ExchangeClient& client;
-  PlaceBook& places;
+  BackendPool& places;
   PlaceFinder& finder;
   OpenSends& sends;
   CrashWatch& crashes;
@@ -96,7 +96,7 @@
   std::shared_ptr<HttpReply> reply_;
   std::function<void()> finished_;
   CancelCall cancel_;
-  TakenPlace place_;
+  AcquiredSlot place_;
   OpenSends::Number open_send_ = 0;
   std::shared_ptr<PlaceFinder::Search> search_;
   Timer timer_;
--- a/src/peers/keeper_map.cc
+++ b/src/peers/keeper_map.cc
@@ -9,7 +9,7 @@
 
 KeptBackend KeptOf(const BackendInfo& info) {
   const bool draining = info.state == BackendState::kDraining;
-  return {info.service, draining ? 0 : info.places, info.state == BackendState::kUnreadable,
+  return {info.service, draining ? 0 : info.slots, info.state == BackendState::kUnreadable,
           info.incarnation};
 }
 
--- a/src/quota/quota_client.cc
+++ b/src/quota/quota_client.cc
@@ -174,10 +174,10 @@
 // Credits fall due for all entries together; one in so many comes here.
 Error QuotaClient::Refused(TeamState& team, Duration time_left, Time now) {
   const auto entries = static_cast<Duration::rep>(std::max<std::size_t>(1, team.entries.count));
-  const ReturnBook::Refused refused{time_left, std::max(team.next_credit - now, Duration{0}),
-                                    team.every * entries};
+  const RetryScheduler::RefusedRequest refused{
+      time_left, std::max(team.next_credit - now, Duration{0}), team.every * entries};
   return Error{ErrorKind::kTeamLimit, "team '" + team.name.value + "' has used up its rate",
-               Ran::kNo, team.returns.ComeBackAfter(refused, now)};
+               Ran::kNo, team.returns.ScheduleRetry(refused, now)};
 }
 
 void QuotaClient::Decide(TeamState& team, Result<quota::Admitted> verdict) {
--- a/test/backend-incarnation-test.cc
+++ b/test/backend-incarnation-test.cc
@@ -33,10 +33,12 @@
 
 // A place book that knows the engine in its first incarnation, and whose draws are all alike.
 struct Book {
-  Book() { book.Learn(EngineIn(kFirst)); }
-  TakenPlace Take(Time now = kStart) { return book.Began(kEngine, WorkClass::kOnline, now); }
-  void Fault(Time now = kStart) { book.Ended(Take(now), relay::SendEnd::kBroken, {}, now); }
-  PlaceBook book{DataCentre{"dc"}, [] { return std::uint64_t{0}; }};
+  Book() { book.AddOrUpdate(EngineIn(kFirst)); }
+  AcquiredSlot Take(Time now = kStart) {
+    return book.AcquireSlot(kEngine, WorkClass::kOnline, now);
+  }
+  void Fault(Time now = kStart) { book.ReleaseSlot(Take(now), relay::SendEnd::kBroken, {}, now); }
+  BackendPool book{DataCentre{"dc"}, [] { return std::uint64_t{0}; }};
 };
 
 // A send to the engine, and whether it was ended for its incarnation.
@@ -109,15 +111,15 @@
 // Symptom: a backend server that has just started gets nothing, as all its places are taken.
 TEST_CASE("places of an ended incarnation are free, and late ends free none of the new one") {
   Book b;
-  const TakenPlace old = b.Take();
+  const AcquiredSlot old = b.Take();
   b.Take();
-  b.book.Learn(EngineIn(kSecond));
-  CHECK(b.book.Use(kEngine).online == 0);
-  const TakenPlace taken = b.Take();
-  b.book.Ended(old, relay::SendEnd::kAnswered, {}, kStart);
-  CHECK(b.book.Use(kEngine).online == 1);
-  b.book.Ended(taken, relay::SendEnd::kAnswered, {}, kStart);
-  CHECK(b.book.Use(kEngine).online == 0);
+  b.book.AddOrUpdate(EngineIn(kSecond));
+  CHECK(b.book.UsageOf(kEngine).online == 0);
+  const AcquiredSlot taken = b.Take();
+  b.book.ReleaseSlot(old, relay::SendEnd::kAnswered, {}, kStart);
+  CHECK(b.book.UsageOf(kEngine).online == 1);
+  b.book.ReleaseSlot(taken, relay::SendEnd::kAnswered, {}, kStart);
+  CHECK(b.book.UsageOf(kEngine).online == 0);
 }
 
 // Symptom: a backend server that has just started is left out for seconds.
@@ -127,33 +129,34 @@
   SUBCASE("those that were known") {
     for (int i = 0; i < 3; ++i) b.Fault();
     CHECK_FALSE(b.book.IsUsable(kEngine, kStart));
-    b.book.Learn(EngineIn(kSecond));
+    b.book.AddOrUpdate(EngineIn(kSecond));
   }
   SUBCASE("those that come late") {
-    const std::vector<TakenPlace> old{b.Take(), b.Take(), b.Take()};
-    b.book.Learn(EngineIn(kSecond));
-    for (const TakenPlace& each : old) b.book.Ended(each, relay::SendEnd::kBroken, {}, kStart);
+    const std::vector<AcquiredSlot> old{b.Take(), b.Take(), b.Take()};
+    b.book.AddOrUpdate(EngineIn(kSecond));
+    for (const AcquiredSlot& each : old)
+      b.book.ReleaseSlot(each, relay::SendEnd::kBroken, {}, kStart);
   }
   SUBCASE("silence") {
     b.Take();
-    b.book.Learn(EngineIn(kSecond));
+    b.book.AddOrUpdate(EngineIn(kSecond));
   }
   SUBCASE("a refusal") {
-    b.book.Ended(b.Take(), relay::SendEnd::kRejected, {}, kStart);
-    b.book.Learn(EngineIn(kSecond));
+    b.book.ReleaseSlot(b.Take(), relay::SendEnd::kRejected, {}, kStart);
+    b.book.AddOrUpdate(EngineIn(kSecond));
   }
-  const Time now = kStart + PlaceBook::kSilence + kMillisecond;
+  const Time now = kStart + BackendPool::kMinInactivity + kMillisecond;
   CHECK(b.book.IsUsable(kEngine, kStart));
   CHECK(b.book.IsUsable(kEngine, now));
-  CHECK(b.book.Use(kEngine).faults == 0);
+  CHECK(b.book.UsageOf(kEngine).faults == 0);
 }
 
 TEST_CASE("what others have at an ended incarnation, and a keeper's grant for it, are dropped") {
   Book b;
-  b.book.SetGrant(kEngine, {2, 1, 3, true}, kStart);
-  b.book.Learn(EngineIn(kSecond));
-  CHECK(b.book.Use(kEngine).online_other == 0);
-  CHECK(b.book.Use(kEngine).batch_allowed == 0);
+  b.book.ApplyGrant(kEngine, {2, 1, 3, true}, kStart);
+  b.book.AddOrUpdate(EngineIn(kSecond));
+  CHECK(b.book.UsageOf(kEngine).online_other == 0);
+  CHECK(b.book.UsageOf(kEngine).batch_allowed == 0);
   CHECK(b.book.IsUsable(kEngine, kStart));
 }
 
@@ -162,8 +165,8 @@
   b.Take();
   BackendInfo draining = EngineIn(kFirst);
   draining.state = BackendState::kDraining;
-  b.book.Learn(draining);
-  CHECK(b.book.Use(kEngine).online == 1);
+  b.book.AddOrUpdate(draining);
+  CHECK(b.book.UsageOf(kEngine).online == 1);
 }
 
 // --- Open sends --------------------------------------------------------------------------
--- a/test/fleet-health-test.cc
+++ b/test/fleet-health-test.cc
@@ -20,57 +20,57 @@
 }
 
 // Four engines of one data centre, of eight places each.
-struct Book {
-  Book() {
+struct Pool {
+  Pool() {
     for (int i = 0; i < 4; ++i) {
-      book.Learn({Engine(i), kLlm, {"10.0.0.1", 1}, here, 8, BackendState::kReady});
+      pool.AddOrUpdate({Engine(i), kLlm, {"10.0.0.1", 1}, here, 8, BackendState::kReady});
     }
   }
   void End(int engine, relay::SendEnd end, Time now, WorkClass work = WorkClass::kOnline) {
-    const TakenPlace place = book.Began(Engine(engine), work, now);
-    book.Ended(place, end, kMillisecond, now);
+    const AcquiredSlot place = pool.AcquireSlot(Engine(engine), work, now);
+    pool.ReleaseSlot(place, end, kMillisecond, now);
   }
   // How often each engine is chosen.
   std::map<BackendId, int> Choices(Time now) {
     std::map<BackendId, int> choices;
     for (int i = 0; i < 200; ++i) {
-      const auto chosen = book.Choose({kLlm, {}}, now);
+      const auto chosen = pool.Choose({kLlm, {}}, now);
       if (IsOk(chosen)) ++choices[ValueOf(chosen).id];
     }
     return choices;
   }
   DataCentre here{"dc"};
-  PlaceBook book{here,
-                 [n = std::uint64_t{0}]() mutable { return ++n * 0x9E3779B97F4A7C15U >> 7U; }};
+  BackendPool pool{here,
+                   [n = std::uint64_t{0}]() mutable { return ++n * 0x9E3779B97F4A7C15U >> 7U; }};
 };
 
 }  // namespace
 
 TEST_CASE("three faults in a row leave a backend server out, a lone one does not") {
-  FaultRate rate;
-  rate.Count(true, kStart);
-  rate.Count(false, kStart);
-  rate.Count(true, kStart);
-  CHECK_FALSE(rate.IsEjected(kStart));
-  FaultRate sick;
-  for (int i = 0; i < 3; ++i) sick.Count(true, kStart);
-  CHECK(sick.IsEjected(kStart));
-  CHECK_FALSE(sick.IsEjected(kStart + FaultRate::kFirstEjection));
+  OutlierDetector detector;
+  detector.Record(true, kStart);
+  detector.Record(false, kStart);
+  detector.Record(true, kStart);
+  CHECK_FALSE(detector.IsEjected(kStart));
+  OutlierDetector failing;
+  for (int i = 0; i < 3; ++i) failing.Record(true, kStart);
+  CHECK(failing.IsEjected(kStart));
+  CHECK_FALSE(failing.IsEjected(kStart + OutlierDetector::kFirstEjection));
 }
 
 // Symptom: a backend server that fails two requests in five is used like all others, as
 // each success in between clears its record.
 TEST_CASE("a backend server that fails part of its requests is left out, longer each time") {
-  FaultRate rate;
+  OutlierDetector detector;
   Time now = kStart;
   Duration left_out{0};
   for (int i = 0; i < 2'000; ++i) {
     now += 10 * kMillisecond;
-    if (rate.IsEjected(now)) {
+    if (detector.IsEjected(now)) {
       left_out += 10 * kMillisecond;
       continue;
     }
-    rate.Count(i % 5 < 2, now);
+    detector.Record(i % 5 < 2, now);
   }
   CHECK(left_out > (now - kStart) * 8 / 10);
 }
@@ -82,90 +82,90 @@
 // Cause: that answer was one more "not run", which leaves a backend server out for 0.1 s, in
 // this entry alone.
 TEST_CASE("a backend server whose address is another's now is left out") {
-  Book b;
+  Pool b;
   for (int i = 0; i < 3; ++i) b.End(0, relay::SendEnd::kMisdirected, kStart);
-  CHECK(b.Choices(kStart + FaultRate::kFirstEjection - kMillisecond).count(Engine(0)) == 0);
+  CHECK(b.Choices(kStart + OutlierDetector::kFirstEjection - kMillisecond).count(Engine(0)) == 0);
   for (int i = 0; i < 3; ++i) b.End(1, relay::SendEnd::kRejected, kStart);
-  CHECK(b.Choices(kStart + PlaceBook::kRejectedPause + kMillisecond).count(Engine(1)) == 1);
+  CHECK(b.Choices(kStart + BackendPool::kRejectionBackoff + kMillisecond).count(Engine(1)) == 1);
 }
 
 TEST_CASE("an item that fails is no fault of its backend server") {
-  Book b;
+  Pool b;
   for (int i = 0; i < 10; ++i) b.End(0, relay::SendEnd::kFailed, kStart, WorkClass::kBatch);
-  CHECK(b.book.IsUsable(Engine(0), kStart));
+  CHECK(b.pool.IsUsable(Engine(0), kStart));
   for (int i = 0; i < 10; ++i) b.End(0, relay::SendEnd::kBroken, kStart, WorkClass::kBatch);
-  CHECK_FALSE(b.book.IsUsable(Engine(0), kStart));
+  CHECK_FALSE(b.pool.IsUsable(Engine(0), kStart));
 }
 
 // Symptom: requests sent to an engine that has gone dark wait for their deadlines, and
 // more are sent there meanwhile.
 // Sequence: its host loses power; connections to it stay open and say nothing.
 TEST_CASE("a backend server that gives no sign of life gets nothing more until it gives one") {
-  Book b;
-  const TakenPlace place = b.book.Began(Engine(0), WorkClass::kOnline, kStart);
-  CHECK(b.book.IsUsable(Engine(0), kStart + PlaceBook::kSilence));
-  const Time silent = kStart + PlaceBook::kSilence + kMillisecond;
-  CHECK_FALSE(b.book.IsUsable(Engine(0), silent));
+  Pool b;
+  const AcquiredSlot place = b.pool.AcquireSlot(Engine(0), WorkClass::kOnline, kStart);
+  CHECK(b.pool.IsUsable(Engine(0), kStart + BackendPool::kMinInactivity));
+  const Time silent = kStart + BackendPool::kMinInactivity + kMillisecond;
+  CHECK_FALSE(b.pool.IsUsable(Engine(0), silent));
   CHECK(b.Choices(silent)[Engine(0)] == 0);
-  CHECK(b.book.LeftOut({kLlm, {}}, silent) == std::vector<BackendId>{Engine(0)});
-  b.book.Heard(place, silent);
-  CHECK(b.book.LeftOut({kLlm, {}}, silent).empty());
-  CHECK(b.book.IsUsable(Engine(0), silent));
+  CHECK(b.pool.ExcludedBackends({kLlm, {}}, silent) == std::vector<BackendId>{Engine(0)});
+  b.pool.RecordActivity(place, silent);
+  CHECK(b.pool.ExcludedBackends({kLlm, {}}, silent).empty());
+  CHECK(b.pool.IsUsable(Engine(0), silent));
 }
 
 TEST_CASE("a service whose answers take long is not taken for dead") {
-  Book b;
+  Pool b;
   Time now = kStart;
   for (int i = 0; i < 40; ++i) {
-    const TakenPlace place = b.book.Began(Engine(0), WorkClass::kOnline, now);
+    const AcquiredSlot place = b.pool.AcquireSlot(Engine(0), WorkClass::kOnline, now);
     now += 1'000 * kMillisecond;
-    b.book.Heard(place, now);
-    b.book.Ended(place, relay::SendEnd::kAnswered, kMillisecond, now);
+    b.pool.RecordActivity(place, now);
+    b.pool.ReleaseSlot(place, relay::SendEnd::kAnswered, kMillisecond, now);
   }
-  (void)b.book.Began(Engine(0), WorkClass::kOnline, now);
-  CHECK(b.book.IsUsable(Engine(0), now + 3'000 * kMillisecond));
+  (void)b.pool.AcquireSlot(Engine(0), WorkClass::kOnline, now);
+  CHECK(b.pool.IsUsable(Engine(0), now + 3'000 * kMillisecond));
 }
 
 // Symptom: requests are refused after three sends, each to another engine that is gone.
 // Sequence: the engines of a data centre are gone; after half a second each is tried again, by the
 // next request, and that one finds out all of them.
 TEST_CASE("a request that was sent in vain goes where the last send did not fail") {
-  Book b;
+  Pool b;
   for (int i = 0; i < 3; ++i) b.End(0, relay::SendEnd::kUnreachable, kStart);
-  const Time later = kStart + FaultRate::kFirstEjection + PlaceBook::kUnreachablePause;
-  CHECK(b.book.LeftOut({kLlm, {}}, later).empty());
+  const Time later = kStart + OutlierDetector::kFirstEjection + BackendPool::kUnreachableBackoff;
+  CHECK(b.pool.ExcludedBackends({kLlm, {}}, later).empty());
   const std::vector<BackendId> tried{Engine(1)};
-  CHECK(b.book.LeftOut({kLlm, tried}, later) == std::vector<BackendId>{Engine(0)});
+  CHECK(b.pool.ExcludedBackends({kLlm, tried}, later) == std::vector<BackendId>{Engine(0)});
   b.End(0, relay::SendEnd::kAnswered, later);
-  CHECK(b.book.LeftOut({kLlm, tried}, later).empty());
+  CHECK(b.pool.ExcludedBackends({kLlm, tried}, later).empty());
 }
 
 TEST_CASE("a backend server that refuses a connection is left out at once, for a while") {
-  Book b;
+  Pool b;
   b.End(0, relay::SendEnd::kUnreachable, kStart);
-  CHECK_FALSE(b.book.IsUsable(Engine(0), kStart));
-  CHECK(b.book.IsUsable(Engine(0), kStart + PlaceBook::kUnreachablePause));
+  CHECK_FALSE(b.pool.IsUsable(Engine(0), kStart));
+  CHECK(b.pool.IsUsable(Engine(0), kStart + BackendPool::kUnreachableBackoff));
 }
 
 // Symptom: an entry that is cut off for a while refuses everything once it is back.
 TEST_CASE("when half of the backend servers look sick all are used") {
-  Book b;
+  Pool b;
   for (int i = 0; i < 3; ++i) b.End(0, relay::SendEnd::kUnreachable, kStart);
   CHECK(b.Choices(kStart)[Engine(0)] == 0);
   for (int i = 0; i < 3; ++i) b.End(1, relay::SendEnd::kUnreachable, kStart);
   CHECK(b.Choices(kStart).size() == 4);
-  CHECK(b.book.LeftOut({kLlm, {}}, kStart).empty());
+  CHECK(b.pool.ExcludedBackends({kLlm, {}}, kStart).empty());
 }
 
 // --- Seen by all entries together -----------------------------------------------------
 
 namespace {
 
-struct Keeper {
-  Keeper() {
-    std::map<BackendId, KeptBackend> kept;
-    for (int i = 0; i < 4; ++i) kept[Engine(i)] = {kLlm, 4};
-    keeper.Keep(kept, kStart);
+struct Allocator {
+  Allocator() {
+    std::map<BackendId, KeptBackend> owned;
+    for (int i = 0; i < 4; ++i) owned[Engine(i)] = {kLlm, 4};
+    allocator.SetBackends(owned, kStart);
   }
   void Report(int entry, int engine, std::uint64_t answers, std::uint64_t faults, Time now) {
     PlaceReport report;
@@ -173,8 +173,8 @@
     report.lines = {{Engine(engine), 0, 0, Duration{0}, answers, faults}};
     const Peer from{
         NodeId{"e" + std::to_string(entry)}, 1, {"10.0.0.1", 1}, DataCentre{"dc"}, 1.0, false};
-    keeper.OnReport(from, true, report, now);
-    keeper.Tick(now);
+    allocator.OnReport(from, true, report, now);
+    allocator.Tick(now);
   }
   std::map<BackendId, int> Placed(Time now) {
     std::map<BackendId, int> placed;
@@ -183,15 +183,15 @@
       ask.number = ++number;
       ask.service = kLlm;
       ask.goal_left = ask.time_left = Duration{1'000'000};
-      keeper.OnAsk(NodeId{"e0"}, ask, now);
+      allocator.OnRequest(NodeId{"e0"}, ask, now);
     }
-    for (const auto& out : keeper.Due(now)) {
+    for (const auto& out : allocator.TakeOutgoing(now)) {
       if (out.answer && out.answer->kind == PlaceAnswer::Kind::kPlaced)
         ++placed[out.answer->backend];
     }
     return placed;
   }
-  PlaceKeeper keeper{0};
+  SlotAllocator allocator{0};
   std::uint64_t number = 0;
 };
 
@@ -200,52 +200,52 @@
 // Symptom: one engine of many fails part of its requests for minutes, and no entry notices,
 // since each of forty sends it one request in seven seconds.
 TEST_CASE("a keeper leaves out a backend server that fails the requests of many entries") {
-  Keeper k;
+  Allocator k;
   for (int entry = 0; entry < 4; ++entry) k.Report(entry, 0, 0, 1, kStart);
-  const std::vector<PlaceKeeper::Ejection> ejections = k.keeper.TakeEjections();
+  const std::vector<SlotAllocator::Ejection> ejections = k.allocator.TakeEjections();
   REQUIRE(ejections.size() == 1);
   CHECK(ejections[0].backend == Engine(0));
   CHECK(ejections[0].ejected);
   CHECK(k.Placed(kStart)[Engine(0)] == 0);
-  const Time later = kStart + FaultRate::kFirstEjection;
-  k.keeper.Tick(later);
-  REQUIRE(k.keeper.TakeEjections().size() == 1);
+  const Time later = kStart + OutlierDetector::kFirstEjection;
+  k.allocator.Tick(later);
+  REQUIRE(k.allocator.TakeEjections().size() == 1);
   CHECK(k.Placed(later)[Engine(0)] > 0);
 }
 
 // Symptom: a backend server that has just started is left out by all entries.
 TEST_CASE("a keeper takes a backend server back in when it starts again") {
-  Keeper k;
+  Allocator k;
   for (int entry = 0; entry < 4; ++entry) k.Report(entry, 0, 0, 1, kStart);
   CHECK(k.Placed(kStart)[Engine(0)] == 0);
-  std::map<BackendId, KeptBackend> kept;
+  std::map<BackendId, KeptBackend> owned;
   for (int i = 0; i < 4; ++i)
-    kept[Engine(i)] = {.service = kLlm, .places = 4, .incarnation = {i == 0 ? 2U : 1U}};
+    owned[Engine(i)] = {.service = kLlm, .places = 4, .incarnation = {i == 0 ? 2U : 1U}};
   SUBCASE("not when its incarnation only becomes known") {
-    k.keeper.Keep(kept, kStart);
+    k.allocator.SetBackends(owned, kStart);
     CHECK(k.Placed(kStart)[Engine(0)] == 0);
   }
   SUBCASE("restarted") {
-    kept[Engine(0)].incarnation.number = 1;
-    k.keeper.Keep(kept, kStart);
-    kept[Engine(0)].incarnation.number = 2;
-    k.keeper.Keep(kept, kStart);
+    owned[Engine(0)].incarnation.number = 1;
+    k.allocator.SetBackends(owned, kStart);
+    owned[Engine(0)].incarnation.number = 2;
+    k.allocator.SetBackends(owned, kStart);
     CHECK(k.Placed(kStart)[Engine(0)] > 0);
-    const std::vector<PlaceKeeper::Ejection> changes = k.keeper.TakeEjections();
+    const std::vector<SlotAllocator::Ejection> changes = k.allocator.TakeEjections();
     REQUIRE(changes.size() == 2);
     CHECK_FALSE(changes[1].ejected);
   }
 }
 
 TEST_CASE("a report that comes again or tells of old ends counts once") {
-  Keeper k;
+  Allocator k;
   k.Report(0, 0, 900, 90, kStart);  // all since the entry's start: it is new to this keeper
   for (int i = 0; i < 10; ++i) k.Report(0, 0, 901, 91, kStart);
-  CHECK(k.keeper.TakeEjections().empty());
+  CHECK(k.allocator.TakeEjections().empty());
 }
 
 TEST_CASE("a keeper never leaves out half of a service's backend servers") {
-  Keeper k;
+  Allocator k;
   for (int entry = 0; entry < 4; ++entry) {
     k.Report(entry, 0, 0, 1, kStart);
     k.Report(entry, 1, 0, 1, kStart);
--- a/test/foreign-entries-test.cc
+++ b/test/foreign-entries-test.cc
@@ -157,7 +157,7 @@
   json.erase("born");
   const auto info = users::ParseBackend("i-1", json.dump());
   REQUIRE(IsOk(info));
-  CHECK(ValueOf(info).places == 8);
+  CHECK(ValueOf(info).slots == 8);
   CHECK(ValueOf(info).state == BackendState::kReady);
   json["stage"] = "both";  // more fields than are read here
   json["slots"] = 8.0;     // JSON knows no whole numbers
@@ -254,8 +254,8 @@
   f.Put("servers", "i-1", early.dump());
   f.Until([&] { return f.view && f.view->routes && f.Is("i-1", BackendState::kReady); });
   CHECK(f.view->routes->Service(ServiceName{"later"}) == nullptr);
-  PlaceBook book(DataCentre{"north-a"}, SystemRandom());
-  book.Learn(f.view->backends.at(kEngine));
+  BackendPool book(DataCentre{"north-a"}, SystemRandom());
+  book.AddOrUpdate(f.view->backends.at(kEngine));
   CHECK_FALSE(IsOk(book.Choose({ServiceName{"llm"}, {}}, Time{})));
   Json next = foreign::GoodConfig(8);
   next["routes"][0]["service"] = "later";
@@ -274,10 +274,10 @@
   f.Put("servers", "i-1", GoodBackend().dump());
   f.Put("servers", "i-2", GoodBackend().dump());
   f.Until([&] { return f.Is("i-1", BackendState::kReady) && f.Is("i-2", BackendState::kReady); });
-  PlaceBook book(DataCentre{"north-a"}, SystemRandom());
-  for (const auto& [id, info] : f.view->backends) book.Learn(info);
-  const TakenPlace place = book.Began(kEngine, WorkClass::kOnline, Time{});
-  book.Ended(place, relay::SendEnd::kRejected, Duration{1'000}, Time{});
+  BackendPool book(DataCentre{"north-a"}, SystemRandom());
+  for (const auto& [id, info] : f.view->backends) book.AddOrUpdate(info);
+  const AcquiredSlot place = book.AcquireSlot(kEngine, WorkClass::kOnline, Time{});
+  book.ReleaseSlot(place, relay::SendEnd::kRejected, Duration{1'000}, Time{});
   for (int i = 0; i < 20; ++i) {
     const auto chosen = book.Choose({ServiceName{"llm"}, {}}, Time{});
     REQUIRE(IsOk(chosen));
@@ -299,10 +299,10 @@
 TEST_CASE("a keeper leaves what runs where an entry became unreadable, and gives out nothing") {
   const ServiceName llm{"llm"};
   const Time start{Duration{10'000'000}};
-  const Time settled = start + PlaceKeeper::kSettle;
+  const Time settled = start + SlotAllocator::kTakeoverDelay;
   const Peer peer{NodeId{"a"}, 1, Address{"10.0.0.1", 1}, DataCentre{"dc"}, 1, false};
-  PlaceKeeper keeper{0};
-  keeper.Keep({{kEngine, {llm, 4}}}, start);
+  SlotAllocator keeper{0};
+  keeper.SetBackends({{kEngine, {llm, 4}}}, start);
   const auto report = [&](std::uint64_t number, int online, int batch, int waiting) {
     const std::vector<WaitingItems> items =
         waiting == 0 ? std::vector<WaitingItems>{}
@@ -310,22 +310,22 @@
     keeper.OnReport(peer, true, {number, 0, {}, items, {{kEngine, online, batch}}}, settled);
   };
   report(1, 1, 2, 5);
-  keeper.Keep({{kEngine, {llm, 4, /*frozen=*/true}}}, settled);
-  CHECK(keeper.Allowed(kEngine, peer.node) == 2);
+  keeper.SetBackends({{kEngine, {llm, 4, /*frozen=*/true}}}, settled);
+  CHECK(keeper.AllowedBatch(kEngine, peer.node) == 2);
   report(2, 4, 2, 5);  // online that was on its way when the entry was spoilt
-  CHECK(keeper.Allowed(kEngine, peer.node) == 2);
+  CHECK(keeper.AllowedBatch(kEngine, peer.node) == 2);
   report(3, 0, 1, 5);
-  CHECK(keeper.Allowed(kEngine, peer.node) == 1);
+  CHECK(keeper.AllowedBatch(kEngine, peer.node) == 1);
   PlaceAsk ask;
   ask.number = 1;
   ask.service = llm;
   ask.goal_left = ask.time_left = std::chrono::seconds(5);
-  keeper.OnAsk(peer.node, ask, settled);
-  for (const PlaceKeeper::Outgoing& out : keeper.Due(settled)) {
+  keeper.OnRequest(peer.node, ask, settled);
+  for (const SlotAllocator::Outgoing& out : keeper.TakeOutgoing(settled)) {
     if (out.answer) CHECK(out.answer->kind == PlaceAnswer::Kind::kNotKept);
   }
-  keeper.Keep({{kEngine, {llm, 4}}}, settled);
-  CHECK(keeper.Allowed(kEngine, peer.node) > 1);
+  keeper.SetBackends({{kEngine, {llm, 4}}}, settled);
+  CHECK(keeper.AllowedBatch(kEngine, peer.node) > 1);
 }
 
 // Symptom: no change of a table is heard of, though the store answers.
@@ -363,8 +363,8 @@
     const auto info = users::ParseBackend("i-1", text);
     if (!IsOk(info)) continue;
     const BackendInfo& backend = ValueOf(info);
-    CHECK(backend.places >= 1);
-    CHECK(backend.places <= 100'000);
+    CHECK(backend.slots >= 1);
+    CHECK(backend.slots <= 100'000);
     CHECK(backend.address.port != 0);
     CHECK_FALSE(backend.service.empty());
     CHECK_FALSE(backend.data_centre.empty());
--- a/test/overload-load-test.cc
+++ b/test/overload-load-test.cc
@@ -2,7 +2,7 @@
 
 #include <doctest/doctest.h>
 
-#include "test/place-sim.h"
+#include "test/slot-sim.h"
 
 using namespace figmill;  // NOLINT(google-build-using-namespace): tests read better
 
@@ -11,7 +11,7 @@
 sim::Load ShortOfPlaces() {
   sim::Load load;
   load.engines = 28;
-  load.returns = true;
+  load.retries = true;
   load.online_spread = 0.25;
   return load;
 }
@@ -20,12 +20,12 @@
   return static_cast<double>(count) / outcome.online;
 }
 
-void Tell(const sim::Outcome& outcome) {
+void LogOutcome(const sim::Outcome& outcome) {
   MESSAGE("refused " << ShareOf(outcome.refused, outcome) << ", unserved "
                      << ShareOf(outcome.unserved, outcome) << ", told late "
-                     << ShareOf(outcome.told_late, outcome) << ", late "
-                     << ShareOf(outcome.late, outcome) << "; back " << outcome.returned
-                     << ", late then " << outcome.returned_late);
+                     << ShareOf(outcome.refused_late, outcome) << ", late "
+                     << ShareOf(outcome.late, outcome) << "; back " << outcome.retried
+                     << ", late then " << outcome.retried_late);
 }
 
 }  // namespace
@@ -37,10 +37,10 @@
 // Cause: the time was the expected wait behind those that were queued then.
 TEST_CASE("callers that are refused in a wave are served in the valley after it") {
   const sim::Outcome outcome = sim::Simulation(ShortOfPlaces(), true, 7).Run();
-  Tell(outcome);
+  LogOutcome(outcome);
   CHECK(ShareOf(outcome.unserved, outcome) < 0.01);
-  CHECK(outcome.returned_late < outcome.returned / 10);
-  CHECK(ShareOf(outcome.told_late, outcome) < 0.01);
+  CHECK(outcome.retried_late < outcome.retried / 10);
+  CHECK(ShareOf(outcome.refused_late, outcome) < 0.01);
   CHECK(ShareOf(outcome.late, outcome) < 0.02);
 }
 
@@ -49,27 +49,27 @@
   sim::Load load = ShortOfPlaces();
   load.engines = 34;
   const sim::Outcome outcome = sim::Simulation(load, true, 7).Run();
-  Tell(outcome);
+  LogOutcome(outcome);
   CHECK(ShareOf(outcome.unserved, outcome) < 0.005);
-  CHECK(ShareOf(outcome.told_late, outcome) < 0.01);
+  CHECK(ShareOf(outcome.refused_late, outcome) < 0.01);
 }
 
 // What adapts must not depend on one length of waves: 3.4% unserved before with the short ones,
 // 9.1% with the long ones.
 TEST_CASE("the length of waves is learned") {
   sim::Load load = ShortOfPlaces();
-  load.low_for = Duration{1'600'000};
-  load.high_for = Duration{1'000'000};
+  load.low_duration = Duration{1'600'000};
+  load.high_duration = Duration{1'000'000};
   const sim::Outcome shorter = sim::Simulation(load, true, 7).Run();
-  Tell(shorter);
+  LogOutcome(shorter);
   CHECK(ShareOf(shorter.unserved, shorter) < 0.01);
-  CHECK(ShareOf(shorter.told_late, shorter) < 0.01);
-  load.low_for = load.high_for = Duration{5'000'000};
+  CHECK(ShareOf(shorter.refused_late, shorter) < 0.01);
+  load.low_duration = load.high_duration = Duration{5'000'000};
   load.high = 2 - load.low;
   const sim::Outcome longer = sim::Simulation(load, true, 7).Run();
-  Tell(longer);
+  LogOutcome(longer);
   CHECK(ShareOf(longer.unserved, longer) < 0.02);
-  CHECK(ShareOf(longer.told_late, longer) < 0.01);
+  CHECK(ShareOf(longer.refused_late, longer) < 0.01);
 }
 
 // An overload that doesn't end: 24% unserved before, and 7.9% told late. No time to come back is
@@ -78,8 +78,8 @@
   sim::Load load = ShortOfPlaces();
   load.low = load.high = 1.8;
   const sim::Outcome outcome = sim::Simulation(load, true, 7).Run();
-  Tell(outcome);
-  CHECK(ShareOf(outcome.told_late, outcome) < 0.02);
+  LogOutcome(outcome);
+  CHECK(ShareOf(outcome.refused_late, outcome) < 0.02);
   CHECK(ShareOf(outcome.unserved, outcome) < 0.25);
 }
 
@@ -90,21 +90,21 @@
 // Cause: an ask named the engines where the request had been, not those that its entry avoids.
 TEST_CASE("keepers give no places at engines that the asking entry has found dead") {
   sim::Load load;
-  load.returns = true;
+  load.retries = true;
   load.entries = 8;
   load.engines = 12;
   load.data_centres = 4;
   load.online_per_s = 50;
   load.batch_per_s = 2;
   load.lost_at = Duration{4'000'000};
-  load.length = Duration{12'000'000};
+  load.duration = Duration{12'000'000};
   const sim::Outcome outcome = sim::Simulation(load, true, 7).Run();
-  load.says_not_there = false;
+  load.reports_dead_engines = false;
   const sim::Outcome before = sim::Simulation(load, true, 7).Run();
-  Tell(before);
-  Tell(outcome);
-  MESSAGE("in vain " << outcome.in_vain << ", before " << before.in_vain);
-  CHECK(3 * outcome.in_vain < before.in_vain);
+  LogOutcome(before);
+  LogOutcome(outcome);
+  MESSAGE("in vain " << outcome.assigned_to_dead << ", before " << before.assigned_to_dead);
+  CHECK(3 * outcome.assigned_to_dead < before.assigned_to_dead);
   CHECK(outcome.refused <= before.refused);
   CHECK(ShareOf(outcome.unserved, outcome) < 0.005);
   CHECK(ShareOf(outcome.late, outcome) < 0.01);
--- a/test/sharing-test.cc
+++ b/test/sharing-test.cc
@@ -14,13 +14,13 @@
 namespace {
 
 constexpr Time kStart{Duration{10'000'000}};
-constexpr Time kSettled = kStart + PlaceKeeper::kSettle;
+constexpr Time kSettled = kStart + SlotAllocator::kTakeoverDelay;
 constexpr StoreTime kDue{20'000'000};
 const ServiceName kLlm{"llm"};
 const BackendId kEngine{"engine"};
 const BackendId kOther{"other"};
 // Runs of this age are likely to end soon.
-constexpr Duration kAlmostARun = PlaceKeeper::kUsualRun - Duration{50'000};
+constexpr Duration kAlmostARun = SlotAllocator::kDefaultRunTime - Duration{50'000};
 
 Peer PeerNamed(const std::string& node, const std::string& centre = "dc", double capacity = 1) {
   return {NodeId{node}, 1, Address{"10.0.0.1", 1}, DataCentre{centre}, capacity, false};
@@ -39,9 +39,9 @@
 // A keeper of engines with four places each.
 struct Fixture {
   explicit Fixture(std::vector<BackendId> engines = {kEngine}) {
-    std::map<BackendId, KeptBackend> kept;
-    for (const BackendId& engine : engines) kept[engine] = {kLlm, 4};
-    keeper.Keep(kept, kStart);
+    std::map<BackendId, KeptBackend> owned;
+    for (const BackendId& engine : engines) owned[engine] = {kLlm, 4};
+    allocator.SetBackends(owned, kStart);
   }
 
   // `waiting`: batch items, all due at kDue.
@@ -55,28 +55,28 @@
   }
   void Report(const std::string& node, PlaceReport report, Time now) {
     report.number = ++numbers[node];
-    report.grant = acted[node];
-    keeper.OnReport(PeerNamed(node), true, report, now);
+    report.grant = acked_grant[node];
+    allocator.OnReport(PeerNamed(node), true, report, now);
     Collect(now);
   }
   void AskFor(const std::string& node, const PlaceAsk& ask, Time now = kSettled) {
-    keeper.OnAsk(NodeId{node}, ask, now);
+    allocator.OnRequest(NodeId{node}, ask, now);
     Collect(now);
   }
   void Tick(Time now) {
-    keeper.Tick(now);
+    allocator.Tick(now);
     Collect(now);
   }
   void Collect(Time now) {
-    for (PlaceKeeper::Outgoing& out : keeper.Due(now)) {
+    for (SlotAllocator::Outgoing& out : allocator.TakeOutgoing(now)) {
       if (out.answer) answers.push_back(*out.answer);
-      if (out.grant) acted[out.to.value] = out.grant->number;
+      if (out.grant) acked_grant[out.to.value] = out.grant->number;
     }
   }
-  int Allowed(const std::string& node) { return keeper.Allowed(kEngine, NodeId{node}); }
+  int Allowed(const std::string& node) { return allocator.AllowedBatch(kEngine, NodeId{node}); }
 
-  PlaceKeeper keeper{0};
-  std::map<std::string, std::uint64_t> numbers, acted;
+  SlotAllocator allocator{0};
+  std::map<std::string, std::uint64_t> numbers, acked_grant;
   std::vector<PlaceAnswer> answers;
 };
 
@@ -126,8 +126,8 @@
   f.Tick(kSettled);
   const NodeId a{"a"};
   const NodeId b{"b"};
-  CHECK(f.keeper.Allowed(kEngine, a) + f.keeper.Allowed(kOther, a) == 1);
-  CHECK(f.keeper.Allowed(kEngine, b) + f.keeper.Allowed(kOther, b) == 7);
+  CHECK(f.allocator.AllowedBatch(kEngine, a) + f.allocator.AllowedBatch(kOther, a) == 1);
+  CHECK(f.allocator.AllowedBatch(kEngine, b) + f.allocator.AllowedBatch(kOther, b) == 7);
 }
 
 // Symptom: after a host was suspended for some seconds, no batch runs there for minutes.
@@ -138,24 +138,24 @@
   Fixture f;
   f.Report("a", 1, 0, 2);
   for (int i = 0; i < 20; ++i) f.Report("a", 1, i % 2, 2);
-  const std::uint64_t seen = f.acted["a"];
+  const std::uint64_t seen = f.acked_grant["a"];
   REQUIRE(seen > 10);
-  f.Tick(kSettled + PlaceKeeper::kIdleReportLife);
-  f.Report("a", 1, 0, 2, kSettled + PlaceKeeper::kIdleReportLife);
-  CHECK(f.acted["a"] == seen + 1);
+  f.Tick(kSettled + SlotAllocator::kIdleReportTtl);
+  f.Report("a", 1, 0, 2, kSettled + SlotAllocator::kIdleReportTtl);
+  CHECK(f.acked_grant["a"] == seen + 1);
 }
 
 TEST_CASE("an entry that uses nothing and waits for nothing hears of its keeper seldom") {
   Fixture f;
   f.Report("a", 0, 0, 0, kStart);
   f.Report("b", 1, 0, 0, kStart);
-  const std::uint64_t idle = f.acted["a"];
-  const std::uint64_t busy = f.acted["b"];
-  for (Duration at{0}; at < std::chrono::seconds(1); at += PlaceKeeper::kHeartbeat) {
+  const std::uint64_t idle = f.acked_grant["a"];
+  const std::uint64_t busy = f.acked_grant["b"];
+  for (Duration at{0}; at < std::chrono::seconds(1); at += SlotAllocator::kHeartbeat) {
     f.Tick(kStart + at);
   }
-  CHECK(f.acted["a"] <= idle + 1);
-  CHECK(f.acted["b"] >= busy + 4);
+  CHECK(f.acked_grant["a"] <= idle + 1);
+  CHECK(f.acked_grant["b"] >= busy + 4);
 }
 
 // Symptom: an engine runs twice as many batch items as it has places.
@@ -176,17 +176,17 @@
 // Cause: what was granted and not yet reported was taken for free.
 TEST_CASE("a grant that is under way counts as used") {
   Fixture f;
-  f.keeper.OnReport(PeerNamed("a"), true, {1, 0, {}, {{kDue, 4}}, {{kEngine, 0, 0}}}, kSettled);
-  (void)f.keeper.Due(kSettled);  // the grant leaves; no report of it has come back
-  f.keeper.OnReport(PeerNamed("b"), true, {1, 0, {}, {{kDue, 4}}, {{kEngine, 0, 0}}}, kSettled);
+  f.allocator.OnReport(PeerNamed("a"), true, {1, 0, {}, {{kDue, 4}}, {{kEngine, 0, 0}}}, kSettled);
+  (void)f.allocator.TakeOutgoing(kSettled);  // the grant leaves; no report of it has come back
+  f.allocator.OnReport(PeerNamed("b"), true, {1, 0, {}, {{kDue, 4}}, {{kEngine, 0, 0}}}, kSettled);
   CHECK(f.Allowed("a") == 4);
   CHECK(f.Allowed("b") == 0);
 }
 
 TEST_CASE("a report that was overtaken changes nothing") {
   Fixture f;
-  f.keeper.OnReport(PeerNamed("a"), true, {2, 0, {}, {}, {{kEngine, 3, 0}}}, kSettled);
-  f.keeper.OnReport(PeerNamed("a"), true, {1, 0, {}, {}, {{kEngine, 0, 0}}}, kSettled);
+  f.allocator.OnReport(PeerNamed("a"), true, {2, 0, {}, {}, {{kEngine, 3, 0}}}, kSettled);
+  f.allocator.OnReport(PeerNamed("a"), true, {1, 0, {}, {}, {{kEngine, 0, 0}}}, kSettled);
   f.Report("b", 0, 0, 9);
   CHECK(f.Allowed("b") == 1);
 }
@@ -198,7 +198,8 @@
   constexpr BackendIncarnation kFirst{1'000};
   constexpr BackendIncarnation kSecond{2'000};
   Fixture f;
-  f.keeper.Keep({{kEngine, {.service = kLlm, .places = 4, .incarnation = kFirst}}}, kSettled);
+  f.allocator.SetBackends({{kEngine, {.service = kLlm, .places = 4, .incarnation = kFirst}}},
+                          kSettled);
   const auto report = [&f](const std::string& node, int online, int batch, int waiting,
                            BackendIncarnation incarnation) {
     PlaceReport all;
@@ -208,7 +209,8 @@
   };
   report("a", 3, 1, 0, kFirst);
   f.AskFor("b", Ask(1));
-  f.keeper.Keep({{kEngine, {.service = kLlm, .places = 4, .incarnation = kSecond}}}, kSettled);
+  f.allocator.SetBackends({{kEngine, {.service = kLlm, .places = 4, .incarnation = kSecond}}},
+                          kSettled);
   SUBCASE("its places are free at once") {
     report("b", 0, 0, 9, kSecond);
     CHECK(f.Allowed("b") == 4);
@@ -224,12 +226,12 @@
     CHECK(f.Allowed("b") == 1);
   }
   SUBCASE("grants say which one they are for") {
-    f.keeper.OnReport(PeerNamed("c"), true,
-                      {1, 0, {}, {}, {{kEngine, 1, 0, Duration{0}, 0, 0, TagOf(kSecond)}}},
-                      kSettled);
-    f.keeper.Tick(kSettled + PlaceKeeper::kHeartbeat);
+    f.allocator.OnReport(PeerNamed("c"), true,
+                         {1, 0, {}, {}, {{kEngine, 1, 0, Duration{0}, 0, 0, TagOf(kSecond)}}},
+                         kSettled);
+    f.allocator.Tick(kSettled + SlotAllocator::kHeartbeat);
     std::vector<IncarnationTag> told;
-    for (const auto& out : f.keeper.Due(kSettled + PlaceKeeper::kHeartbeat)) {
+    for (const auto& out : f.allocator.TakeOutgoing(kSettled + SlotAllocator::kHeartbeat)) {
       if (!out.grant) continue;
       for (const auto& line : out.grant->lines) told.push_back(line.incarnation);
     }
@@ -243,13 +245,13 @@
   f.Report("b", 0, 0, 9);
   CHECK(f.Allowed("b") == 0);
   SUBCASE("silent") {
-    f.Report("b", 0, 0, 9, kSettled + PlaceKeeper::kReportLife);
-    f.Tick(kSettled + PlaceKeeper::kReportLife);
+    f.Report("b", 0, 0, 9, kSettled + SlotAllocator::kReportTtl);
+    f.Tick(kSettled + SlotAllocator::kReportTtl);
   }
   SUBCASE("started again") {
     Peer restarted = PeerNamed("a");
     restarted.incarnation = 2;
-    f.keeper.OnReport(restarted, true, {1, 0, {}, {}, {{kEngine, 0, 0}}}, kSettled);
+    f.allocator.OnReport(restarted, true, {1, 0, {}, {}, {{kEngine, 0, 0}}}, kSettled);
     f.Report("b", 0, 0, 9);
     f.Tick(kSettled);
   }
@@ -283,7 +285,7 @@
     CHECK(f.answers[2].kind == PlaceAnswer::Kind::kFull);
   }
   SUBCASE("lost") {
-    const Time later = kSettled + PlaceKeeper::kReservationLife;
+    const Time later = kSettled + SlotAllocator::kReservationTtl;
     f.Tick(later);
     f.AskFor("c", Ask(3), later);
     CHECK(f.answers[2].kind == PlaceAnswer::Kind::kPlaced);
@@ -358,29 +360,30 @@
 }
 
 TEST_CASE("a search asks keepers in turn, then waits where the wait is shortest") {
-  PlaceSearch search(Ask(7), {NodeId{"a"}, NodeId{"b"}}, kStart);
+  SlotSearch search(Ask(7), {NodeId{"a"}, NodeId{"b"}}, kStart);
   const auto asked = [](const search::Action& action) {
-    const auto* ask = std::get_if<search::AskKeeper>(&action);
-    return ask == nullptr ? std::string() : ask->keeper.value + (ask->ask.may_queue ? "+" : "");
+    const auto* ask = std::get_if<search::AskAllocator>(&action);
+    return ask == nullptr ? std::string()
+                          : ask->allocator.value + (ask->request.may_queue ? "+" : "");
   };
   const auto full = [](Duration wait, Duration come_back = {}) {
     return search::Answered{{7, PlaceAnswer::Kind::kFull, {}, wait, come_back}};
   };
   CHECK(asked(search.Start(kStart)) == "a");
-  CHECK(asked(search.On(full(Duration{50'000}), kStart)) == "b");
-  CHECK(asked(search.On(full(Duration{90'000}), kStart)) == "a+");
+  CHECK(asked(search.OnEvent(full(Duration{50'000}), kStart)) == "b");
+  CHECK(asked(search.OnEvent(full(Duration{90'000}), kStart)) == "a+");
   SUBCASE("queued, then placed") {
     CHECK(std::holds_alternative<search::Wait>(
-        search.On(search::Answered{{7, PlaceAnswer::Kind::kQueued, {}, {}}}, kStart)));
+        search.OnEvent(search::Answered{{7, PlaceAnswer::Kind::kQueued, {}, {}}}, kStart)));
     const auto taken =
-        search.On(search::Answered{{7, PlaceAnswer::Kind::kPlaced, kEngine, {}}}, kStart);
-    REQUIRE(std::holds_alternative<search::Take>(taken));
-    CHECK(std::get<search::Take>(taken).backend == kEngine);
+        search.OnEvent(search::Answered{{7, PlaceAnswer::Kind::kPlaced, kEngine, {}}}, kStart);
+    REQUIRE(std::holds_alternative<search::UseSlot>(taken));
+    CHECK(std::get<search::UseSlot>(taken).backend == kEngine);
   }
   SUBCASE("full there too") {
-    const auto given_up = search.On(full(Duration{50'000}, Duration{700'000}), kStart);
-    REQUIRE(std::holds_alternative<search::GiveUp>(given_up));
-    CHECK(std::get<search::GiveUp>(given_up).wait == Duration{700'000});
+    const auto given_up = search.OnEvent(full(Duration{50'000}, Duration{700'000}), kStart);
+    REQUIRE(std::holds_alternative<search::Refuse>(given_up));
+    CHECK(std::get<search::Refuse>(given_up).wait == Duration{700'000});
   }
 }
 
@@ -401,7 +404,7 @@
 
 TEST_CASE("a keeper whose backend servers all leave has no queue for their service") {
   Fixture f(std::vector<BackendId>{});
-  f.keeper.Keep({{kEngine, {kLlm, 0}}}, kStart);
+  f.allocator.SetBackends({{kEngine, {kLlm, 0}}}, kStart);
   f.AskFor("a", Ask(1, /*may_queue=*/true));
   REQUIRE(f.answers.size() == 1);
   CHECK(f.answers[0].kind == PlaceAnswer::Kind::kNotKept);
@@ -419,27 +422,27 @@
   REQUIRE(IsOk(back));
   CHECK(ValueOf(back).answer->kind == PlaceAnswer::Kind::kNotKept);
 
-  PlaceSearch search(Ask(7), {NodeId{"a"}, NodeId{"b"}}, kStart);
+  SlotSearch search(Ask(7), {NodeId{"a"}, NodeId{"b"}}, kStart);
   (void)search.Start(kStart);
-  const search::Action second = search.On(search::Answered{not_kept}, kStart);
-  REQUIRE(std::holds_alternative<search::AskKeeper>(second));
-  CHECK(std::get<search::AskKeeper>(second).keeper == NodeId{"b"});
+  const search::Action second = search.OnEvent(search::Answered{not_kept}, kStart);
+  REQUIRE(std::holds_alternative<search::AskAllocator>(second));
+  CHECK(std::get<search::AskAllocator>(second).allocator == NodeId{"b"});
   SUBCASE("the other one is full") {
     const PlaceAnswer full{7, PlaceAnswer::Kind::kFull, {}, Duration{50'000}};
-    const search::Action third = search.On(search::Answered{full}, kStart);
-    REQUIRE(std::holds_alternative<search::AskKeeper>(third));
-    CHECK(std::get<search::AskKeeper>(third).keeper == NodeId{"b"});
+    const search::Action third = search.OnEvent(search::Answered{full}, kStart);
+    REQUIRE(std::holds_alternative<search::AskAllocator>(third));
+    CHECK(std::get<search::AskAllocator>(third).allocator == NodeId{"b"});
   }
   SUBCASE("the other one knows of none either") {
-    const search::Action third = search.On(search::Answered{not_kept}, kStart);
-    CHECK(std::holds_alternative<search::TakeUnasked>(third));
+    const search::Action third = search.OnEvent(search::Answered{not_kept}, kStart);
+    CHECK(std::holds_alternative<search::ChooseLocally>(third));
   }
 }
 
 TEST_CASE("a search whose keepers are silent goes on without them") {
-  PlaceSearch search(Ask(7), {NodeId{"a"}}, kStart);
+  SlotSearch search(Ask(7), {NodeId{"a"}}, kStart);
   (void)search.Start(kStart);
-  CHECK(std::holds_alternative<search::TakeUnasked>(search.On(search::TimedOut{}, kStart)));
+  CHECK(std::holds_alternative<search::ChooseLocally>(search.OnEvent(search::TimedOut{}, kStart)));
 }
 
 TEST_CASE("a message comes back as it was, and a long one loses lines, not its sender") {
@@ -503,9 +506,9 @@
 // What a keeper of several engines says to an entry of another data centre, as the entry hears it.
 struct FarEntry {
   FarEntry() {
-    std::map<BackendId, KeptBackend> kept;
-    for (int i = 0; i < 8; ++i) kept[Engine(i)] = {kLlm, 4};
-    keeper.Keep(kept, kStart);
+    std::map<BackendId, KeptBackend> owned;
+    for (int i = 0; i < 8; ++i) owned[Engine(i)] = {kLlm, 4};
+    allocator.SetBackends(owned, kStart);
   }
   static BackendId Engine(int i) { return BackendId{"engine" + std::to_string(i)}; }
 
@@ -515,26 +518,26 @@
               bool all = false, int online = 0) {
     PlaceReport report;
     report.number = ++number;
-    report.grant = node == "far" ? acted : 1'000'000;
+    report.grant = node == "far" ? acked_grant : 1'000'000;
     if (waiting > 0) report.waiting = {{kDue, waiting}};
     for (int i = 0; i < 8; ++i) {
       if (all || batch[i] > 0) report.lines.push_back({Engine(i), online, batch[i]});
     }
     report.rest_unused = true;
-    keeper.OnReport(PeerNamed(node, near ? "dc" : "elsewhere"), near, report, now);
+    allocator.OnReport(PeerNamed(node, near ? "dc" : "elsewhere"), near, report, now);
   }
   // The grant to the far entry, if there is one now.
   std::optional<PlaceGrant> Due(Time now) {
-    keeper.Tick(now);
-    for (PlaceKeeper::Outgoing& out : keeper.Due(now)) {
+    allocator.Tick(now);
+    for (SlotAllocator::Outgoing& out : allocator.TakeOutgoing(now)) {
       if (out.to == NodeId{"far"} && out.grant) return std::move(out.grant);
     }
     return std::nullopt;
   }
 
-  PlaceKeeper keeper{0};
+  SlotAllocator allocator{0};
   std::uint64_t number = 0;
-  std::uint64_t acted = 0;
+  std::uint64_t acked_grant = 0;
 };
 
 }  // namespace
@@ -545,16 +548,16 @@
   FarEntry f;
   f.Report("far", false, {}, 0, kSettled, /*all=*/true);
   CHECK(f.Due(kSettled)->lines.size() == 8);
-  f.acted = 1;
-  const Time later = kSettled + PlaceKeeper::kCoalesceFar;
+  f.acked_grant = 1;
+  const Time later = kSettled + SlotAllocator::kRemoteCoalesce;
   f.Report("near", true, {{0, 3}, {1, 2}}, 0, later, /*all=*/true, /*online=*/1);
   const auto grant = f.Due(later);
   REQUIRE(grant);
   CHECK(grant->lines.empty());
   CHECK(grant->services == std::vector<PlaceGrant::ServiceUse>{{kLlm, 32, 8}});
-  f.acted = grant->number;
+  f.acked_grant = grant->number;
   // Each line comes again once in a while.
-  const auto all = f.Due(later + PlaceKeeper::kIdleHeartbeat);
+  const auto all = f.Due(later + SlotAllocator::kIdleHeartbeat);
   REQUIRE(all);
   REQUIRE(all->lines.size() == 8);
   CHECK(all->lines[0].batch_other == 3);
@@ -565,14 +568,14 @@
 // Sequence: the grant that takes its places away is lost; the next one has no line for them.
 TEST_CASE("what an entry of another data centre may not have any more is said until it is heard") {
   FarEntry f;
-  const Time start = kSettled - PlaceKeeper::kCoalesceFar;
+  const Time start = kSettled - SlotAllocator::kRemoteCoalesce;
   f.Report("far", false, {{7, 1}}, 0, start, /*all=*/true);
   (void)f.Due(start);
-  f.acted = 1;
+  f.acked_grant = 1;
   f.Report("far", false, {{7, 1}}, 3, kSettled, /*all=*/true);
   const auto given = f.Due(kSettled);
   REQUIRE(given);
-  f.acted = given->number;
+  f.acked_grant = given->number;
   const auto allowed = [](const PlaceGrant& grant) {
     int sum = 0;
     for (const PlaceGrant::Line& line : grant.lines) sum += line.allowed;
@@ -580,20 +583,20 @@
   };
   REQUIRE(allowed(*given) == 4);
   // It has nothing more to run.
-  Time now = kSettled + PlaceKeeper::kCoalesceFar;
+  Time now = kSettled + SlotAllocator::kRemoteCoalesce;
   f.Report("far", false, {{7, 1}}, 0, now);
   const auto taken = f.Due(now);
   REQUIRE(taken);
   CHECK(allowed(*taken) == 1);
   CHECK(taken->lines.size() == given->lines.size());
   // That one was lost.
-  now += PlaceKeeper::kHeartbeat;
+  now += SlotAllocator::kHeartbeat;
   f.Report("far", false, {{7, 1}}, 0, now);
   const auto again = f.Due(now);
   REQUIRE(again);
   CHECK(again->lines.size() == given->lines.size());
-  f.acted = again->number;
-  now += PlaceKeeper::kCoalesceFar;
+  f.acked_grant = again->number;
+  now += SlotAllocator::kRemoteCoalesce;
   f.Report("far", false, {{7, 1}}, 0, now);
   f.Report("near", true, {}, 0, now, /*all=*/true, /*online=*/1);
   const auto heard = f.Due(now);
@@ -608,7 +611,7 @@
   f.Report("near", true, {{0, 4}, {1, 2}}, 0, kSettled, /*all=*/true);
   f.Report("far", false, {}, 0, kSettled, /*all=*/true);
   CHECK(f.Due(kSettled)->lines[0].batch_other == 4);
-  const Time later = kSettled + PlaceKeeper::kIdleHeartbeat;
+  const Time later = kSettled + SlotAllocator::kIdleHeartbeat;
   f.Report("near", true, {{1, 2}}, 0, later);
   const auto grant = f.Due(later);
   REQUIRE(grant);
--- a/test/place-load-test.cc
+++ b/test/slot-load-test.cc
@@ -2,7 +2,7 @@
 
 #include <set>
 
-#include "test/place-sim.h"
+#include "test/slot-sim.h"
 
 using namespace figmill;  // NOLINT(google-build-using-namespace): tests read better
 
@@ -17,7 +17,7 @@
   sim::Load load;
   load.batch_run = Duration{4'700'000};
   load.batch_per_s = 19;
-  load.length = Duration{60'000'000};
+  load.duration = Duration{60'000'000};
   return load;
 }
 
@@ -30,12 +30,11 @@
 // Cause: nobody counts what was chosen meanwhile. The keeper does, when it is asked.
 TEST_CASE("online finds its place at the wave's peak by asking the keeper") {
   const sim::Load load;
-  const sim::Outcome unasked = sim::Simulation(load, /*asks=*/false, 7).Run();
-  const sim::Outcome asked = sim::Simulation(load, /*asks=*/true, 7).Run();
-  MESSAGE("late or refused: " << LateShare(unasked) << " unasked, " << LateShare(asked)
-                              << " asked");
+  const sim::Outcome local = sim::Simulation(load, /*ask_allocators=*/false, 7).Run();
+  const sim::Outcome asked = sim::Simulation(load, /*ask_allocators=*/true, 7).Run();
+  MESSAGE("late or refused: " << LateShare(local) << " unasked, " << LateShare(asked) << " asked");
   CHECK(LateShare(asked) < 0.005);
-  CHECK(LateShare(unasked) > 2 * LateShare(asked));
+  CHECK(LateShare(local) > 2 * LateShare(asked));
 }
 
 TEST_CASE("with a fifth of the engines gone most online still starts in time") {
@@ -55,9 +54,9 @@
   sim::Load load;
   load.job_items = 1;
   const sim::Outcome outcome = sim::Simulation(load, true, 7).Run();
-  MESSAGE(outcome.items << " items, " << outcome.stops << " stops");
+  MESSAGE(outcome.items << " items, " << outcome.preemptions << " stops");
   CHECK(outcome.items > 500);  // of some 780 that came
-  CHECK(outcome.stops < 3 * outcome.items);
+  CHECK(outcome.preemptions < 3 * outcome.items);
 }
 
 TEST_CASE("batch does no harm to online") {
@@ -76,7 +75,7 @@
   sim::Load load = LongItems();
   load.engines = 31;
   const sim::Outcome by_due = sim::Simulation(load, true, 7).Run();
-  load.tells_due = false;
+  load.reports_due_times = false;
   const sim::Outcome in_turn = sim::Simulation(load, true, 7).Run();
   MESSAGE("in time: " << by_due.items_in_time << " of " << by_due.items << " by due time, "
                       << in_turn.items_in_time << " of " << in_turn.items << " in turn");
@@ -92,7 +91,7 @@
   sim::Load load = LongItems();
   load.engines = 28;
   const sim::Outcome by_due = sim::Simulation(load, true, 7).Run();
-  load.tells_due = false;
+  load.reports_due_times = false;
   const sim::Outcome in_turn = sim::Simulation(load, true, 7).Run();
   MESSAGE("in time: " << by_due.items_in_time << " of " << by_due.items << " by due time, "
                       << in_turn.items_in_time << " of " << in_turn.items << " in turn");
@@ -108,7 +107,7 @@
   sim::Load load = LongItems();
   load.engines = 40;
   load.batch_per_s = 40;
-  load.length = Duration{18'000'000};
+  load.duration = Duration{18'000'000};
   const sim::Outcome outcome = sim::Simulation(load, true, 7).Run();
   MESSAGE(outcome.items << " items, late or refused: " << LateShare(outcome));
   CHECK(outcome.items >= 308);
--- a/test/place-sim.h
+++ b/test/slot-sim.h
@@ -22,57 +22,61 @@
 struct Load {
   int entries = 36;
   int engines = 50;
-  int places = 7;
+  int slots = 7;
   int data_centres = 5;
   double online_per_s = 258;  // in the mean
   double low = 0.39;          // of the mean, between two waves
   double high = 1.91;         // in a wave
-  Duration low_for{3'600'000};
-  Duration high_for{2'400'000};
+  Duration low_duration{3'600'000};
+  Duration high_duration{2'400'000};
   Duration online_run{550'000};
   double online_spread = 0;  // standard deviation of an online run's length, of its mean
   // A refused caller comes back once, when it is told to, but within a third of its time left.
-  bool returns = false;
+  bool retries = false;
   // The engines of one data centre are gone from this moment on: connections to them are refused,
   // and they stay listed.
   Duration lost_at = Duration::max();
-  bool says_not_there = true;  // entries tell keepers which engines they have found dead
+  bool reports_dead_engines = true;  // entries tell keepers which engines they have found dead
   Duration batch_run{3'600'000};
   double batch_per_s = 26;  // items
   int job_items = 10;       // that come at once, at one entry
   Duration job_due{18'000'000};
-  bool tells_due = true;  // entries tell keepers when what waits is due
-  Duration datagram{1'500'000 / 1000};
-  Duration length{30'000'000};
+  bool reports_due_times = true;  // entries tell keepers when what waits is due
+  Duration datagram_delay{1'500'000 / 1000};
+  Duration duration{30'000'000};
 };
 
 struct Outcome {
   int online = 0;
-  int late = 0;       // waited for a place for over 200 ms
-  int refused = 0;    // first tries alone
-  int told_late = 0;  // tries that were refused after a quarter of the goal or more
-  int returned = 0;
-  int returned_late = 0;  // of those: placed after the goal of their second try
-  int unserved = 0;       // refused, and either not back or refused again
-  int in_vain = 0;        // places given at engines that the entry knew to be dead
-  int items = 0;          // batch items that were finished
+  int late = 0;          // waited for a place for over 200 ms
+  int refused = 0;       // first tries alone
+  int refused_late = 0;  // tries that were refused after a quarter of the goal or more
+  int retried = 0;
+  int retried_late = 0;      // of those: placed after the goal of their second try
+  int unserved = 0;          // refused, and either not back or refused again
+  int assigned_to_dead = 0;  // places given at engines that the entry knew to be dead
+  int items = 0;             // batch items that were finished
   int items_in_time = 0;
-  int items_due = 0;  // due before the end
-  int stops = 0;      // runs of batch items stopped for online
-  int overfull = 0;   // times that batch made online wait
+  int items_due = 0;         // due before the end
+  int preemptions = 0;       // runs of batch items stopped for online
+  int blocked_by_batch = 0;  // times that batch made online wait
 };
 
 class Simulation {
  public:
   // `asks`: entries ask keepers; otherwise they choose by what they were told.
-  Simulation(const Load& load, bool asks, unsigned seed)
-      : load_(load), asks_(asks), arrivals_(seed + 1), jobs_(seed + 2), random_(seed) {
+  Simulation(const Load& load, bool ask_allocators, unsigned seed)
+      : load_(load),
+        ask_allocators_(ask_allocators),
+        arrivals_(seed + 1),
+        jobs_(seed + 2),
+        random_(seed) {
     for (int i = 0; i < load.engines; ++i) {
       Engine& engine = engines_.emplace_back();
       engine.info.id = BackendId{"engine-" + std::to_string(i)};
       engine.info.service = ServiceName{"llm"};
       engine.info.data_centre = CentreOf(i);
-      engine.info.places = load.places;
+      engine.info.slots = load.slots;
       index_[engine.info.id] = i;
     }
     for (int i = 0; i < load.entries; ++i) {
@@ -80,19 +84,19 @@
       entries_.push_back(std::make_unique<Entry>(peer, [this] { return random_(); }));
       node_[peer.node] = i;
     }
-    ChooseKeepers();
+    ChooseAllocators();
   }
 
   Outcome Run() {
-    if (load_.lost_at < load_.length) At(load_.lost_at, [this] { LoseDataCentre(); });
+    if (load_.lost_at < load_.duration) At(load_.lost_at, [this] { LoseDataCentre(); });
     At(Duration{0}, [this] { Arrive(); });
     At(Duration{0}, [this] { ArriveJob(); });
     for (std::size_t i = 0; i < entries_.size(); ++i) Tick(static_cast<int>(i));
-    for (const auto& [id, keeper] : keeper_of_) {
-      if (ticked_.insert({keeper, keeper}).second) KeeperTick(keeper);
+    for (const auto& [id, allocator] : allocator_of_) {
+      if (ticked_.insert({allocator, allocator}).second) AllocatorTick(allocator);
     }
     ticked_.clear();
-    while (!events_.empty() && events_.top().at < Time{load_.length}) {
+    while (!events_.empty() && events_.top().at < Time{load_.duration}) {
       const Event event = events_.top();
       events_.pop();
       now_ = event.at;
@@ -111,22 +115,22 @@
     }
   };
   // A caller's patience with one request, over all its tries.
-  static constexpr Duration kPatience{5'000'000};
+  static constexpr Duration kCallerTimeout{5'000'000};
   // One try of an online request.
   struct Try {
     Time at{};
     Duration time_left{0};
-    bool second = false;
+    bool is_retry = false;
   };
   struct Pending {
-    int keeper = 0;  // that was asked last
+    int allocator = 0;  // that was asked last
     Try attempt;
     std::vector<BackendId> tried;
   };
   struct OnlineRun {
     int entry = 0;
     Try attempt;
-    TakenPlace place;
+    AcquiredSlot place;
   };
   struct Item {
     Duration left{0};  // work
@@ -137,27 +141,27 @@
     std::uint64_t number = 0;
     Item item;
     Time since{};
-    TakenPlace place;
+    AcquiredSlot place;
   };
   struct Engine {
     BackendInfo info;
-    bool gone = false;
+    bool lost = false;
     int online = 0;
     std::deque<OnlineRun> waiting;
     std::vector<BatchRun> batch;
   };
   struct Entry {
     Entry(const Peer& self, RandomBits bits)
-        : peer(self), book(self.data_centre, std::move(bits)) {}
+        : peer(self), pool(self.data_centre, std::move(bits)) {}
     Peer peer;
-    PlaceBook book;
-    PlaceKeeper keeper{0};
+    BackendPool pool;
+    SlotAllocator allocator{0};
     std::vector<Item> items;  // waiting
-    std::map<int, std::uint64_t> acted;
-    std::map<int, std::vector<PlaceGrant::ServiceUse>> told;  // by keepers elsewhere
-    std::map<int, std::vector<std::uint64_t>> asked;
+    std::map<int, std::uint64_t> acked_grants;
+    std::map<int, std::vector<PlaceGrant::ServiceUse>> service_uses;  // by keepers elsewhere
+    std::map<int, std::vector<std::uint64_t>> answered;
     std::uint64_t reports = 0;
-    std::map<std::uint64_t, std::shared_ptr<PlaceSearch>> searches;
+    std::map<std::uint64_t, std::shared_ptr<SlotSearch>> searches;
     std::map<std::uint64_t, Pending> pending;  // by ask
   };
 
@@ -166,36 +170,37 @@
   }
 
   void At(Duration after, std::function<void()> task) {
-    events_.push({now_ + after, ++order_, std::move(task)});
+    events_.push({now_ + after, ++next_event_, std::move(task)});
   }
 
-  void ChooseKeepers() {
+  void ChooseAllocators() {
     PeerTable table(entries_.front()->peer);
     for (const auto& entry : entries_) table.Heard(entry->peer, now_);
-    std::map<int, std::map<BackendId, KeptBackend>> kept;
+    std::map<int, std::map<BackendId, KeptBackend>> owned;
     for (const Engine& engine : engines_) {
-      const auto keepers =
+      const auto allocators =
           table.KeepersOf(engine.info.data_centre, engines_.size() / load_.data_centres, now_);
-      const int keeper = node_.at(KeeperAmong(keepers, engine.info.id)->node);
-      keeper_of_[engine.info.id] = keeper;
-      kept[keeper][engine.info.id] = {engine.info.service, engine.info.places};
-      for (const auto& entry : entries_) entry->book.Learn(engine.info);
+      const int allocator = node_.at(KeeperAmong(allocators, engine.info.id)->node);
+      allocator_of_[engine.info.id] = allocator;
+      owned[allocator][engine.info.id] = {engine.info.service, engine.info.slots};
+      for (const auto& entry : entries_) entry->pool.AddOrUpdate(engine.info);
     }
-    for (const auto& [keeper, backends] : kept) entries_[keeper]->keeper.Keep(backends, now_);
+    for (const auto& [allocator, backends] : owned)
+      entries_[allocator]->allocator.SetBackends(backends, now_);
   }
 
   static double Seconds(Duration time) { return std::chrono::duration<double>(time).count(); }
 
   double Rate() const {
-    const double phase =
-        std::fmod(Seconds(now_.time_since_epoch()), Seconds(load_.low_for + load_.high_for));
-    return load_.online_per_s * (phase < Seconds(load_.low_for) ? load_.low : load_.high);
+    const double phase = std::fmod(Seconds(now_.time_since_epoch()),
+                                   Seconds(load_.low_duration + load_.high_duration));
+    return load_.online_per_s * (phase < Seconds(load_.low_duration) ? load_.low : load_.high);
   }
 
   void Arrive() {
     const int entry = static_cast<int>(arrivals_() % entries_.size());
     ++outcome_.online;
-    Place(entry, {now_, kPatience, /*second=*/false});
+    FindSlot(entry, {now_, kCallerTimeout, /*is_retry=*/false});
     const double gap = std::exponential_distribution<double>(Rate())(arrivals_);
     At(Duration(static_cast<Duration::rep>(gap * 1e6)), [this] { Arrive(); });
   }
@@ -204,7 +209,7 @@
     Entry& entry = *entries_[jobs_() % entries_.size()];
     const Item item{load_.batch_run, now_ + load_.job_due};
     entry.items.insert(entry.items.end(), load_.job_items, item);
-    if (item.due < Time{load_.length}) outcome_.items_due += load_.job_items;
+    if (item.due < Time{load_.duration}) outcome_.items_due += load_.job_items;
     const double per_s = load_.batch_per_s / load_.job_items;
     const double gap = std::exponential_distribution<double>(per_s)(jobs_);
     At(Duration(static_cast<Duration::rep>(gap * 1e6)), [this] { ArriveJob(); });
@@ -229,7 +234,8 @@
       const ItemRank rank = RankOf(item);
       const StoreTime due =
           rank == ItemRank::kLate ? WaitingItems::kLate : item.due.time_since_epoch();
-      ++groups[load_.tells_due ? std::pair(rank, due) : std::pair(ItemRank::kFresh, StoreTime{0})];
+      ++groups[load_.reports_due_times ? std::pair(rank, due)
+                                       : std::pair(ItemRank::kFresh, StoreTime{0})];
     }
     std::vector<WaitingItems> waiting;
     waiting.reserve(groups.size());
@@ -255,124 +261,125 @@
   void LoseDataCentre() {
     for (Engine& engine : engines_) {
       if (engine.info.data_centre != CentreOf(0)) continue;
-      engine.gone = true;
+      engine.lost = true;
       for (const BatchRun& run : engine.batch) {
         entries_[run.entry]->items.push_back(run.item);
-        entries_[run.entry]->book.Ended(run.place, relay::SendEnd::kBroken, {}, now_);
+        entries_[run.entry]->pool.ReleaseSlot(run.place, relay::SendEnd::kBroken, {}, now_);
       }
       engine.batch.clear();
     }
   }
 
-  void Place(int e, const Try& attempt, std::vector<BackendId> tried = {}) {
+  void FindSlot(int e, const Try& attempt, std::vector<BackendId> tried = {}) {
     Entry& entry = *entries_[e];
-    PlaceQuery query;
+    BackendQuery query;
     query.service = ServiceName{"llm"};
     query.tried = tried;
-    if (const auto roomy = asks_ ? entry.book.ChooseRoomy(query, 0.5, now_) : std::nullopt) {
-      return SendOnline(e, roomy->id, attempt, tried);
+    if (const auto lightly_loaded =
+            ask_allocators_ ? entry.pool.ChooseLightlyLoaded(query, 0.5, now_) : std::nullopt) {
+      return SendOnline(e, lightly_loaded->id, attempt, tried);
     }
-    if (!asks_) {
-      const Result<BackendAddress> chosen = entry.book.Choose(query, now_);
+    if (!ask_allocators_) {
+      const Result<BackendAddress> chosen = entry.pool.Choose(query, now_);
       if (!IsOk(chosen)) return OnRefused(e, attempt, Duration{0});
       return SendOnline(e, ValueOf(chosen).id, attempt, tried);
     }
     PlaceAsk ask;
-    ask.number = ++asks_made_;
+    ask.number = ++requests_made_;
     ask.service = query.service;
     ask.goal_left = Duration{300'000};
     ask.time_left = attempt.time_left;
-    ask.last_chance = tries_.IsSecond("", attempt.time_left, now_);
+    ask.last_chance = retry_detector_.IsRetry("", attempt.time_left, now_);
     ask.tried = tried;
-    if (load_.says_not_there) {
-      for (BackendId& id : entry.book.LeftOut(query, now_)) ask.tried.push_back(id);
+    if (load_.reports_dead_engines) {
+      for (BackendId& id : entry.pool.ExcludedBackends(query, now_)) ask.tried.push_back(id);
     }
-    auto search = std::make_shared<PlaceSearch>(ask, Order(e, ask.tried), now_);
+    auto search = std::make_shared<SlotSearch>(ask, AllocatorOrder(e, ask.tried), now_);
     entry.searches[ask.number] = search;
     entry.pending[ask.number] = {0, attempt, std::move(tried)};
-    Do(e, ask.number, search->Start(now_));
+    Perform(e, ask.number, search->Start(now_));
   }
 
   void OnRefused(int e, const Try& attempt, Duration come_back) {
-    if (now_ - attempt.at > Duration{75'000}) ++outcome_.told_late;
-    if (!attempt.second) ++outcome_.refused;
-    if (attempt.second || !load_.returns) return void(++outcome_.unserved);
+    if (now_ - attempt.at > Duration{75'000}) ++outcome_.refused_late;
+    if (!attempt.is_retry) ++outcome_.refused;
+    if (attempt.is_retry || !load_.retries) return void(++outcome_.unserved);
     const Duration left = attempt.time_left - (now_ - attempt.at);
     const Duration after = std::min(come_back, left / 3);
     const int other = static_cast<int>((e + 1) % entries_.size());
     At(after, [this, other, time_left = left - after] {
-      ++outcome_.returned;
-      Place(other, {now_, time_left, /*second=*/true});
+      ++outcome_.retried;
+      FindSlot(other, {now_, time_left, /*is_retry=*/true});
     });
   }
 
   // Keepers by the share that is known to be free.
-  std::vector<NodeId> Order(int e, const std::vector<BackendId>& tried) {
+  std::vector<NodeId> AllocatorOrder(int e, const std::vector<BackendId>& tried) {
     std::map<int, std::pair<int, int>> shares;
-    entries_[e]->book.ForEach([&](const BackendInfo& info, const PlaceUse& use) {
+    entries_[e]->pool.ForEach([&](const BackendInfo& info, const SlotUsage& use) {
       if (std::find(tried.begin(), tried.end(), info.id) != tried.end()) return;
-      auto& [free, places] = shares[keeper_of_.at(info.id)];
-      free += std::max(0, info.places - use.online - use.online_other);
-      places += info.places;
+      auto& [free, places] = shares[allocator_of_.at(info.id)];
+      free += std::max(0, info.slots - use.online - use.online_other);
+      places += info.slots;
     });
     std::vector<std::pair<double, int>> order;
     order.reserve(shares.size());
-    for (auto& [keeper, share] : shares) {
-      for (const PlaceGrant::ServiceUse& use : entries_[e]->told[keeper]) {
+    for (auto& [allocator, share] : shares) {
+      for (const PlaceGrant::ServiceUse& use : entries_[e]->service_uses[allocator]) {
         share = {use.places - use.online, use.places};
       }
-      order.emplace_back(-static_cast<double>(share.first) / share.second, keeper);
+      order.emplace_back(-static_cast<double>(share.first) / share.second, allocator);
     }
     std::sort(order.begin(), order.end());
     std::vector<NodeId> nodes;
     nodes.reserve(order.size());
-    for (const auto& [free, keeper] : order) nodes.push_back(entries_[keeper]->peer.node);
+    for (const auto& [free, allocator] : order) nodes.push_back(entries_[allocator]->peer.node);
     return nodes;
   }
 
-  void Do(int e, std::uint64_t number, const search::Action& action) {
+  void Perform(int e, std::uint64_t number, const search::Action& action) {
     Entry& entry = *entries_[e];
-    if (const auto* ask = std::get_if<search::AskKeeper>(&action)) {
-      const int keeper = node_.at(ask->keeper);
-      entry.pending[number].keeper = keeper;
-      At(load_.datagram, [this, e, keeper, each = ask->ask] {
-        entries_[keeper]->keeper.OnAsk(entries_[e]->peer.node, each, now_);
-        SendDue(keeper);
+    if (const auto* ask = std::get_if<search::AskAllocator>(&action)) {
+      const int allocator = node_.at(ask->allocator);
+      entry.pending[number].allocator = allocator;
+      At(load_.datagram_delay, [this, e, allocator, each = ask->request] {
+        entries_[allocator]->allocator.OnRequest(entries_[e]->peer.node, each, now_);
+        SendDue(allocator);
       });
-    } else if (const auto* take = std::get_if<search::Take>(&action)) {
+    } else if (const auto* take = std::get_if<search::UseSlot>(&action)) {
       const Pending pending = entry.pending[number];
-      entry.asked[pending.keeper].push_back(number);
+      entry.answered[pending.allocator].push_back(number);
       entry.searches.erase(number);
-      if (entry.book.IsUsable(take->backend, now_)) {
+      if (entry.pool.IsUsable(take->backend, now_)) {
         return SendOnline(e, take->backend, pending.attempt, pending.tried);
       }
-      ++outcome_.in_vain;
+      ++outcome_.assigned_to_dead;
       const Result<BackendAddress> chosen =
-          entry.book.Choose({ServiceName{"llm"}, pending.tried}, now_);
+          entry.pool.Choose({ServiceName{"llm"}, pending.tried}, now_);
       if (!IsOk(chosen)) return OnRefused(e, pending.attempt, Duration{0});
       SendOnline(e, ValueOf(chosen).id, pending.attempt, pending.tried);
-    } else if (const auto* give_up = std::get_if<search::GiveUp>(&action)) {
+    } else if (const auto* give_up = std::get_if<search::Refuse>(&action)) {
       entry.searches.erase(number);
       OnRefused(e, entry.pending[number].attempt, give_up->wait);
     }
   }
 
   void SendOnline(int e, const BackendId& id, const Try& attempt, std::vector<BackendId> tried) {
-    const TakenPlace place = entries_[e]->book.Began(id, WorkClass::kOnline, now_);
-    Report(e, keeper_of_.at(id));
+    const AcquiredSlot place = entries_[e]->pool.AcquireSlot(id, WorkClass::kOnline, now_);
+    Report(e, allocator_of_.at(id));
     tried.push_back(id);
-    At(load_.datagram / 2, [this, e, id, attempt, place, tried] {
+    At(load_.datagram_delay / 2, [this, e, id, attempt, place, tried] {
       Engine& engine = engines_[index_.at(id)];
-      if (engine.gone) {
-        entries_[e]->book.Ended(place, relay::SendEnd::kUnreachable, {}, now_);
-        Report(e, keeper_of_.at(id));
+      if (engine.lost) {
+        entries_[e]->pool.ReleaseSlot(place, relay::SendEnd::kUnreachable, {}, now_);
+        Report(e, allocator_of_.at(id));
         if (tried.size() >= RelayRun::kMaxRejections) return OnRefused(e, attempt, Duration{0});
-        return Place(e, attempt, tried);
+        return FindSlot(e, attempt, tried);
       }
       engine.waiting.push_back({e, attempt, place});
-      if (engine.online + static_cast<int>(engine.batch.size()) >= load_.places &&
-          engine.online < load_.places) {
-        ++outcome_.overfull;
+      if (engine.online + static_cast<int>(engine.batch.size()) >= load_.slots &&
+          engine.online < load_.slots) {
+        ++outcome_.blocked_by_batch;
       }
       Admit(index_.at(id));
     });
@@ -388,17 +395,17 @@
   void Admit(int i) {
     Engine& engine = engines_[i];
     while (!engine.waiting.empty() &&
-           engine.online + static_cast<int>(engine.batch.size()) < load_.places) {
+           engine.online + static_cast<int>(engine.batch.size()) < load_.slots) {
       const OnlineRun run = engine.waiting.front();
       engine.waiting.pop_front();
       if (now_ - run.attempt.at > Duration{200'000}) {
-        ++(run.attempt.second ? outcome_.returned_late : outcome_.late);
+        ++(run.attempt.is_retry ? outcome_.retried_late : outcome_.late);
       }
       ++engine.online;
       At(OnlineRunLength(), [this, i, e = run.entry, place = run.place] {
         --engines_[i].online;
-        entries_[e]->book.Ended(place, relay::SendEnd::kAnswered, load_.online_run, now_);
-        Report(e, keeper_of_.at(engines_[i].info.id));
+        entries_[e]->pool.ReleaseSlot(place, relay::SendEnd::kAnswered, load_.online_run, now_);
+        Report(e, allocator_of_.at(engines_[i].info.id));
         Admit(i);
       });
     }
@@ -406,31 +413,31 @@
 
   // --- Messages ---
 
-  void Report(int e, int keeper) {
+  void Report(int e, int allocator) {
     Entry& entry = *entries_[e];
     PlaceReport report;
     report.number = ++entry.reports;
-    report.grant = entry.acted[keeper];
-    report.asked = std::exchange(entry.asked[keeper], {});
+    report.grant = entry.acked_grants[allocator];
+    report.asked = std::exchange(entry.answered[allocator], {});
     report.waiting = Waiting(entry);
-    entry.book.ForEach([&](const BackendInfo& info, const PlaceUse& use) {
-      if (keeper_of_.at(info.id) == keeper) {
+    entry.pool.ForEach([&](const BackendInfo& info, const SlotUsage& use) {
+      if (allocator_of_.at(info.id) == allocator) {
         report.lines.push_back(
             {info.id, use.online, use.batch, use.usual_run, use.answers, use.faults});
       }
     });
-    At(load_.datagram, [this, e, keeper, report] {
-      const bool near = entries_[e]->peer.data_centre == entries_[keeper]->peer.data_centre;
-      entries_[keeper]->keeper.OnReport(entries_[e]->peer, near, report, now_);
-      SendDue(keeper);
+    At(load_.datagram_delay, [this, e, allocator, report] {
+      const bool near = entries_[e]->peer.data_centre == entries_[allocator]->peer.data_centre;
+      entries_[allocator]->allocator.OnReport(entries_[e]->peer, near, report, now_);
+      SendDue(allocator);
     });
   }
 
-  void SendDue(int keeper) {
-    for (const PlaceKeeper::Outgoing& out : entries_[keeper]->keeper.Due(now_)) {
+  void SendDue(int allocator) {
+    for (const SlotAllocator::Outgoing& out : entries_[allocator]->allocator.TakeOutgoing(now_)) {
       const int e = node_.at(out.to);
-      At(load_.datagram, [this, e, keeper, out] {
-        if (out.grant) OnGrant(e, keeper, *out.grant);
+      At(load_.datagram_delay, [this, e, allocator, out] {
+        if (out.grant) OnGrant(e, allocator, *out.grant);
         if (out.answer) OnAnswer(e, *out.answer);
       });
     }
@@ -440,43 +447,43 @@
     const auto found = entries_[e]->searches.find(answer.number);
     if (found == entries_[e]->searches.end()) return;
     const auto search = found->second;
-    Do(e, answer.number, search->On(search::Answered{answer}, now_));
+    Perform(e, answer.number, search->OnEvent(search::Answered{answer}, now_));
   }
 
-  void OnGrant(int e, int keeper, const PlaceGrant& grant) {
+  void OnGrant(int e, int allocator, const PlaceGrant& grant) {
     Entry& entry = *entries_[e];
-    if (grant.number <= entry.acted[keeper]) return;
-    entry.acted[keeper] = grant.number;
-    entry.told[keeper] = grant.services;
+    if (grant.number <= entry.acked_grants[allocator]) return;
+    entry.acked_grants[allocator] = grant.number;
+    entry.service_uses[allocator] = grant.services;
     for (const PlaceGrant::Line& line : grant.lines) {
-      entry.book.SetGrant(line.backend,
-                          {line.online_other, line.batch_other, line.allowed, line.ejected}, now_);
-      const PlaceUse use = entry.book.Use(line.backend);
+      entry.pool.ApplyGrant(
+          line.backend, {line.online_other, line.batch_other, line.allowed, line.ejected}, now_);
+      const SlotUsage use = entry.pool.UsageOf(line.backend);
       for (int i = use.batch; i > line.allowed; --i) StopBatch(e, line.backend);
       StartAllowed(e, line.backend);
     }
-    Report(e, keeper);
+    Report(e, allocator);
   }
 
   void Tick(int e) {
-    for (const auto& [id, keeper] : keeper_of_) {
-      if (ticked_.insert({e, keeper}).second) Report(e, keeper);
+    for (const auto& [id, allocator] : allocator_of_) {
+      if (ticked_.insert({e, allocator}).second) Report(e, allocator);
     }
     ticked_.clear();
-    At(PlaceKeeper::kHeartbeat, [this, e] { Tick(e); });
+    At(SlotAllocator::kHeartbeat, [this, e] { Tick(e); });
   }
 
-  void KeeperTick(int e) {
-    entries_[e]->keeper.Tick(now_);
+  void AllocatorTick(int e) {
+    entries_[e]->allocator.Tick(now_);
     SendDue(e);
-    At(PlaceKeeper::kCoalesce, [this, e] { KeeperTick(e); });
+    At(SlotAllocator::kCoalesce, [this, e] { AllocatorTick(e); });
   }
 
   // --- Batch ---
 
   void StartAllowed(int e, const BackendId& id) {
     Entry& entry = *entries_[e];
-    const PlaceUse use = entry.book.Use(id);
+    const SlotUsage use = entry.pool.UsageOf(id);
     for (int i = use.batch; i < use.batch_allowed && !entry.items.empty(); ++i) StartBatch(e, id);
   }
 
@@ -484,7 +491,7 @@
     Entry& entry = *entries_[e];
     const std::uint64_t number = ++batch_runs_;
     const Item item = TakeItem(entry);
-    const TakenPlace place = entry.book.Began(id, WorkClass::kBatch, now_);
+    const AcquiredSlot place = entry.pool.AcquireSlot(id, WorkClass::kBatch, now_);
     const int i = index_.at(id);
     engines_[i].batch.push_back({e, number, item, now_, place});
     At(item.left, [this, i, number] { EndBatch(i, number); });
@@ -496,11 +503,11 @@
       if (at->number != number) continue;
       const int e = at->entry;
       if (now_ <= at->item.due) ++outcome_.items_in_time;
-      const TakenPlace place = at->place;
+      const AcquiredSlot place = at->place;
       engine.batch.erase(at);
       ++outcome_.items;
-      entries_[e]->book.Ended(place, relay::SendEnd::kAnswered, {}, now_);
-      Report(e, keeper_of_.at(engine.info.id));
+      entries_[e]->pool.ReleaseSlot(place, relay::SendEnd::kAnswered, {}, now_);
+      Report(e, allocator_of_.at(engine.info.id));
       return Admit(i);
     }
   }
@@ -517,33 +524,33 @@
     const auto stop = ItemsToStop(std::move(running), 1, now_.time_since_epoch());
     if (stop.empty()) return;
     const auto at = engine.batch.begin() + static_cast<std::ptrdiff_t>(stop.front().item);
-    ++outcome_.stops;
+    ++outcome_.preemptions;
     Item item = at->item;
     item.left -= now_ - at->since;
     entries_[e]->items.push_back(item);
-    const TakenPlace place = at->place;
+    const AcquiredSlot place = at->place;
     engine.batch.erase(at);
-    entries_[e]->book.Ended(place, relay::SendEnd::kAbandoned, {}, now_);
+    entries_[e]->pool.ReleaseSlot(place, relay::SendEnd::kAbandoned, {}, now_);
     Admit(index_.at(id));
   }
 
   Load load_;
-  bool asks_;
+  bool ask_allocators_;
   // Each kind of arrival by itself, so that two runs have the same.
   std::mt19937_64 arrivals_, jobs_;
   std::mt19937_64 random_;
   Time now_{};
-  std::uint64_t order_ = 0;
-  std::uint64_t asks_made_ = 0;
+  std::uint64_t next_event_ = 0;
+  std::uint64_t requests_made_ = 0;
   std::uint64_t batch_runs_ = 0;
   std::priority_queue<Event> events_;
   std::vector<Engine> engines_;
   std::vector<std::unique_ptr<Entry>> entries_;
   std::map<BackendId, int> index_;
   std::map<NodeId, int> node_;
-  std::map<BackendId, int> keeper_of_;
+  std::map<BackendId, int> allocator_of_;
   std::set<std::pair<int, int>> ticked_;
-  FirstTries tries_;
+  RetryDetector retry_detector_;
   Outcome outcome_;
 };
 
