--- a/include/figmill/fleet.h
+++ b/include/figmill/fleet.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Which backend servers there are and which of them gets the next request. No
-// I/O, clocks or threads: the caller passes the time in. Not thread-safe.
+// Known backend servers, their health, and the choice of one for the next request. No I/O, clocks
+// or threads: the caller passes the time in. Not thread-safe.
 
 #include <cstdint>
 #include <functional>
@@ -22,19 +22,19 @@
 enum class BackendState : std::uint8_t {
   kReady,
   kDraining,
-  // Its entry in the list can't be read, and could before. What runs there is left to end,
-  // as nothing says that it stops; nothing new goes there.
+  // Its entry in the list can't be parsed any more. Running work is left to finish, because nothing
+  // says that the backend server stops; no new work is sent there.
   kUnreadable,
 };
 [[nodiscard]] std::string_view ToString(BackendState state);
 
-// A backend server as the platform's list has it.
+// A backend server as listed by the platform.
 struct BackendInfo {
   BackendId id;
   ServiceName service;
   Address address;
   DataCentre data_centre;
-  int slots = 1;  // requests that run at once
+  int slots = 1;  // requests that run concurrently
   BackendState state = BackendState::kReady;
   BackendIncarnation incarnation = {};
   bool operator==(const BackendInfo&) const = default;
@@ -43,18 +43,18 @@
 
 // --- Health ------------------------------------------------------------------------
 
-// Judges a backend server by how its work ends. Its own health answer is no help:
-// one that fails part of its requests may answer it well.
+// Ejects a backend server by the outcomes of its work (outlier detection). Its own health endpoint
+// doesn't help: a server that fails some of its requests may still report healthy.
 class OutlierDetector {
  public:
-  // Weight of the newest end.
+  // Weight of the newest outcome in the moving average.
   static constexpr double kNewestWeight = 0.2;
-  // Left out above this: three faults in a row, or most of the last few ends. Answers
-  // that are lost now and then (one in twenty) come to a third of it by chance.
+  // A server is ejected at this fault rate: three faults in a row, or most of the last few
+  // outcomes. Occasional faults (one in twenty) reach a third of it by chance.
   static constexpr double kEjectionThreshold = 0.45;
-  // After it was left out: one more fault leaves it out again.
+  // Fault rate after an ejection: one more fault ejects the server again.
   static constexpr double kRateAfterEjection = 0.35;
-  // Below this it is sound, and a later ejection is short again.
+  // Below this rate the server counts as healthy, and its next ejection is short again.
   static constexpr double kHealthyThreshold = 0.1;
   static constexpr Duration kFirstEjection{500'000};
   static constexpr Duration kMaxEjection{8'000'000};
@@ -68,102 +68,100 @@
   Time ejected_until_{};
 };
 
-// Whether an end says that the backend server is at fault. A batch item that fails may
-// be one that fails everywhere.
+// Whether the outcome counts as a fault of the backend server. A batch item that fails may be one
+// that fails on every server.
 [[nodiscard]] bool IsFault(WorkClass work, relay::SendEnd end);
 
 // --- BackendPool -------------------------------------------------------------------
 
-// How much of a backend server is taken, as far as this entry knows.
+// Slots of a backend server in use, as far as this entry knows.
 struct SlotUsage {
   int online = 0;        // by this entry
   int batch = 0;         // by this entry
   int online_other = 0;  // by other entries
   int batch_other = 0;
   int batch_allowed = 0;  // batch items that this entry may have there
-  Duration usual_run{0};  // of this entry's online requests there; 0: none has ended
-  // Ends of this entry's sends there since its start; those without a verdict, as when
-  // the caller left, are in neither.
+  Duration usual_run{0};  // mean run time of this entry's online requests there; 0: none has ended
+  // Outcomes of this entry's sends there since its start. Sends without a verdict, such as those
+  // whose caller disconnected, count in neither.
   std::uint64_t answers = 0;
   std::uint64_t faults = 0;
-  Time known_at{};  // when the keeper said what others use; the start of time: never
+  Time known_at{};  // when the allocator last reported the usage of others; the epoch: never
 };
 
 struct BackendQuery {
   ServiceName service;
-  std::span<const BackendId> tried;  // never picked again
+  std::span<const BackendId> tried;  // excluded from the choice
 };
 
-// A place of a backend server that this entry has taken for one send.
+// A slot that this entry has acquired for one send.
 struct AcquiredSlot {
   BackendId backend;
   WorkClass work = WorkClass::kOnline;
-  // Of what the book knew of the backend server then; 0: nothing.
+  // Generation of the pool's state of the backend server at that time; 0: it was unknown.
   std::uint64_t generation = 0;
 };
 
 class BackendPool {
  public:
-  // Online requests that may wait in a full engine's own queue. Each waits for
-  // one of its places to fall free: with streams of some 0.7 s on 8 places that
-  // is 90 ms in the mean, so that a second one still makes a first event in
-  // 300 ms, and a third doesn't.
+  // Online requests that may wait in a full engine's own queue. Each waits for one of the engine's
+  // slots: with streams of about 0.7 s on 8 slots that is 90 ms on average, so a second one still
+  // gets its first event within 300 ms, and a third doesn't.
   static constexpr int kMaxEngineQueue = 2;
-  // A backend server with open sends that gives no sign of life for this long, and
-  // four times its usual pause, looks dead: requests to one that is gone dark would
-  // wait for their deadlines. Engines give an event each 10 to 40 ms, and a request
-  // waits some 200 ms for its place.
+  // A backend server with active sends counts as unresponsive after this long without any bytes,
+  // plus four times its usual pause between them. Requests sent to a dead server would wait for
+  // their deadlines. Engines send an event every 10 to 40 ms, and a request waits about 200 ms for
+  // its slot.
   static constexpr Duration kMinInactivity{400'000};
   static constexpr int kInactivityPauses = 4;
-  // After "not run" the backend server is full or leaving; the next request goes
-  // elsewhere for about as long as a place needs to fall free.
+  // After "not run" the backend server is full or leaving. It gets no requests for about the time
+  // that a slot needs to become free.
   static constexpr Duration kRejectionBackoff{100'000};
-  // A backend server that refused a connection, or whose address is another's now, is gone while
-  // the list still has it. It looks free, so that requests go there first: with three of twelve
-  // lost at a peak, each request met all three before they were left out for their faults, and
-  // was refused. It is left out for this long, after which one request tries again.
+  // A backend server that refused a connection, or whose address now belongs to another one, is
+  // gone but still listed. It looks free and so attracts requests: with three of twelve lost at a
+  // load peak, each request tried all three before they were ejected for their faults, and was
+  // refused. It is skipped for this long, then one request tries it again.
   static constexpr Duration kUnreachableBackoff{500'000};
-  // A backend server of another data centre costs as much as this many online
-  // requests more. Unit: requests.
+  // Cost of using a backend server of another data centre. Unit: online requests.
   static constexpr double kRemotePenalty = 0.5;
-  // So does stopping a batch item, which must read its text again when it goes on.
+  // Cost of preempting a batch item, which has to read its text again when it resumes. Unit: online
+  // requests.
   static constexpr double kPreemptionPenalty = 2;
-  // What is known of others' use is some ms old, and all entries know the same. If
-  // each took the least used backend server, those of one such span would all meet
-  // there. So each takes the better of this many that it draws by chance.
+  // The usage of other entries is known with some ms of delay, and is the same for all entries. If
+  // each entry chose the least used server, all requests of that interval would go to the same one.
+  // So each chooses the best of this many random candidates.
   static constexpr int kRandomChoices = 3;
 
   BackendPool(DataCentre data_centre, RandomBits random)
       : data_centre_(std::move(data_centre)), random_(std::move(random)) {}
 
-  // Adds it or changes what is known of it. A new incarnation starts with a fresh record: its
-  // places are free, and nothing is held against it. Otherwise a backend server that has
-  // started again stays left out for the faults and the silence of what ran there before.
+  // Adds a backend server or updates its listing. A new incarnation starts with fresh state: its
+  // slots are free and earlier faults are forgotten. Otherwise a restarted server would stay
+  // excluded for the faults and inactivity of the process before it.
   void AddOrUpdate(const BackendInfo& info);
   void Remove(const BackendId& id);
   [[nodiscard]] const BackendInfo* Find(const BackendId& id) const;
   [[nodiscard]] std::vector<BackendInfo> OfService(const ServiceName& service) const;
 
-  // One of this data centre with less than `share` of its places in use, if there
-  // is one: so much is free that what other entries do meanwhile doesn't matter.
+  // A backend server of this data centre with less than `share` of its slots in use, if there is
+  // one. It has so many free slots that concurrent choices of other entries don't matter.
   [[nodiscard]] std::optional<BackendAddress> ChooseLightlyLoaded(const BackendQuery& query,
                                                                   double share, Time now);
-  // Ready backend servers of the service that are left out of such a query now: they fail, are
-  // silent, or have just said "not run". None when it is half of them or more.
+  // Ready backend servers of the service that this query must not use now: they fail, are
+  // unresponsive, or have just answered "not run". Empty if that is half of them or more.
   [[nodiscard]] std::vector<BackendId> ExcludedBackends(const BackendQuery& query, Time now) const;
-  // Errors: kNoBackend (none is left to try), kOverloaded (all are full); ran no.
+  // Errors: kNoBackend (none is left to try), kOverloaded (all are full); both with Ran::kNo.
   [[nodiscard]] Result<BackendAddress> Choose(const BackendQuery& query, Time now);
 
   [[nodiscard]] AcquiredSlot AcquireSlot(const BackendId& id, WorkClass work, Time now);
-  // Any byte of an answer came from it. A place of an earlier record counts for nothing, here
-  // and when it ends: without this, late ends of sends to an ended incarnation would free places
-  // that others use at the new one, and their faults would leave it out.
+  // Called for any bytes of an answer. Slots of an earlier generation are ignored, here and in
+  // ReleaseSlot: otherwise late ends of sends to an ended incarnation would release slots that
+  // others use on the new one, and their faults would eject it.
   void RecordActivity(const AcquiredSlot& slot, Time now);
-  // `took`: from its send to its end.
+  // `run_time`: from the send to its end.
   void ReleaseSlot(const AcquiredSlot& slot, relay::SendEnd end, Duration run_time, Time now);
-  // What the backend server's keeper says: what other entries have there, and how
-  // many batch items this one may have.
-  // And whether it is left out for what others have seen of it.
+  // What the backend server's allocator grants: the usage of other entries, the batch items that
+  // this entry may run, and whether the server is ejected for faults that other entries saw.
   struct Grant {
     int online_other = 0;
     int batch_other = 0;
@@ -171,43 +169,43 @@
     bool ejected = false;
   };
   void ApplyGrant(const BackendId& id, const Grant& grant, Time now);
-  // Nobody knows what others have there: no batch item begins there.
+  // The usage of others is unknown: no further batch item may start.
   void RevokeBatchGrant(const BackendId& id);
-  // Called after each change of this entry's own use.
+  // The listener is called after each change of this entry's own usage.
   void SetUsageListener(std::function<void(const BackendId&)> listener) {
     usage_listener_ = std::move(listener);
   }
   // Calls `visit` for each backend server.
   void ForEach(
       const std::function<void(const BackendInfo& info, const SlotUsage& usage)>& visit) const;
-  // Ready, and left out neither for its failures nor for its silence.
+  // Ready, and neither ejected nor unresponsive nor in a backoff.
   [[nodiscard]] bool IsUsable(const BackendId& id, Time now) const;
   [[nodiscard]] SlotUsage UsageOf(const BackendId& id) const;
   [[nodiscard]] std::size_t size() const { return backends_.size(); }
-  // Whether it is in this entry's data centre; one that is not known is not.
+  // Whether it is in this entry's data centre; false for an unknown one.
   [[nodiscard]] bool IsLocal(const BackendId& id) const;
 
  private:
   struct Backend {
     BackendInfo info;
-    std::uint64_t generation = 0;  // another one with each fresh record
+    std::uint64_t generation = 0;  // changes when the state is reset
     SlotUsage usage;
     OutlierDetector outlier_detector;
-    bool last_failed = false;  // of the sends that ended with a verdict
+    bool last_failed = false;  // outcome of the last send that had a verdict
     bool ejected_by_allocator = false;
     Time rejecting_until{};
     Time unreachable_until{};
-    Time last_activity{};     // last byte, or the first send since there was none open
-    Duration usual_pause{0};  // between signs of life
+    Time last_activity{};     // last byte received, or first send while none was active
+    Duration usual_pause{0};  // mean time between bytes
 
     [[nodiscard]] int active_sends() const { return usage.online + usage.batch; }
     [[nodiscard]] bool IsUnresponsive(Time now) const;
     [[nodiscard]] bool IsHealthy(Time now) const;
-    // A request that has been sent in vain already goes where the last send did not fail. One
-    // that finds out what is back would else be the one that finds out all others as well.
+    // A retried request only goes where the last send succeeded. Otherwise the request that finds
+    // one server dead would go on to find the others dead as well.
     [[nodiscard]] bool IsHealthyFor(const BackendQuery& query, Time now) const;
   };
-  // The record that the place was taken in; null: it is gone.
+  // The state that the slot was acquired in; null if it was reset or removed.
   [[nodiscard]] Backend* FindGeneration(const AcquiredSlot& slot);
   [[nodiscard]] double Cost(const Backend& backend) const;
   [[nodiscard]] const Backend& PickBest(std::vector<const Backend*>& candidates);
--- a/include/figmill/overload.h
+++ b/include/figmill/overload.h
@@ -1,16 +1,15 @@
 #pragma once
 
-// What online callers are told while all places are taken: whether one that waits will be served
-// in time, and when one that is refused should come back.
+// Overload control for online requests while all slots are taken: whether a queued request will be
+// served in time, and when a refused caller should retry.
 //
-// The load that this answers comes in waves, or after a loss of backend servers: for some seconds
-// online requests come faster than places fall free, then far more slowly. Callers come back once
-// or twice. Told to come back as soon as a place may fall free, all that are refused in a wave come
-// back into the same wave and are refused again, while the places of the valley after it stay free.
+// Overload comes in load peaks or after backend servers were lost: for some seconds online requests
+// arrive faster than slots become free, then far more slowly. Callers retry once or twice. If they
+// were told to retry as soon as a slot may become free, all callers refused during a peak would
+// retry within the same peak and be refused again, while slots stay free after it.
 //
-// Nothing here knows how waves look: lengths are learned from the refusals themselves, and while
-// they are unknown callers are sent as far away as they will go. No I/O: the caller passes the
-// time in.
+// The length of overloads is learned from the refusals. While it is unknown, callers are given the
+// longest delay that they accept. No I/O: the caller passes the time in.
 
 #include <cstddef>
 #include <deque>
@@ -23,23 +22,23 @@
 
 namespace figmill {
 
-// --- Runs under way ------------------------------------------------------------------
+// --- Runs in progress ----------------------------------------------------------------
 
-// How many of some runs will have ended after a while.
+// Number of runs expected to end within a time span.
 struct ExpectedCompletions {
   double mean = 0;
   double variance = 0;
 };
 
-// When the runs that hold places began. Reports give numbers only: of those that ended, the ones
-// that began first are taken to have ended.
+// Start times of the runs that hold slots. Reports only carry the number of runs, so the oldest
+// runs are assumed to end first.
 class RunStartTimes {
  public:
-  // Spread of a run's length, as the scale of a logistic distribution, in its usual length: a
-  // standard deviation of 0.27. Online streams differ in length by about a quarter.
+  // Spread of run times, as the scale of a logistic distribution relative to the mean: a standard
+  // deviation of 0.27. Run times of online streams vary by about a quarter.
   static constexpr double kSpread = 0.15;
 
-  // So many hold places now.
+  // Sets the number of runs that hold slots now.
   void SetCount(std::size_t count, Time now);
   [[nodiscard]] ExpectedCompletions CompletionsWithin(Duration span, Duration run_time,
                                                       Time now) const;
@@ -48,12 +47,12 @@
   std::deque<Time> starts_;  // oldest first
 };
 
-// How fast requests come, over the last second or so.
+// Arrival rate of requests over about the last second.
 class ArrivalRate {
  public:
-  // Requests are counted over this span before the rate is taken.
+  // Requests are counted over this span before the rate is updated.
   static constexpr Duration kSpan{200'000};
-  // Weight of the newest span: a wave is told within two of them.
+  // Weight of the newest span: the start of a load peak shows within two spans.
   static constexpr double kNewestWeight = 0.4;
 
   void Count(int requests, Time now);
@@ -65,24 +64,25 @@
   Time since_{};
 };
 
-// --- Waiting ---------------------------------------------------------------------------
+// --- Queue admission -------------------------------------------------------------------
 
-// Whether a request that is queued now will be served in time. A request that waits in vain is
-// told after its goal instead of within ms, and its caller has lost that time.
+// Decides whether a request that is queued now will be served in time. A request that expires in
+// the queue is refused only after its goal instead of within milliseconds, which costs its caller
+// that time.
 class QueueAdmission {
  public:
-  // Share of the queued requests that may wait in vain. One in a hundred costs less than the
-  // places that a stricter queue leaves empty for a moment.
+  // Share of queued requests that may expire. One in a hundred costs less than the slots that a
+  // stricter queue leaves empty for a moment.
   static constexpr double kTargetMissRatio = 0.01;
-  // How much one that waited in vain raises the margin. Unit: standard deviations.
+  // Increase of the margin for each expired request. Unit: standard deviations.
   static constexpr double kStep = 0.25;
-  // Margins outside of these follow from chance alone. Unit: standard deviations.
+  // Margins outside of this range result from chance alone. Unit: standard deviations.
   static constexpr double kMinMargin = 0;
   static constexpr double kMaxMargin = 3;
 
-  // `before`: requests that will be served before it.
+  // `ahead`: requests that will be served before it.
   [[nodiscard]] bool Admits(std::size_t ahead, const ExpectedCompletions& completions) const;
-  // What became of one that was queued.
+  // Outcome of a queued request.
   void OnServed();
   void OnExpired();
   [[nodiscard]] double margin() const { return margin_; }
@@ -91,22 +91,22 @@
   double margin_ = 1;
 };
 
-// --- Coming back -------------------------------------------------------------------------
+// --- Retries -----------------------------------------------------------------------------
 
-// How long overloads last.
+// Measures how long overloads last.
 class OverloadTracker {
  public:
-  // Without a refusal for so long it is over. Refusals at a peak follow each other within some
-  // ms, and two waves are seconds apart.
+  // An overload is over after this long without a refusal. Refusals in a peak follow each other
+  // within a few ms, and two peaks are seconds apart.
   static constexpr Duration kQuietPeriod{400'000};
-  // Lengths that are remembered; an older one says little of the load now.
+  // Number of durations kept; older ones say little about the current load.
   static constexpr std::size_t kMaxDurations = 8;
 
   void OnRefused(Time now);
-  // How much longer the present overload will last, from the earlier ones that lasted longer
-  // than it has already; nothing while there was none of those.
+  // Expected remaining time of the current overload, from the earlier ones that lasted longer than
+  // it has so far; nullopt if there were none.
   [[nodiscard]] std::optional<Duration> ExpectedRemaining(Time now) const;
-  // When the present one, or the last one, began.
+  // Start of the current or the last overload.
   [[nodiscard]] Time start() const { return start_; }
 
  private:
@@ -115,68 +115,68 @@
   std::deque<Duration> durations_;
 };
 
-// Gives each refused caller a time to come back, so that no more come at one moment than places
-// fall free then.
+// Gives each refused caller a delay before its retry and spreads the retries, so that no more
+// callers return at a time than slots become free.
 class RetryScheduler {
  public:
-  // A caller comes back after a third of the time that it has left at the latest (the users'
-  // protocol), whatever it is told; the rest is for the way back.
+  // A caller retries after at most a third of its remaining time (the users' protocol), whatever
+  // delay it is given; the rest allows for the network round trip.
   static constexpr double kMaxDelayShare = 0.3;
-  // Of the places that fall free, one in so many is for callers that come back: the others are for
-  // those that come for the first time meanwhile.
+  // One in this many slots that become free is meant for retries; the others are for the first
+  // tries that arrive meanwhile.
   static constexpr int kSlotsPerRetry = 2;
 
   struct RefusedRequest {
-    Duration time_left{0};      // until its caller gives up
-    Duration expected_wait{0};  // until there would be a place if nobody else came
-    Duration slot_interval{0};  // a place falls free once in this time
+    Duration time_left{0};      // until the caller gives up
+    Duration expected_wait{0};  // until a slot would be free without further arrivals
+    Duration slot_interval{0};  // mean time between two slots becoming free
   };
   [[nodiscard]] Duration ScheduleRetry(const RefusedRequest& refused, Time now);
   [[nodiscard]] const OverloadTracker& tracker() const { return tracker_; }
 
  private:
   OverloadTracker tracker_;
-  Time next_retry_{};  // the first moment that is not given to somebody yet
+  Time next_retry_{};  // earliest time not yet assigned to a retry
 };
 
-// Whether a caller on its last try may wait beyond its goal. It is served when those that can be
-// in time leave a place, which is after the overload. One that waits until its caller leaves has
-// had a worse answer than a refusal at once.
+// Decides whether a caller on its last try may wait beyond its goal. Such requests are served when
+// those that can still meet their goal leave a slot, which is after the overload. Waiting until the
+// caller gives up is worse than an immediate refusal.
 class LastTryAdmission {
  public:
   struct Attempt {
-    Duration time_left{0};      // until its caller gives up
-    Duration expected_wait{0};  // until there would be a place if nobody else came
-    Duration run{0};            // what it takes once it is served
+    Duration time_left{0};      // until the caller gives up
+    Duration expected_wait{0};  // until a slot would be free without further arrivals
+    Duration run{0};            // expected run time once it is served
   };
   [[nodiscard]] bool Admits(const Attempt& attempt, const OverloadTracker& tracker, Time now);
-  // What became of one that waited beyond its goal.
+  // Outcome of a request that waited beyond its goal.
   void OnServed() { ++served_; }
   void OnExpired() { ++expired_; }
 
  private:
   void Reset(Time overload_start) { *this = {}, overload_start_ = overload_start; }
 
-  // In the present overload: when its length is not known, those that have waited tell.
+  // Counts of the current overload: while its duration is unknown, the outcomes so far decide.
   Time overload_start_{};
   int served_ = 0;
   int expired_ = 0;
 };
 
-// --- Second tries -----------------------------------------------------------------------------
+// --- Retry detection --------------------------------------------------------------------------
 
-// Tells a caller's second try from a first one: it has less time left than the callers of its
-// route begin with, which is learned from those that come. A second try is the last one for most
-// callers, so that it rather waits than be refused again.
+// Tells a retry from a first try by its remaining time, which is less than the callers of its route
+// start with; that maximum is learned per route. For most callers the retry is the last try, which
+// should rather wait than be refused again.
 class RetryDetector {
  public:
-  // A first try's time left differs by less than this from the longest one seen.
+  // The remaining time of a first try is within this of the maximum seen.
   static constexpr Duration kSlack{20'000};
-  // What callers begin with may change with a configuration: the longest time of the present and
-  // the last span counts.
+  // A configuration change may change the initial time, so the maximum is taken over the current
+  // and the previous window of this length.
   static constexpr Duration kSpan{10'000'000};
 
-  // Counts a try, and tells whether it is a second one.
+  // Records a try and returns whether it is a retry.
   [[nodiscard]] bool IsRetry(const std::string& route, Duration time_left, Time now);
 
  private:
--- a/include/figmill/sharing.h
+++ b/include/figmill/sharing.h
@@ -1,13 +1,14 @@
 #pragma once
 
-// How entries share the places of backend servers without asking each other for
-// each request. Each backend server has one keeper, the entry of its data centre
-// that wins the rendezvous hash for it. Entries tell the keeper how many of its
-// places they use, in absolute numbers, and the keeper tells them what the others
-// use and how many batch items each may run there. Any message may be lost or
-// late: the next one says all of it again. Online requests wait for no answer;
-// batch gives way to them as soon as the keeper hears of them.
-// No I/O: the caller passes the time in and sends what comes out.
+// Shares the slots of backend servers among entries without a round trip for each request. Each
+// backend server is owned by one allocator: the entry of its data centre that wins the rendezvous
+// hash (called its keeper in peers.h, in the peer messages and in log lines). Entries report to the
+// allocator how many of its slots they use, in absolute numbers. The allocator replies with grants:
+// how many slots the other entries use, and how many batch items each entry may run on each backend
+// server. Any message may be lost or delayed, because the next one repeats the whole state. Online
+// requests don't wait for a grant; batch items are preempted as soon as the allocator learns of
+// them.
+// No I/O: the caller passes the time in and sends the messages that are returned.
 
 #include <cstdint>
 #include <functional>
@@ -26,27 +27,27 @@
 
 namespace figmill {
 
-// --- Keeper ------------------------------------------------------------------------
+// --- Allocator ---------------------------------------------------------------------
 
-// Online requests that wait for a place, those first that can still be in time,
-// by the end of their time; then the others, likewise.
+// Online requests that wait for a slot. Requests that can still meet their goal come first, ordered
+// by goal deadline; the others follow, ordered by caller deadline.
 class SlotRequestQueue {
  public:
   struct Entry {
     NodeId from;
     PlaceAsk request;
     Time goal_deadline{};
-    Time caller_deadline{};  // it waits no longer
+    Time caller_deadline{};  // when it stops waiting
   };
   void Add(Entry entry) { entries_.push_back(std::move(entry)); }
   void RemoveFrom(const NodeId& from);
-  // Takes out those that waited in vain: their time to wait is over, or their goal has passed
-  // and they would rather be told.
+  // Removes and returns the requests whose caller deadline has passed, and those whose goal
+  // deadline has passed unless it is the caller's last try.
   [[nodiscard]] std::vector<Entry> TakeExpired(Time now);
-  // Takes out the first one, by its order, for which `serve` finds a place.
+  // Removes and returns the first request, in queue order, for which `serve` finds a slot.
   [[nodiscard]] std::optional<Entry> PopFirst(Time now,
                                               const std::function<bool(const Entry&)>& serve);
-  // Those of the same service that would be served before it.
+  // Number of requests for the same service that are served before `entry`.
   [[nodiscard]] std::size_t CountAhead(const Entry& entry, Time now) const;
   [[nodiscard]] bool empty() const { return entries_.empty(); }
 
@@ -56,48 +57,48 @@
 
 class SlotAllocator {
  public:
-  // What an entry reported is dropped when it has been silent for so long; they
-  // report every kHeartbeat. Its online streams have ended by then.
+  // A report expires when its entry has sent no newer one for this long; reports are sent every
+  // kHeartbeat. The entry's online streams have ended by then.
   static constexpr Duration kReportTtl{2'000'000};
-  // The same for one that uses nothing here and waits for nothing: three in a row, and
-  // half of one, were lost.
+  // The same for an entry that uses no slots here and has no items waiting: three of its reports in
+  // a row were lost, and half of another interval has passed.
   static constexpr Duration kIdleReportTtl{3'500'000};
-  // After it became keeper: what runs must be reported before places are granted,
-  // or they would be granted twice.
+  // Delay between taking over a backend server and granting its slots. Entries must report what
+  // they run first, or slots would be granted twice.
   static constexpr Duration kTakeoverDelay{500'000};
-  // Grants that only tell what others use wait this long for more changes; longer
-  // to other data centres, whose entries come here only when theirs are full.
+  // Grants that only carry the usage of other entries are delayed this long to coalesce changes.
+  // The delay is longer to other data centres, whose entries use slots here only when their own are
+  // full.
   static constexpr Duration kCoalesce{25'000};
   static constexpr Duration kRemoteCoalesce{100'000};
-  // Each entry that reports gets a grant at least this often, so that it knows
-  // that its keeper is there.
+  // Each reporting entry gets a grant at least this often, as a sign that its allocator is alive.
   static constexpr Duration kHeartbeat{200'000};
-  // The same where an entry uses nothing and waits for nothing. Told every kHeartbeat, an
-  // idle entry among twelve sent 5.8 kB/s to the others (limit 4), and 1.3 kB/s at this
-  // pace (bench/gateway_capacity.py).
+  // The same for an entry that uses no slots and has no items waiting. With a grant every
+  // kHeartbeat an idle entry among twelve sent 5.8 kB/s to the others (limit 4); at this interval
+  // it sends 1.3 kB/s (bench/gateway_capacity.py).
   static constexpr Duration kIdleHeartbeat{1'000'000};
-  // A place that was given and not reported in use is free again after this: the
-  // answer or the report was lost, or the entry is gone.
+  // A slot that was assigned but not reported in use is released after this: the answer or the
+  // report was lost, or the entry is gone.
   static constexpr Duration kReservationTtl{400'000};
-  // From the send to the first event when a place is free. Streams take some 40 ms;
-  // the rest is for a busy host.
+  // Time from the send to the first event when a slot is free. Streams take about 40 ms; the rest
+  // allows for a busy host.
   static constexpr Duration kFirstEventLatency{90'000};
-  // Free places that batch leaves to the online requests that come within this
-  // time, at the rate at which they come. Filled at once, each would be taken back
-  // by the next request, and the stopped run would have to read its text again. Shorter, items
-  // are stopped more than three times each (slot-load-test); longer, places stand idle between
-  // waves while items wait.
+  // Free slots are reserved for the online requests expected within this time at the current
+  // arrival rate. If batch filled them at once, the next online request would preempt the item,
+  // which would have to read its text again. With a shorter time items are preempted more than
+  // three times each (slot-load-test); with a longer one slots stay idle between load peaks while
+  // items wait.
   static constexpr Duration kOnlineHeadroom{110'000};
-  // What one online run takes, until some have ended.
+  // Run time assumed for an online request until some have ended.
   static constexpr Duration kDefaultRunTime{700'000};
 
-  // `reserve`: places kept free of batch at each backend server.
+  // `reserve`: slots of each backend server that batch may not use.
   explicit SlotAllocator(int reserve) : reserve_(reserve) {}
 
-  // The backend servers that this entry keeps now. What was known of an earlier incarnation of
-  // one is dropped: its places are free, and its faults are forgotten.
+  // Sets the backend servers that this entry owns now. State of an earlier incarnation is dropped:
+  // its slots are free, and its faults are forgotten.
   void SetBackends(const std::map<BackendId, KeptBackend>& backends, Time now);
-  // `near`: the entry is in this data centre.
+  // `local`: the entry is in this data centre.
   void OnReport(const Peer& from, bool local, const PlaceReport& report, Time now);
   void OnRequest(const NodeId& from, const PlaceAsk& request, Time now);
   void RemoveEntry(const NodeId& entry, Time now);
@@ -107,23 +108,23 @@
     std::optional<PlaceGrant> grant;
     std::optional<PlaceAnswer> answer;
   };
-  // What time alone changes; call it once a kCoalesce.
+  // Applies timeouts and expiries; call it once every kCoalesce.
   void Tick(Time now);
-  // What has to be sent now; call it after each event and each Tick.
+  // Returns the messages to send now; call it after each event and after each Tick.
   [[nodiscard]] std::vector<Outgoing> TakeOutgoing(Time now);
 
-  // A backend server was left out for all entries, or taken back.
+  // A backend server was ejected for all entries, or readmitted.
   struct Ejection {
     BackendId backend;
     ServiceName service;
     bool ejected = false;
-    int unhealthy = 0;  // of the service's backend servers that this entry keeps
+    int unhealthy = 0;  // of the service's backend servers that this entry owns
     int total = 0;
   };
-  // Those since the last call.
+  // Ejections and readmissions since the last call.
   [[nodiscard]] std::vector<Ejection> TakeEjections() { return std::exchange(ejections_, {}); }
 
-  // Batch items that an entry may have running there, as granted last.
+  // Batch items that the entry may run on the backend server, as last granted.
   [[nodiscard]] int AllowedBatch(const BackendId& backend, const NodeId& entry) const;
 
  private:
@@ -133,7 +134,7 @@
     int allowed = 0;
     std::uint64_t answers = 0;
     std::uint64_t faults = 0;
-    // What the entry was told last of this backend server, and by which grant first.
+    // The last values sent to the entry for this backend server, and the first grant that had them.
     int sent_allowed = 0;
     bool sent_ejected = false;
     std::uint64_t sent_in_grant = 0;
@@ -150,12 +151,12 @@
     std::vector<Reservation> reserved;
     OutlierDetector outlier_detector;
     bool ejected = false;
-    RunStartTimes run_starts;  // of the online runs there
+    RunStartTimes run_starts;  // of its online requests
   };
-  // What is learned of one service's online load here.
+  // Load statistics of one service's online requests on the owned backend servers.
   struct ServiceLoad {
     std::optional<Duration> run_time;
-    ArrivalRate arrivals;  // online runs that began
+    ArrivalRate arrivals;  // online requests that started
     QueueAdmission admission;
     LastTryAdmission last_try_admission;
     RetryScheduler retries;
@@ -166,46 +167,47 @@
     std::vector<WaitingItems> waiting;
     Time reported_at{};
     std::uint64_t last_grant = 0;   // number of the last grant sent
-    std::uint64_t acked_grant = 0;  // of the last one acted on
+    std::uint64_t acked_grant = 0;  // number of the last grant that the entry has applied
     bool local = true;
-    bool allowed_changed = false;  // `allowed` changed
-    bool others_changed = false;   // others' use changed
-    bool idle = false;             // uses nothing here, may use nothing, and waits for nothing
+    bool allowed_changed = false;  // `allowed` of one of its shares changed
+    bool others_changed = false;   // usage of other entries changed
+    bool idle = false;             // uses no slots here, may use none, and has no items waiting
     Time granted_at{};
-    Time full_grant_at{};  // with a line for each backend server
+    Time full_grant_at{};  // last grant with a line for each backend server
   };
 
   [[nodiscard]] static int OnlineOf(const OwnedBackend& owned);
   void UpdateRunCounts(Time now);
-  // Run there, or allowed to.
+  // Batch slots that are in use or granted.
   [[nodiscard]] static int BatchOf(const OwnedBackend& owned);
-  // An entry's part in the division of one backend server.
+  // An entry while the batch slots of one backend server are divided.
   struct Candidate {
     const NodeId* node = nullptr;
     EntryShare* share = nullptr;
     EntryState* entry = nullptr;
-    int assigned = 0;  // batch items that it runs there, or may
-    int claimed = 0;   // of its waiting items, by places that were granted for them
+    int assigned = 0;  // batch items that it runs there or may run there
+    int claimed = 0;   // of its waiting items: those that already have a granted slot
   };
   void DivideBatchSlots(OwnedBackend& owned, Time now);
   void LetRunsFinish(OwnedBackend& owned);
   [[nodiscard]] std::vector<Candidate> CandidatesOf(OwnedBackend& owned);
   void GrantSpareSlots(const OwnedBackend& owned, std::vector<Candidate>& candidates,
                        int spare) const;
-  // Whose next item goes first; none waits: nullptr.
+  // The candidate whose next item has the highest priority; null if no item waits.
   [[nodiscard]] static Candidate* NextCandidate(std::vector<Candidate>& candidates);
-  // Places granted to the entry at other backend servers of the service that it has not
-  // said anything about yet.
+  // Slots granted to the entry on other backend servers of the service that it has not reported as
+  // used yet.
   [[nodiscard]] int UnusedGrantsElsewhere(const NodeId& entry, const OwnedBackend& except) const;
   bool TryAssignSlot(const NodeId& from, const PlaceAsk& request, Time now);
   void ServeQueue(Time now);
   void ExpireReservations(Time now);
   void Answer(const NodeId& to, PlaceAnswer answer);
-  // There is no place in time. Said by one that knows of none at all, "full" would have a
-  // request refused while places are free; it is told that nothing is known here instead.
+  // No slot will be free in time. An allocator that owns no eligible backend server answers
+  // kNotKept: with kFull the request would be refused although other allocators may have free
+  // slots.
   void AnswerNoSlot(const NodeId& to, const PlaceAsk& request, std::optional<Duration> wait);
   void RecordQueueOutcome(const SlotRequestQueue::Entry& entry, bool served, Time now);
-  // Its caller is told to come back.
+  // Tells the caller when to retry.
   void Refuse(const NodeId& to, const PlaceAsk& request, Duration wait, Time now);
   [[nodiscard]] bool ShouldQueue(const PlaceAsk& request, std::size_t ahead, Duration wait,
                                  Time now);
@@ -215,27 +217,27 @@
                                                       Time now) const;
   [[nodiscard]] Duration TypicalRunTime(const ServiceName& service) const;
   [[nodiscard]] int SlotsFor(const PlaceAsk& request) const;
-  // Until a request that is queued now would get a place; nothing where no place that it may
-  // have is kept.
+  // Expected time until a request queued at `position` gets a slot; nullopt if no eligible backend
+  // server is owned here.
   [[nodiscard]] std::optional<Duration> ExpectedWait(const PlaceAsk& request,
                                                      std::size_t position) const;
   static void RecordOutcomes(OwnedBackend& owned, EntryShare& share, const PlaceReport::Line& line,
                              Time now);
-  // Leaves out and takes back in, for all entries at once.
+  // Ejects and readmits backend servers for all entries at once.
   void UpdateEjections(Time now);
   void UpdateRunTime(const ServiceName& service, Duration usual);
-  // Places of the service that nobody uses, beyond what is left to online.
+  // Free slots of the service, less those that are reserved for online requests.
   [[nodiscard]] int SpareSlots(const ServiceName& service) const;
   void ClearUnreported(const NodeId& entry, const PlaceReport& report, Time now);
   [[nodiscard]] PlaceGrant GrantFor(const NodeId& node, EntryState& entry, Time now);
-  // Whether an entry of another data centre needs the line of this backend server; remembers what
-  // it is told.
+  // Whether an entry of another data centre needs the line of this backend server. Also records the
+  // values that the line will carry.
   [[nodiscard]] static bool NeedsLine(const OwnedBackend& owned, EntryShare& share,
                                       const EntryState& entry);
   [[nodiscard]] std::vector<PlaceGrant::ServiceUse> ServiceUses() const;
   void MarkOthersChanged(const OwnedBackend& owned, const NodeId& except);
-  // Finds the idle ones once a Tick: asked at each message, it took 2% of a core at a
-  // keeper of ten backend servers for 38 entries (reckoned).
+  // Recomputes which entries are idle, once per Tick. Doing it for each message took 2% of a core
+  // on an allocator of ten backend servers for 38 entries (estimated).
   void UpdateIdle();
 
   int reserve_;
@@ -249,9 +251,9 @@
 
 // --- Search ------------------------------------------------------------------------
 
-// How an entry finds a place for one online request by asking keepers: first for a
-// place that is free, then, when all are taken, for one in the queue that moves on
-// soonest. A keeper that is silent or knows of no place says nothing about the others.
+// Finds a slot for one online request by asking allocators: first for a free slot, then, when all
+// are full, for a place in the queue with the shortest wait. An allocator that doesn't answer, or
+// owns no backend server of the service, says nothing about the others.
 namespace search {
 
 struct Answered {
@@ -265,17 +267,17 @@
   PlaceAsk request;
   Duration timeout{0};  // then TimedOut
 };
-// The keeper has queued it and answers again.
+// The allocator has queued the request and will answer again.
 struct Wait {
   Duration timeout{0};  // then TimedOut
 };
 struct UseSlot {
   BackendId backend;
 };
-// No keeper answers: choose by what is known here.
+// No allocator answered: choose a backend server by the local state.
 struct ChooseLocally {};
 struct Refuse {
-  Duration wait{0};  // until the caller should come back
+  Duration wait{0};  // until the caller should retry
 };
 using Action = std::variant<AskAllocator, Wait, UseSlot, ChooseLocally, Refuse>;
 
@@ -283,13 +285,13 @@
 
 class SlotSearch {
  public:
-  // A keeper answers within some ms, across data centres too; without an answer
-  // it is gone or stands still, and the request goes on without it.
+  // Allocators answer within a few ms, also across data centres. One that doesn't answer is gone or
+  // stalled, and the search continues without it.
   static constexpr Duration kAnswerTimeout{25'000};
-  // Keepers asked before the request is refused. Each costs a round trip.
+  // Allocators asked before the request is refused. Each costs a round trip.
   static constexpr std::size_t kMaxAsked = 3;
 
-  // `keepers`: in the order in which they are asked.
+  // `allocators`: in the order in which they are asked.
   SlotSearch(PlaceAsk request, std::vector<NodeId> allocators, Time now);
 
   [[nodiscard]] search::Action Start(Time now);
@@ -303,10 +305,10 @@
   PlaceAsk request_;
   std::vector<NodeId> allocators_;
   std::size_t next_ = 0;
-  // The full keeper whose queue moves on soonest.
+  // The full allocator with the shortest expected wait.
   std::optional<NodeId> shortest_queue_;
   Duration shortest_wait_ = Duration::max();
-  std::optional<Duration> retry_after_;  // said by the keeper that refused it
+  std::optional<Duration> retry_after_;  // from the allocator that refused to queue the request
   Time goal_deadline_{};
   Time caller_deadline_{};
 };
--- a/src/fleet/backend_pool.cc
+++ b/src/fleet/backend_pool.cc
@@ -9,7 +9,7 @@
   return std::find(ids.begin(), ids.end(), id) != ids.end();
 }
 
-// The last so many runs, or pauses, make up most of what is usual.
+// Weights of the moving averages: the last 8 runs, or 16 pauses, make up most of them.
 constexpr int kRunTimeWeight = 8;
 constexpr int kPauseWeight = 16;
 
@@ -81,7 +81,7 @@
   return infos;
 }
 
-// In shares of its places.
+// In fractions of its slots.
 double BackendPool::Cost(const Backend& backend) const {
   const bool local = backend.info.data_centre == data_centre_;
   const SlotUsage& usage = backend.usage;
@@ -90,7 +90,7 @@
          backend.info.slots;
 }
 
-// The best of some drawn by chance: out of those with a free place, if there are any.
+// The best of a few random candidates; only those with a free slot if there are any.
 const BackendPool::Backend& BackendPool::PickBest(std::vector<const Backend*>& candidates) {
   const auto has_free_slot = [](const Backend* each) {
     return OnlineOf(each->usage) < each->info.slots;
@@ -113,8 +113,8 @@
     if (backend.info.service != query.service || Contains(query.tried, id)) continue;
     if (backend.info.state == BackendState::kReady) usable.push_back(&backend);
   }
-  // When half of them or more look sick, the fault may lie on this side, and those
-  // that are left could not carry the load: then all are used.
+  // When half of the servers or more look unhealthy, the fault may be local to this entry, and the
+  // remaining ones could not carry the load: then all are used.
   const auto healthy = [&](const Backend* each) { return each->IsHealthyFor(query, now); };
   const auto end = std::stable_partition(usable.begin(), usable.end(), healthy);
   if (2 * (end - usable.begin()) > usable.end() - usable.begin()) usable.erase(end, usable.end());
@@ -130,7 +130,7 @@
     ++ready;
     if (!backend.IsHealthyFor(query, now) || now < backend.rejecting_until) excluded.push_back(id);
   }
-  // As in Usable: then the fault may lie on this side.
+  // As in Usable: the fault may be local to this entry.
   if (2 * excluded.size() >= ready) return {};
   return excluded;
 }
--- a/src/fleet/outlier_detector.cc
+++ b/src/fleet/outlier_detector.cc
@@ -5,7 +5,7 @@
 namespace figmill {
 
 void OutlierDetector::Record(bool fault, Time now) {
-  // What ends meanwhile was sent before: it says nothing new.
+  // Sends that end during an ejection were started before it and add no information.
   if (IsEjected(now)) return;
   rate_ += ((fault ? 1.0 : 0.0) - rate_) * kNewestWeight;
   if (rate_ < kHealthyThreshold) ejections_ = 0;
@@ -20,7 +20,7 @@
   switch (end) {
     case relay::SendEnd::kFailed:
       return work == WorkClass::kOnline;
-    // Its address is another's now: it is gone, and its entry is not out of the list yet.
+    // Its address now belongs to another one: it is gone but still listed.
     case relay::SendEnd::kMisdirected:
     case relay::SendEnd::kUnreachable:
     case relay::SendEnd::kBroken:
--- a/src/overload/queue_admission.cc
+++ b/src/overload/queue_admission.cc
@@ -1,4 +1,4 @@
-// Who may wait: runs under way, arrivals, and the queue's admission.
+// Queue admission: runs in progress, arrival rate, and the safety margin.
 
 #include <algorithm>
 #include <cmath>
@@ -12,7 +12,7 @@
   return std::chrono::duration<double>(time).count();
 }
 
-// Of a run that has gone on for `age`: that it ends within `span`.
+// Probability that a run of this age ends within `span`.
 double CompletionProbability(double age, double span, double run_time_s, double scale) {
   const auto survival = [run_time_s, scale](double length) {
     return 1 / (1 + std::exp((length - run_time_s) / scale));
@@ -54,7 +54,7 @@
   return static_cast<double>(ahead) + 1 <= assured;
 }
 
-// Both steps together leave the margin where it is when kMissShare of the requests wait in vain.
+// Both steps together keep the margin constant when kTargetMissRatio of the requests expire.
 void QueueAdmission::OnServed() {
   margin_ = std::max(kMinMargin, margin_ - kStep * kTargetMissRatio / (1 - kTargetMissRatio));
 }
--- a/src/overload/retry_scheduling.cc
+++ b/src/overload/retry_scheduling.cc
@@ -1,4 +1,4 @@
-// When refused callers come back, and how second tries are known.
+// Retry delays for refused callers, last-try admission, and detection of retries.
 
 #include <algorithm>
 
--- a/src/sharing/backend_ejections.cc
+++ b/src/sharing/backend_ejections.cc
@@ -1,5 +1,5 @@
-// The keeper's view of sick backend servers. Each entry of a large fleet sends too little
-// to one of them to tell; together they see all of its work.
+// Ejection of failing backend servers by the allocator. In a large fleet each entry sends too few
+// requests to one server to detect a fault rate; the allocator sees the outcomes of all entries.
 
 #include <algorithm>
 
@@ -8,14 +8,14 @@
 namespace figmill {
 namespace {
 
-// Ends of one report that are counted one by one; more say no more.
+// Outcomes counted per report; more of them add no information.
 constexpr std::uint64_t kMaxCounted = 20;
 
 }  // namespace
 
 void SlotAllocator::RecordOutcomes(OwnedBackend& owned, EntryShare& share,
                                    const PlaceReport::Line& line, Time now) {
-  // An entry that is new here has counted for longer than this keeper keeps.
+  // The totals of an entry that is new here include outcomes from before this allocator took over.
   const bool known = share.answers + share.faults > 0;
   const std::uint64_t answers = line.answers - std::min(line.answers, share.answers);
   const std::uint64_t faults = line.faults - std::min(line.faults, share.faults);
@@ -30,8 +30,8 @@
   }
 }
 
-// Never half of a service's backend servers or more: those that are left could not
-// carry the load, and a part of the work done is better than all of it refused.
+// Never ejects half of a service's backend servers or more: the remaining ones could not carry the
+// load, and serving some of the requests is better than refusing all.
 void SlotAllocator::UpdateEjections(Time now) {
   std::map<ServiceName, int> total;
   std::map<ServiceName, int> unhealthy;
--- a/src/sharing/batch_slots.cc
+++ b/src/sharing/batch_slots.cc
@@ -1,4 +1,4 @@
-// The keeper's division of places among the entries' batch items.
+// Division of the slots that online requests leave among the entries' batch items.
 
 #include <algorithm>
 #include <utility>
@@ -8,7 +8,7 @@
 namespace figmill {
 namespace {
 
-// The group of the item that would start next, after `taken` others; none waits: nullptr.
+// The group of the next item to start after `claimed` others; null if none waits.
 const WaitingItems* NextGroup(const std::vector<WaitingItems>& waiting, int claimed) {
   for (const WaitingItems& each : waiting) {
     if (claimed < each.items) return &each;
@@ -37,7 +37,7 @@
   std::vector<Candidate> candidates;
   for (auto& [node, share] : owned.shares) {
     EntryState& entry = entries_[node];
-    // A grant that is under way may be acted on any moment.
+    // The entry may apply a pending grant at any moment.
     const bool grant_pending = entry.acked_grant < entry.last_grant;
     const int assigned = grant_pending ? std::max(share.batch, share.allowed) : share.batch;
     candidates.push_back({&node, &share, &entry, assigned, 0});
@@ -74,7 +74,7 @@
   }
 }
 
-// Each entry keeps what it runs, and a place that it gives up is not given out again.
+// Each entry keeps the slots that it uses; slots that it releases are not granted again.
 void SlotAllocator::LetRunsFinish(OwnedBackend& owned) {
   for (auto& [node, share] : owned.shares) {
     if (share.allowed == share.batch) continue;
@@ -83,10 +83,10 @@
   }
 }
 
-// Divides what online leaves of one backend server. An entry keeps what it runs;
-// when that is too much, the one that runs most gives up first. What is free goes
-// one by one to the entry whose next item goes first. Shared out evenly, all jobs
-// would take as long as the last one, and when places are short all would be late.
+// Divides the slots of one backend server that online requests leave free. An entry keeps the slots
+// of its running items; if there are too many, the entry that runs most gives up slots first. Free
+// slots go one by one to the entry whose next item has the highest priority. With an even division
+// all jobs would take as long as the last one, and all would be late when slots are scarce.
 void SlotAllocator::DivideBatchSlots(OwnedBackend& owned, Time now) {
   if (owned.info.frozen) return LetRunsFinish(owned);
   std::vector<Candidate> candidates = CandidatesOf(owned);
--- a/src/sharing/slot_allocator.cc
+++ b/src/sharing/slot_allocator.cc
@@ -6,7 +6,7 @@
 namespace figmill {
 namespace {
 
-// More items, or some that go before all that were known.
+// Whether more items wait, or some with a higher priority than any before.
 bool WantsMoreSlots(const std::vector<WaitingItems>& before, const std::vector<WaitingItems>& now) {
   if (CountOf(now) > CountOf(before)) return true;
   return !now.empty() && !before.empty() && now.front().order() < before.front().order();
@@ -33,8 +33,8 @@
   for (const auto& [id, backend] : backends) {
     const auto [at, added] = backends_.try_emplace(id);
     OwnedBackend& owned = at->second;
-    // Nothing of what was reported runs there any more, so that there is nothing to wait for
-    // before its places are granted.
+    // Nothing that was reported still runs on a new incarnation, so its slots can be granted
+    // without kTakeoverDelay.
     if (!added && IsLater(backend.incarnation, owned.info.incarnation)) {
       owned = OwnedBackend{{}, owned.since, {}, {}, {}, owned.ejected, {}};
       restarted = true;
@@ -51,23 +51,24 @@
 void SlotAllocator::OnReport(const Peer& from, bool local, const PlaceReport& report, Time now) {
   const Incarnation known = entries_[from.node].incarnation;
   if (from.incarnation < known) return;
-  // A later process has nothing of what the earlier one used. One that is new here
-  // may have asked before its first report.
+  // A restarted entry uses none of the slots of its earlier process. An entry that is new here may
+  // have sent a request before its first report.
   if (known != 0 && from.incarnation > known) RemoveEntry(from.node, now);
   EntryState& entry = entries_[from.node];
   entry.incarnation = from.incarnation;
-  if (report.number <= entry.number) return;  // overtaken by a later one
+  if (report.number <= entry.number) return;  // reordered: a later one has arrived
   entry.number = report.number;
   entry.acked_grant = std::max(entry.acked_grant, report.grant);
-  // An entry that was forgotten here takes no grant with a number that it has seen. Its
-  // clock may not have counted the pause, so that it noticed nothing.
+  // An entry ignores grants with numbers that it has already seen. After it was removed here,
+  // numbering continues from the last grant it reports: its clock may not have counted a
+  // suspension, so it may not know that it was removed.
   entry.last_grant = std::max(entry.last_grant, report.grant);
   const bool wants_more = WantsMoreSlots(entry.waiting, report.waiting);
   entry.waiting = report.waiting;
   entry.reported_at = now;
   entry.local = local;
-  entry.idle = false;  // until the next look at what it reports
-  // What it did with its places is in this report's lines.
+  entry.idle = false;  // until the next UpdateIdle
+  // The lines of this report include the slots that it used for these requests.
   for (auto& [id, owned] : backends_) {
     std::erase_if(owned.reserved, [&](const Reservation& each) {
       return each.entry == from.node && std::find(report.asked.begin(), report.asked.end(),
@@ -96,7 +97,8 @@
   ServeQueue(now);
 }
 
-// The report that told of an end was lost.
+// Clears the usage of backend servers that the report has no line for: the report of their ends was
+// lost.
 void SlotAllocator::ClearUnreported(const NodeId& entry, const PlaceReport& report, Time now) {
   for (auto& [id, owned] : backends_) {
     const auto mine = owned.shares.find(entry);
@@ -112,8 +114,8 @@
   }
 }
 
-// Once a message is acted on whole: a place that was held for a request and the request that
-// took it are one run.
+// Called once a message has been applied completely, because a reserved slot and the request that
+// used it are the same run.
 void SlotAllocator::UpdateRunCounts(Time now) {
   for (auto& [id, owned] : backends_) {
     owned.run_starts.SetCount(static_cast<std::size_t>(OnlineOf(owned)), now);
@@ -163,9 +165,9 @@
   return list;
 }
 
-// Entries of other data centres come here when theirs are full. Told of each backend server ten
-// times a second, as those nearby are, they took 31% of all bytes between data centres
-// (figmill_traffic_bytes_total, 110 entries before 146 backend servers).
+// Entries of other data centres use slots here only when their own are full. With a line for each
+// backend server ten times a second, as sent to local entries, these grants took 31% of all bytes
+// between data centres (figmill_traffic_bytes_total, 110 entries and 146 backend servers).
 PlaceGrant SlotAllocator::GrantFor(const NodeId& node, EntryState& entry, Time now) {
   PlaceGrant grant;
   grant.number = ++entry.last_grant;
@@ -211,7 +213,7 @@
   ExpireReservations(now);
   UpdateEjections(now);
   for (auto& [service, load] : loads_) load.arrivals.Count(0, now);
-  // What is spare changes with time, not only with reports.
+  // The number of spare slots changes with time, not only with reports.
   for (auto& [id, owned] : backends_) DivideBatchSlots(owned, now);
   ServeQueue(now);
 }
--- a/src/sharing/slot_requests.cc
+++ b/src/sharing/slot_requests.cc
@@ -1,4 +1,4 @@
-// The keeper's side of asks: who gets a place, who waits, who is told that there is none.
+// The allocator's handling of slot requests: assigns a slot, queues the request, or refuses it.
 
 #include <algorithm>
 #include <cmath>
@@ -9,7 +9,7 @@
 namespace figmill {
 namespace {
 
-// The last so many reports make up most of what a run usually takes.
+// Weight of the moving average of run times: the last 16 reports make up most of it.
 constexpr int kRunTimeWeight = 16;
 
 bool Contains(const std::vector<BackendId>& ids, const BackendId& id) {
@@ -59,7 +59,7 @@
 }
 
 void SlotAllocator::OnRequest(const NodeId& from, const PlaceAsk& request, Time now) {
-  // Served later, one on its last try would not have a whole answer when its caller leaves.
+  // A request on its last try that is served later would not finish before its caller gives up.
   const Duration timeout =
       request.time_left - (request.last_chance ? TypicalRunTime(request.service) : Duration{0});
   const SlotRequestQueue::Entry entry{from, request, now + request.goal_left - kFirstEventLatency,
@@ -84,7 +84,8 @@
   return load.last_try_admission.Admits(attempt, load.retries.tracker(), now);
 }
 
-// Those that still can be in time tell of the queue, the others of the overload.
+// Requests that can still meet their goal adjust the queue admission, the others the last-try
+// admission.
 void SlotAllocator::RecordQueueOutcome(const SlotRequestQueue::Entry& entry, bool served,
                                        Time now) {
   ServiceLoad& load = loads_[entry.request.service];
@@ -114,9 +115,9 @@
   return all;
 }
 
-// One that nobody uses, on the backend server with most of them. If all are used,
-// batch gives way where online has the fewest. A run that is stopped must read its
-// prompt and its text again when it goes on, at the cost of all that run there.
+// Prefers an unused slot, on the backend server with most of them. If all are in use, preempts
+// batch on the backend server with the fewest online requests. A preempted run must read its prompt
+// and its text again when it resumes, which slows down all that run there.
 bool SlotAllocator::TryAssignSlot(const NodeId& from, const PlaceAsk& request, Time now) {
   std::map<BackendId, OwnedBackend>::iterator best = backends_.end();
   std::pair<int, int> best_rank;
@@ -216,7 +217,7 @@
   return slots;
 }
 
-// All places are taken: one falls free each usual run over their number.
+// All slots are taken: one becomes free every run time divided by their number.
 std::optional<Duration> SlotAllocator::ExpectedWait(const PlaceAsk& request,
                                                     std::size_t position) const {
   const int slots = SlotsFor(request);
--- a/src/sharing/slot_search.cc
+++ b/src/sharing/slot_search.cc
@@ -25,7 +25,7 @@
 
 search::Action SlotSearch::AskNextAllocator(Time now) {
   if (next_ < allocators_.size()) return RequestFrom(allocators_[next_++], now);
-  // Those that keep places say that all are taken; silence says nothing.
+  // Only the answers of allocators that own slots show that all are taken; a timeout shows nothing.
   if (!shortest_queue_) return search::ChooseLocally{};
   if (request_.may_queue) return search::Refuse{retry_after_.value_or(shortest_wait_)};
   request_.may_queue = true;
