--- a/src/fleet/backend_pool.cc
+++ b/src/fleet/backend_pool.cc
@@ -10,8 +10,8 @@
 }
 
 // Weights of the moving averages: the last 8 runs, or 16 pauses, make up most of them.
-constexpr int kRunTimeWeight = 8;
-constexpr int kPauseWeight = 16;
+constexpr int kRunTimeSamples = 8;
+constexpr int kPauseSamples = 16;
 
 int OnlineOf(const SlotUsage& usage) {
   return usage.online + usage.online_other;
@@ -180,7 +180,7 @@
 void BackendPool::RecordActivity(const AcquiredSlot& slot, Time now) {
   Backend* backend = FindGeneration(slot);
   if (backend == nullptr) return;
-  backend->usual_pause += (now - backend->last_activity - backend->usual_pause) / kPauseWeight;
+  backend->usual_pause += (now - backend->last_activity - backend->usual_pause) / kPauseSamples;
   backend->last_activity = now;
 }
 
@@ -192,7 +192,7 @@
   --(online ? backend->usage.online : backend->usage.batch);
   if (online && end == relay::SendEnd::kAnswered) {
     Duration& usual = backend->usage.usual_run;
-    usual = usual.count() == 0 ? run_time : usual + (run_time - usual) / kRunTimeWeight;
+    usual = usual.count() == 0 ? run_time : usual + (run_time - usual) / kRunTimeSamples;
   }
   RecordOutcome(*backend, slot.work, end, now);
   usage_listener_(slot.backend);
--- a/src/sharing/slot_requests.cc
+++ b/src/sharing/slot_requests.cc
@@ -10,7 +10,7 @@
 namespace {
 
 // Weight of the moving average of run times: the last 16 reports make up most of it.
-constexpr int kRunTimeWeight = 16;
+constexpr int kRunTimeSamples = 16;
 
 bool Contains(const std::vector<BackendId>& ids, const BackendId& id) {
   return std::find(ids.begin(), ids.end(), id) != ids.end();
@@ -200,7 +200,7 @@
 
 void SlotAllocator::UpdateRunTime(const ServiceName& service, Duration usual) {
   std::optional<Duration>& known = loads_[service].run_time;
-  known = known ? *known + (usual - *known) / kRunTimeWeight : usual;
+  known = known ? *known + (usual - *known) / kRunTimeSamples : usual;
 }
 
 Duration SlotAllocator::TypicalRunTime(const ServiceName& service) const {
--- a/test/fleet-health-test.cc
+++ b/test/fleet-health-test.cc
@@ -19,7 +19,7 @@
   return BackendId{"engine-" + std::to_string(i)};
 }
 
-// Four engines of one data centre, of eight places each.
+// Four engines of one data centre with eight slots each.
 struct Pool {
   Pool() {
     for (int i = 0; i < 4; ++i) {
@@ -27,10 +27,10 @@
     }
   }
   void End(int engine, relay::SendEnd end, Time now, WorkClass work = WorkClass::kOnline) {
-    const AcquiredSlot place = pool.AcquireSlot(Engine(engine), work, now);
-    pool.ReleaseSlot(place, end, kMillisecond, now);
+    const AcquiredSlot slot = pool.AcquireSlot(Engine(engine), work, now);
+    pool.ReleaseSlot(slot, end, kMillisecond, now);
   }
-  // How often each engine is chosen.
+  // Number of times each engine is chosen.
   std::map<BackendId, int> Choices(Time now) {
     std::map<BackendId, int> choices;
     for (int i = 0; i < 200; ++i) {
@@ -46,7 +46,7 @@
 
 }  // namespace
 
-TEST_CASE("three faults in a row leave a backend server out, a lone one does not") {
+TEST_CASE("three faults in a row eject a backend server, a single one does not") {
   OutlierDetector detector;
   detector.Record(true, kStart);
   detector.Record(false, kStart);
@@ -58,30 +58,28 @@
   CHECK_FALSE(failing.IsEjected(kStart + OutlierDetector::kFirstEjection));
 }
 
-// Symptom: a backend server that fails two requests in five is used like all others, as
-// each success in between clears its record.
-TEST_CASE("a backend server that fails part of its requests is left out, longer each time") {
+// Guards against a backend server that fails two requests in five and is used like all others,
+// because each success in between resets its fault count.
+TEST_CASE("a backend server that fails some of its requests is ejected, longer each time") {
   OutlierDetector detector;
   Time now = kStart;
-  Duration left_out{0};
+  Duration ejected{0};
   for (int i = 0; i < 2'000; ++i) {
     now += 10 * kMillisecond;
     if (detector.IsEjected(now)) {
-      left_out += 10 * kMillisecond;
+      ejected += 10 * kMillisecond;
       continue;
     }
     detector.Record(i % 5 < 2, now);
   }
-  CHECK(left_out > (now - kStart) * 8 / 10);
+  CHECK(ejected > (now - kStart) * 8 / 10);
 }
 
-// Symptom: after a batch job of items that fail everywhere, no backend server is used.
-// Symptom: requests are refused after three sends within 8 ms, though places are free.
-// Sequence: backend servers end while the list can't be read, and others start at their
-// addresses: 933 of 2,546 sends are answered that they were meant for another one.
-// Cause: that answer was one more "not run", which leaves a backend server out for 0.1 s, in
-// this entry alone.
-TEST_CASE("a backend server whose address is another's now is left out") {
+// Guards against requests refused after three sends within 8 ms although slots are free. Backend
+// servers ended while the list could not be read, and others started at their addresses: 933 of
+// 2,546 sends were answered as misdirected. That answer was handled like "not run", which excludes
+// a backend server for 0.1 s at this entry only.
+TEST_CASE("a backend server whose address now belongs to another one is ejected") {
   Pool b;
   for (int i = 0; i < 3; ++i) b.End(0, relay::SendEnd::kMisdirected, kStart);
   CHECK(b.Choices(kStart + OutlierDetector::kFirstEjection - kMillisecond).count(Engine(0)) == 0);
@@ -89,7 +87,9 @@
   CHECK(b.Choices(kStart + BackendPool::kRejectionBackoff + kMillisecond).count(Engine(1)) == 1);
 }
 
-TEST_CASE("an item that fails is no fault of its backend server") {
+// Guards against all backend servers being excluded after a batch job of items that fail on every
+// server.
+TEST_CASE("a failing batch item is no fault of its backend server") {
   Pool b;
   for (int i = 0; i < 10; ++i) b.End(0, relay::SendEnd::kFailed, kStart, WorkClass::kBatch);
   CHECK(b.pool.IsUsable(Engine(0), kStart));
@@ -97,39 +97,38 @@
   CHECK_FALSE(b.pool.IsUsable(Engine(0), kStart));
 }
 
-// Symptom: requests sent to an engine that has gone dark wait for their deadlines, and
-// more are sent there meanwhile.
-// Sequence: its host loses power; connections to it stay open and say nothing.
-TEST_CASE("a backend server that gives no sign of life gets nothing more until it gives one") {
+// Guards against requests sent to a dead engine that wait for their deadlines while more are sent
+// there. Its host lost power, so connections to it stay open without any data.
+TEST_CASE("an unresponsive backend server gets no requests until it sends data again") {
   Pool b;
-  const AcquiredSlot place = b.pool.AcquireSlot(Engine(0), WorkClass::kOnline, kStart);
+  const AcquiredSlot slot = b.pool.AcquireSlot(Engine(0), WorkClass::kOnline, kStart);
   CHECK(b.pool.IsUsable(Engine(0), kStart + BackendPool::kMinInactivity));
   const Time silent = kStart + BackendPool::kMinInactivity + kMillisecond;
   CHECK_FALSE(b.pool.IsUsable(Engine(0), silent));
   CHECK(b.Choices(silent)[Engine(0)] == 0);
   CHECK(b.pool.ExcludedBackends({kLlm, {}}, silent) == std::vector<BackendId>{Engine(0)});
-  b.pool.RecordActivity(place, silent);
+  b.pool.RecordActivity(slot, silent);
   CHECK(b.pool.ExcludedBackends({kLlm, {}}, silent).empty());
   CHECK(b.pool.IsUsable(Engine(0), silent));
 }
 
-TEST_CASE("a service whose answers take long is not taken for dead") {
+TEST_CASE("a service with slow answers does not count as unresponsive") {
   Pool b;
   Time now = kStart;
   for (int i = 0; i < 40; ++i) {
-    const AcquiredSlot place = b.pool.AcquireSlot(Engine(0), WorkClass::kOnline, now);
+    const AcquiredSlot slot = b.pool.AcquireSlot(Engine(0), WorkClass::kOnline, now);
     now += 1'000 * kMillisecond;
-    b.pool.RecordActivity(place, now);
-    b.pool.ReleaseSlot(place, relay::SendEnd::kAnswered, kMillisecond, now);
+    b.pool.RecordActivity(slot, now);
+    b.pool.ReleaseSlot(slot, relay::SendEnd::kAnswered, kMillisecond, now);
   }
   (void)b.pool.AcquireSlot(Engine(0), WorkClass::kOnline, now);
   CHECK(b.pool.IsUsable(Engine(0), now + 3'000 * kMillisecond));
 }
 
-// Symptom: requests are refused after three sends, each to another engine that is gone.
-// Sequence: the engines of a data centre are gone; after half a second each is tried again, by the
-// next request, and that one finds out all of them.
-TEST_CASE("a request that was sent in vain goes where the last send did not fail") {
+// Guards against requests refused after three sends, each to another dead engine. The engines of a
+// data centre are gone; after half a second each is tried again by the next request, and one
+// request tried all of them.
+TEST_CASE("a retried request goes where the last send did not fail") {
   Pool b;
   for (int i = 0; i < 3; ++i) b.End(0, relay::SendEnd::kUnreachable, kStart);
   const Time later = kStart + OutlierDetector::kFirstEjection + BackendPool::kUnreachableBackoff;
@@ -140,15 +139,16 @@
   CHECK(b.pool.ExcludedBackends({kLlm, tried}, later).empty());
 }
 
-TEST_CASE("a backend server that refuses a connection is left out at once, for a while") {
+TEST_CASE("a backend server that refuses a connection is skipped at once, for a while") {
   Pool b;
   b.End(0, relay::SendEnd::kUnreachable, kStart);
   CHECK_FALSE(b.pool.IsUsable(Engine(0), kStart));
   CHECK(b.pool.IsUsable(Engine(0), kStart + BackendPool::kUnreachableBackoff));
 }
 
-// Symptom: an entry that is cut off for a while refuses everything once it is back.
-TEST_CASE("when half of the backend servers look sick all are used") {
+// Guards against an entry that was disconnected for a while and refuses all requests once it is
+// back.
+TEST_CASE("when half of the backend servers look unhealthy all are used") {
   Pool b;
   for (int i = 0; i < 3; ++i) b.End(0, relay::SendEnd::kUnreachable, kStart);
   CHECK(b.Choices(kStart)[Engine(0)] == 0);
@@ -157,7 +157,7 @@
   CHECK(b.pool.ExcludedBackends({kLlm, {}}, kStart).empty());
 }
 
-// --- Seen by all entries together -----------------------------------------------------
+// --- Ejection by the allocator -------------------------------------------------------
 
 namespace {
 
@@ -197,9 +197,9 @@
 
 }  // namespace
 
-// Symptom: one engine of many fails part of its requests for minutes, and no entry notices,
-// since each of forty sends it one request in seven seconds.
-TEST_CASE("a keeper leaves out a backend server that fails the requests of many entries") {
+// Guards against an engine that fails some of its requests for minutes unnoticed, since each of
+// forty entries sends it only one request in seven seconds.
+TEST_CASE("an allocator ejects a backend server that fails the requests of many entries") {
   Allocator k;
   for (int entry = 0; entry < 4; ++entry) k.Report(entry, 0, 0, 1, kStart);
   const std::vector<SlotAllocator::Ejection> ejections = k.allocator.TakeEjections();
@@ -213,8 +213,8 @@
   CHECK(k.Placed(later)[Engine(0)] > 0);
 }
 
-// Symptom: a backend server that has just started is left out by all entries.
-TEST_CASE("a keeper takes a backend server back in when it starts again") {
+// Guards against a restarted backend server that stays ejected for all entries.
+TEST_CASE("an allocator readmits a backend server when it restarts") {
   Allocator k;
   for (int entry = 0; entry < 4; ++entry) k.Report(entry, 0, 0, 1, kStart);
   CHECK(k.Placed(kStart)[Engine(0)] == 0);
@@ -237,14 +237,14 @@
   }
 }
 
-TEST_CASE("a report that comes again or tells of old ends counts once") {
+TEST_CASE("repeated reports and totals from before the takeover count once") {
   Allocator k;
-  k.Report(0, 0, 900, 90, kStart);  // all since the entry's start: it is new to this keeper
+  k.Report(0, 0, 900, 90, kStart);  // totals since the entry's start; it is new to this allocator
   for (int i = 0; i < 10; ++i) k.Report(0, 0, 901, 91, kStart);
   CHECK(k.allocator.TakeEjections().empty());
 }
 
-TEST_CASE("a keeper never leaves out half of a service's backend servers") {
+TEST_CASE("an allocator never ejects half of a service's backend servers") {
   Allocator k;
   for (int entry = 0; entry < 4; ++entry) {
     k.Report(entry, 0, 0, 1, kStart);
--- a/test/overload-load-test.cc
+++ b/test/overload-load-test.cc
@@ -1,4 +1,4 @@
-// Replays of online load at its worst, in simulated time: what callers are told then.
+// Replays overloads of online requests in simulated time and checks what their callers are told.
 
 #include <doctest/doctest.h>
 
@@ -8,7 +8,7 @@
 
 namespace {
 
-sim::Load ShortOfPlaces() {
+sim::Load ShortOfSlots() {
   sim::Load load;
   load.engines = 28;
   load.retries = true;
@@ -22,21 +22,21 @@
 
 void LogOutcome(const sim::Outcome& outcome) {
   MESSAGE("refused " << ShareOf(outcome.refused, outcome) << ", unserved "
-                     << ShareOf(outcome.unserved, outcome) << ", told late "
+                     << ShareOf(outcome.unserved, outcome) << ", refused late "
                      << ShareOf(outcome.refused_late, outcome) << ", late "
-                     << ShareOf(outcome.late, outcome) << "; back " << outcome.retried
-                     << ", late then " << outcome.retried_late);
+                     << ShareOf(outcome.late, outcome) << "; retried " << outcome.retried
+                     << ", retried late " << outcome.retried_late);
 }
 
 }  // namespace
 
-// Symptom: of the requests that are refused in a wave half are refused again, while the places of
-// the valley after it stand free: 14% of all unserved with 28 of 50 engines left, 4.9% told only
-// after a quarter of their goal.
-// Sequence: each refused caller is told to come back after some 0.2 s, a wave lasts 2.4 s.
-// Cause: the time was the expected wait behind those that were queued then.
-TEST_CASE("callers that are refused in a wave are served in the valley after it") {
-  const sim::Outcome outcome = sim::Simulation(ShortOfPlaces(), true, 7).Run();
+// Guards against requests refused in a load peak being refused again while slots are free after it.
+// With 28 of 50 engines left, 14% of all requests were unserved, half of those refused in a peak
+// were refused again, and 4.9% were refused only after a quarter of their goal. Each refused caller
+// was told to retry after about 0.2 s, the expected wait behind the queued requests, while a peak
+// lasts 2.4 s.
+TEST_CASE("callers refused in a load peak are served after it") {
+  const sim::Outcome outcome = sim::Simulation(ShortOfSlots(), true, 7).Run();
   LogOutcome(outcome);
   CHECK(ShareOf(outcome.unserved, outcome) < 0.01);
   CHECK(outcome.retried_late < outcome.retried / 10);
@@ -44,9 +44,10 @@
   CHECK(ShareOf(outcome.late, outcome) < 0.02);
 }
 
-// The same when a third of the engines is lost: 2.7% unserved and 3.1% told late before.
-TEST_CASE("with a third of the engines gone nearly all are served") {
-  sim::Load load = ShortOfPlaces();
+// The same with a third of the engines lost: 2.7% were unserved and 3.1% refused late with that
+// delay.
+TEST_CASE("with a third of the engines lost nearly all requests are served") {
+  sim::Load load = ShortOfSlots();
   load.engines = 34;
   const sim::Outcome outcome = sim::Simulation(load, true, 7).Run();
   LogOutcome(outcome);
@@ -54,10 +55,10 @@
   CHECK(ShareOf(outcome.refused_late, outcome) < 0.01);
 }
 
-// What adapts must not depend on one length of waves: 3.4% unserved before with the short ones,
-// 9.1% with the long ones.
-TEST_CASE("the length of waves is learned") {
-  sim::Load load = ShortOfPlaces();
+// The adaptation must not depend on one length of load peaks: with the queue-based delay 3.4% were
+// unserved with short peaks and 9.1% with long ones.
+TEST_CASE("the length of load peaks is learned") {
+  sim::Load load = ShortOfSlots();
   load.low_duration = Duration{1'600'000};
   load.high_duration = Duration{1'000'000};
   const sim::Outcome shorter = sim::Simulation(load, true, 7).Run();
@@ -72,10 +73,11 @@
   CHECK(ShareOf(longer.refused_late, longer) < 0.01);
 }
 
-// An overload that doesn't end: 24% unserved before, and 7.9% told late. No time to come back is
-// better than another, so all that can be done is to say so at once.
-TEST_CASE("in an overload without an end those that can't be served are told at once") {
-  sim::Load load = ShortOfPlaces();
+// A permanent overload: 24% were unserved with the queue-based delay, and 7.9% refused late. No
+// retry time is better than another, so the requests that can't be served have to be refused at
+// once.
+TEST_CASE("in a permanent overload requests that can't be served are refused at once") {
+  sim::Load load = ShortOfSlots();
   load.low = load.high = 1.8;
   const sim::Outcome outcome = sim::Simulation(load, true, 7).Run();
   LogOutcome(outcome);
@@ -83,12 +85,12 @@
   CHECK(ShareOf(outcome.unserved, outcome) < 0.25);
 }
 
-// Symptom: in a wave 9.7% of the requests are refused, 1.1% for good, although places are free.
-// Sequence: the engines of a data centre are gone, and stay listed for seconds. Their keeper keeps
-// no others, and never leaves out half of what it keeps or more; so it goes on to give their places
-// away, which look free. An entry that knows better chooses unasked, and finds all others taken.
-// Cause: an ask named the engines where the request had been, not those that its entry avoids.
-TEST_CASE("keepers give no places at engines that the asking entry has found dead") {
+// Guards against 9.7% of the requests being refused in a load peak, 1.1% for good, although slots
+// are free. The engines of a data centre are lost but listed for seconds. Their allocator owns no
+// others and never ejects half of its backend servers or more, so it keeps assigning their slots,
+// which look free. An entry that knows them to be dead chose locally, and found all others taken. A
+// request only excluded the engines that it had tried, not those that its entry avoids.
+TEST_CASE("allocators assign no slots on engines that the requesting entry has found dead") {
   sim::Load load;
   load.retries = true;
   load.entries = 8;
@@ -103,7 +105,8 @@
   const sim::Outcome before = sim::Simulation(load, true, 7).Run();
   LogOutcome(before);
   LogOutcome(outcome);
-  MESSAGE("in vain " << outcome.assigned_to_dead << ", before " << before.assigned_to_dead);
+  MESSAGE("assigned to dead engines " << outcome.assigned_to_dead << ", before "
+                                      << before.assigned_to_dead);
   CHECK(3 * outcome.assigned_to_dead < before.assigned_to_dead);
   CHECK(outcome.refused <= before.refused);
   CHECK(ShareOf(outcome.unserved, outcome) < 0.005);
--- a/test/sharing-test.cc
+++ b/test/sharing-test.cc
@@ -18,15 +18,15 @@
 constexpr StoreTime kDue{20'000'000};
 const ServiceName kLlm{"llm"};
 const BackendId kEngine{"engine"};
-const BackendId kOther{"other"};
+const BackendId kOtherEngine{"other"};
 // Runs of this age are likely to end soon.
-constexpr Duration kAlmostARun = SlotAllocator::kDefaultRunTime - Duration{50'000};
+constexpr Duration kNearRunEnd = SlotAllocator::kDefaultRunTime - Duration{50'000};
 
 Peer PeerNamed(const std::string& node, const std::string& centre = "dc", double capacity = 1) {
   return {NodeId{node}, 1, Address{"10.0.0.1", 1}, DataCentre{centre}, capacity, false};
 }
 
-PlaceAsk Ask(std::uint64_t number, bool may_queue = false) {
+PlaceAsk RequestOf(std::uint64_t number, bool may_queue = false) {
   PlaceAsk ask;
   ask.number = number;
   ask.service = kLlm;
@@ -36,7 +36,7 @@
   return ask;
 }
 
-// A keeper of engines with four places each.
+// An allocator that owns engines with four slots each.
 struct Fixture {
   explicit Fixture(std::vector<BackendId> engines = {kEngine}) {
     std::map<BackendId, KeptBackend> owned;
@@ -59,7 +59,7 @@
     allocator.OnReport(PeerNamed(node), true, report, now);
     Collect(now);
   }
-  void AskFor(const std::string& node, const PlaceAsk& ask, Time now = kSettled) {
+  void RequestSlot(const std::string& node, const PlaceAsk& ask, Time now = kSettled) {
     allocator.OnRequest(NodeId{node}, ask, now);
     Collect(now);
   }
@@ -82,7 +82,7 @@
 
 }  // namespace
 
-TEST_CASE("batch gets what online leaves, and gives it back when online comes") {
+TEST_CASE("batch gets the slots that online leaves, and gives them back to new online requests") {
   Fixture f;
   f.Report("a", 1, 0, 5);
   CHECK(f.Allowed("a") == 3);
@@ -91,7 +91,7 @@
   CHECK(f.Allowed("a") == 1);
 }
 
-TEST_CASE("places are shared by those who want them, the one with fewest first") {
+TEST_CASE("slots are divided among the entries that want them, fewest first") {
   Fixture f;
   f.Report("a", 0, 0, 9, kStart);
   f.Report("b", 0, 0, 9, kStart);
@@ -100,10 +100,10 @@
   CHECK(f.Allowed("b") == 2);
 }
 
-// Symptom: after engines are lost, the items of all jobs are late by a little.
-// Sequence: each entry owns a job, and free places go to the entry that runs least.
-// Cause: all jobs then take as long as the last one; due times were the owner's alone.
-TEST_CASE("free places go to the item that is due first, whoever owns it") {
+// Guards against items of all jobs being slightly late after engines are lost. Each entry owns a
+// job. If free slots go to the entry that runs least, all jobs take as long as the last one; due
+// times were only compared within one entry.
+TEST_CASE("free slots go to the item that is due first, whichever entry owns it") {
   Fixture f;
   const auto waiting = [](std::vector<WaitingItems> items) {
     return PlaceReport{0, 0, {}, std::move(items), {{kEngine, 0, 0}}};
@@ -115,26 +115,26 @@
   CHECK(f.Allowed("a") == 1);
 }
 
-// Symptom: places stay empty although items wait at other entries.
-// Sequence: an entry with one item waiting is granted a place at each engine; it uses one.
-// Cause: grants under way for the same item were counted for each engine alone.
-TEST_CASE("an entry is granted no more places in all than it has items waiting") {
-  Fixture f({kEngine, kOther});
-  const std::vector<PlaceReport::Line> both{{kEngine, 0, 0}, {kOther, 0, 0}};
+// Guards against empty slots while items wait at other entries. An entry with one waiting item was
+// granted a slot on each engine and used one of them, because pending grants for the same item were
+// counted per engine.
+TEST_CASE("an entry is granted no more slots in total than it has items waiting") {
+  Fixture f({kEngine, kOtherEngine});
+  const std::vector<PlaceReport::Line> both{{kEngine, 0, 0}, {kOtherEngine, 0, 0}};
   f.Report("a", {0, 0, {}, {{kDue, 1}}, both}, kStart);
   f.Report("b", {0, 0, {}, {{kDue + Duration{1}, 8}}, both}, kStart);
   f.Tick(kSettled);
   const NodeId a{"a"};
   const NodeId b{"b"};
-  CHECK(f.allocator.AllowedBatch(kEngine, a) + f.allocator.AllowedBatch(kOther, a) == 1);
-  CHECK(f.allocator.AllowedBatch(kEngine, b) + f.allocator.AllowedBatch(kOther, b) == 7);
+  CHECK(f.allocator.AllowedBatch(kEngine, a) + f.allocator.AllowedBatch(kOtherEngine, a) == 1);
+  CHECK(f.allocator.AllowedBatch(kEngine, b) + f.allocator.AllowedBatch(kOtherEngine, b) == 7);
 }
 
-// Symptom: after a host was suspended for some seconds, no batch runs there for minutes.
-// Sequence: its keeper forgets it and begins to number its grants anew.
-// Cause: the host's steady clock did not count the pause, so that it kept the number of
-// the last grant, and took each new one for an old one.
-TEST_CASE("grants to an entry that was forgotten go on from the last one that it saw") {
+// Guards against an entry that runs no batch for minutes after its host was suspended for some
+// seconds. Its allocator removed it and restarted the numbering of its grants. The host's steady
+// clock did not count the suspension, so the entry kept the number of its last grant and ignored
+// the new ones as old.
+TEST_CASE("grants to an entry that was removed continue from the last number that it saw") {
   Fixture f;
   f.Report("a", 1, 0, 2);
   for (int i = 0; i < 20; ++i) f.Report("a", 1, i % 2, 2);
@@ -145,7 +145,7 @@
   CHECK(f.acked_grant["a"] == seen + 1);
 }
 
-TEST_CASE("an entry that uses nothing and waits for nothing hears of its keeper seldom") {
+TEST_CASE("an idle entry gets grants less often") {
   Fixture f;
   f.Report("a", 0, 0, 0, kStart);
   f.Report("b", 1, 0, 0, kStart);
@@ -158,10 +158,9 @@
   CHECK(f.acked_grant["b"] >= busy + 4);
 }
 
-// Symptom: an engine runs twice as many batch items as it has places.
-// Sequence: its keeper dies, another one takes over and has heard of nobody yet.
-// Cause: places were granted before the entries had said what they run.
-TEST_CASE("a new keeper grants nothing until all have had time to report") {
+// Guards against an engine that runs twice as many batch items as it has slots. After an allocator
+// died, its successor granted slots before the entries had reported what they run.
+TEST_CASE("a new allocator grants nothing until all entries have had time to report") {
   Fixture f;
   f.Report("a", 0, 0, 9, kStart);
   CHECK(f.Allowed("a") == 0);
@@ -171,19 +170,18 @@
   CHECK(f.Allowed("b") == 4);
 }
 
-// Symptom: two entries run batch in the same place.
-// Sequence: a grant is on its way to one of them when the keeper divides again.
-// Cause: what was granted and not yet reported was taken for free.
-TEST_CASE("a grant that is under way counts as used") {
+// Guards against two entries that run batch in the same slot. The allocator divided the slots again
+// while a grant was in transit, and counted slots that were granted but not yet reported as free.
+TEST_CASE("a pending grant counts as used") {
   Fixture f;
   f.allocator.OnReport(PeerNamed("a"), true, {1, 0, {}, {{kDue, 4}}, {{kEngine, 0, 0}}}, kSettled);
-  (void)f.allocator.TakeOutgoing(kSettled);  // the grant leaves; no report of it has come back
+  (void)f.allocator.TakeOutgoing(kSettled);  // the grant is sent; no report of it has come back
   f.allocator.OnReport(PeerNamed("b"), true, {1, 0, {}, {{kDue, 4}}, {{kEngine, 0, 0}}}, kSettled);
   CHECK(f.Allowed("a") == 4);
   CHECK(f.Allowed("b") == 0);
 }
 
-TEST_CASE("a report that was overtaken changes nothing") {
+TEST_CASE("a reordered older report changes nothing") {
   Fixture f;
   f.allocator.OnReport(PeerNamed("a"), true, {2, 0, {}, {}, {{kEngine, 3, 0}}}, kSettled);
   f.allocator.OnReport(PeerNamed("a"), true, {1, 0, {}, {}, {{kEngine, 0, 0}}}, kSettled);
@@ -191,10 +189,10 @@
   CHECK(f.Allowed("b") == 1);
 }
 
-// Symptom: places of a backend server that has just started count as taken, or as free twice.
-// Sequence: entries and their keeper hear of the restart at different moments, and reports of
-// the one incarnation reach a keeper that goes by the other.
-TEST_CASE("a report of another incarnation of a backend server counts for nothing") {
+// Guards against slots of a restarted backend server that count as taken, or as free twice. Entries
+// and the allocator learn of the restart at different times, so reports of one incarnation reach an
+// allocator that knows the other.
+TEST_CASE("a report of another incarnation of a backend server is ignored") {
   constexpr BackendIncarnation kFirst{1'000};
   constexpr BackendIncarnation kSecond{2'000};
   Fixture f;
@@ -208,24 +206,24 @@
     f.Report(node, std::move(all), kSettled);
   };
   report("a", 3, 1, 0, kFirst);
-  f.AskFor("b", Ask(1));
+  f.RequestSlot("b", RequestOf(1));
   f.allocator.SetBackends({{kEngine, {.service = kLlm, .places = 4, .incarnation = kSecond}}},
                           kSettled);
-  SUBCASE("its places are free at once") {
+  SUBCASE("its slots are free at once") {
     report("b", 0, 0, 9, kSecond);
     CHECK(f.Allowed("b") == 4);
   }
-  SUBCASE("a late report takes none") {
+  SUBCASE("a late report takes no slots") {
     report("a", 3, 1, 0, kFirst);
     report("b", 0, 0, 9, kSecond);
     CHECK(f.Allowed("b") == 4);
   }
-  SUBCASE("one that doesn't say counts") {
+  SUBCASE("a report without an incarnation counts") {
     report("a", 3, 0, 0, {});
     report("b", 0, 0, 9, kSecond);
     CHECK(f.Allowed("b") == 1);
   }
-  SUBCASE("grants say which one they are for") {
+  SUBCASE("grants name the incarnation") {
     f.allocator.OnReport(PeerNamed("c"), true,
                          {1, 0, {}, {}, {{kEngine, 1, 0, Duration{0}, 0, 0, TagOf(kSecond)}}},
                          kSettled);
@@ -239,7 +237,7 @@
   }
 }
 
-TEST_CASE("what a silent entry used is free again, and so is what its earlier process used") {
+TEST_CASE("slots of a silent entry are released, and so are those of its earlier process") {
   Fixture f;
   f.Report("a", 4, 0);
   f.Report("b", 0, 0, 9);
@@ -248,7 +246,7 @@
     f.Report("b", 0, 0, 9, kSettled + SlotAllocator::kReportTtl);
     f.Tick(kSettled + SlotAllocator::kReportTtl);
   }
-  SUBCASE("started again") {
+  SUBCASE("restarted") {
     Peer restarted = PeerNamed("a");
     restarted.incarnation = 2;
     f.allocator.OnReport(restarted, true, {1, 0, {}, {}, {{kEngine, 0, 0}}}, kSettled);
@@ -258,49 +256,50 @@
   CHECK(f.Allowed("b") == 4);
 }
 
-TEST_CASE("an ask gets a place that nobody uses before one that batch uses") {
-  Fixture f({kEngine, kOther});
+TEST_CASE("a request gets an unused slot before one that batch uses") {
+  Fixture f({kEngine, kOtherEngine});
   f.Report("a", 0, 4, 0, kSettled, {}, kEngine);
-  f.Report("a", 3, 0, 0, kSettled, {}, kOther);
-  f.AskFor("b", Ask(1));
+  f.Report("a", 3, 0, 0, kSettled, {}, kOtherEngine);
+  f.RequestSlot("b", RequestOf(1));
   REQUIRE(f.answers.size() == 1);
   CHECK(f.answers[0].kind == PlaceAnswer::Kind::kPlaced);
-  CHECK(f.answers[0].backend == kOther);
-  // All are used now: batch gives way.
-  f.AskFor("b", Ask(2));
+  CHECK(f.answers[0].backend == kOtherEngine);
+  // All are used now: batch is preempted.
+  f.RequestSlot("b", RequestOf(2));
   CHECK(f.answers[1].backend == kEngine);
   CHECK(f.Allowed("a") == 3);
 }
 
-TEST_CASE("a place that was given is kept until it is reported in use, or lost") {
+TEST_CASE("an assigned slot is reserved until it is reported in use or expires") {
   Fixture f;
   f.Report("a", 3, 0);
-  f.AskFor("b", Ask(1));
-  f.AskFor("c", Ask(2));
+  f.RequestSlot("b", RequestOf(1));
+  f.RequestSlot("c", RequestOf(2));
   REQUIRE(f.answers.size() == 2);
   CHECK(f.answers[1].kind == PlaceAnswer::Kind::kFull);
   SUBCASE("in use") {
     f.Report("b", 1, 0, 0, kSettled, {1});
-    f.AskFor("c", Ask(3));
+    f.RequestSlot("c", RequestOf(3));
     CHECK(f.answers[2].kind == PlaceAnswer::Kind::kFull);
   }
-  SUBCASE("lost") {
+  SUBCASE("expired") {
     const Time later = kSettled + SlotAllocator::kReservationTtl;
     f.Tick(later);
-    f.AskFor("c", Ask(3), later);
+    f.RequestSlot("c", RequestOf(3), later);
     CHECK(f.answers[2].kind == PlaceAnswer::Kind::kPlaced);
   }
 }
 
-TEST_CASE("a queued ask is answered when a place falls free, those who can be in time first") {
+TEST_CASE(
+    "a queued request is answered when a slot becomes free, those that can meet their goal first") {
   Fixture f;
   f.Report("a", 4, 0);
-  const Time now = kSettled + kAlmostARun;
-  PlaceAsk waited = Ask(1, /*may_queue=*/true);
-  waited.last_chance = true;
-  waited.goal_left = Duration{0};
-  f.AskFor("b", waited, now);
-  f.AskFor("b", Ask(2, /*may_queue=*/true), now);
+  const Time now = kSettled + kNearRunEnd;
+  PlaceAsk last_try = RequestOf(1, /*may_queue=*/true);
+  last_try.last_chance = true;
+  last_try.goal_left = Duration{0};
+  f.RequestSlot("b", last_try, now);
+  f.RequestSlot("b", RequestOf(2, /*may_queue=*/true), now);
   REQUIRE(f.answers.size() == 2);
   CHECK(f.answers[0].kind == PlaceAnswer::Kind::kQueued);
   CHECK(f.answers[1].kind == PlaceAnswer::Kind::kQueued);
@@ -313,13 +312,13 @@
   CHECK(f.answers[3].number == 1);
 }
 
-// Symptom: a request waits until its caller has given up, though it was clear from
-// the start that there would be no place in time.
-TEST_CASE("an ask that would wait beyond its goal is told so at once, with the time") {
+// Guards against requests that wait until their caller has given up, although it was clear from the
+// start that no slot would be free in time.
+TEST_CASE("a request that would wait beyond its goal is refused at once, with the expected wait") {
   Fixture f;
   f.Report("a", 4, 0);
-  const Time now = kSettled + kAlmostARun;
-  for (std::uint64_t i = 1; i <= 20; ++i) f.AskFor("b", Ask(i, /*may_queue=*/true), now);
+  const Time now = kSettled + kNearRunEnd;
+  for (std::uint64_t i = 1; i <= 20; ++i) f.RequestSlot("b", RequestOf(i, /*may_queue=*/true), now);
   CHECK(f.answers.back().kind == PlaceAnswer::Kind::kFull);
   CHECK(f.answers.back().wait > Duration{100'000});
   const auto queued = std::count_if(f.answers.begin(), f.answers.end(), [](const auto& answer) {
@@ -329,26 +328,27 @@
   CHECK(queued < 5);
 }
 
-// Symptom: at the rise of a wave requests wait 0.2 s in the queue and are refused then.
-// Sequence: all places are taken within some ms, so that none falls free for most of a run.
-// Cause: the wait was reckoned from the number of places, as if runs ended evenly.
-TEST_CASE("nobody is queued behind runs that have just begun") {
+// Guards against requests that wait 0.2 s in the queue at the start of a load peak and are then
+// refused. All slots are taken within a few ms, so none becomes free for most of a run time. The
+// wait was estimated from the number of slots, as if runs ended evenly.
+TEST_CASE("no request is queued behind runs that have just started") {
   Fixture f;
   f.Report("a", 4, 0);
-  f.AskFor("b", Ask(1, /*may_queue=*/true));
+  f.RequestSlot("b", RequestOf(1, /*may_queue=*/true));
   REQUIRE(f.answers.size() == 1);
   CHECK(f.answers[0].kind == PlaceAnswer::Kind::kFull);
 }
 
-// Symptom: callers that are refused in a wave come back into it, all at the same time.
-// Cause: each was told the wait behind those that were queued then.
-TEST_CASE("an ask that is refused is told to come back after the overload, behind the last one") {
+// Guards against refused callers that all retry at the same time within the same load peak. Each
+// was given the expected wait behind the requests queued at that time.
+TEST_CASE(
+    "a refused request is told to retry after the overload, behind the retries given out before") {
   Fixture f;
   std::uint64_t number = 0;
   const auto refuse = [&](Time now) {
     f.Report("a", 0, 0, 0, now);
     f.Report("a", 4, 0, 0, now);
-    f.AskFor("b", Ask(++number, /*may_queue=*/true), now);
+    f.RequestSlot("b", RequestOf(++number, /*may_queue=*/true), now);
     return f.answers.back().come_back;
   };
   for (int i = 0; i <= 16; ++i) {
@@ -359,8 +359,8 @@
   CHECK(refuse(next) > Duration{800'000});
 }
 
-TEST_CASE("a search asks keepers in turn, then waits where the wait is shortest") {
-  SlotSearch search(Ask(7), {NodeId{"a"}, NodeId{"b"}}, kStart);
+TEST_CASE("a search asks the allocators in turn, then queues where the wait is shortest") {
+  SlotSearch search(RequestOf(7), {NodeId{"a"}, NodeId{"b"}}, kStart);
   const auto asked = [](const search::Action& action) {
     const auto* ask = std::get_if<search::AskAllocator>(&action);
     return ask == nullptr ? std::string()
@@ -372,7 +372,7 @@
   CHECK(asked(search.Start(kStart)) == "a");
   CHECK(asked(search.OnEvent(full(Duration{50'000}), kStart)) == "b");
   CHECK(asked(search.OnEvent(full(Duration{90'000}), kStart)) == "a+");
-  SUBCASE("queued, then placed") {
+  SUBCASE("queued, then assigned") {
     CHECK(std::holds_alternative<search::Wait>(
         search.OnEvent(search::Answered{{7, PlaceAnswer::Kind::kQueued, {}, {}}}, kStart)));
     const auto taken =
@@ -380,40 +380,40 @@
     REQUIRE(std::holds_alternative<search::UseSlot>(taken));
     CHECK(std::get<search::UseSlot>(taken).backend == kEngine);
   }
-  SUBCASE("full there too") {
-    const auto given_up = search.OnEvent(full(Duration{50'000}, Duration{700'000}), kStart);
-    REQUIRE(std::holds_alternative<search::Refuse>(given_up));
-    CHECK(std::get<search::Refuse>(given_up).wait == Duration{700'000});
+  SUBCASE("the queue is full too") {
+    const auto refused = search.OnEvent(full(Duration{50'000}, Duration{700'000}), kStart);
+    REQUIRE(std::holds_alternative<search::Refuse>(refused));
+    CHECK(std::get<search::Refuse>(refused).wait == Duration{700'000});
   }
 }
 
-// Symptom: requests are refused as if all places were taken, though engines stand idle.
-// Sequence: an entry starts; the others take it for a keeper as soon as it is listed; it can't
-// read the list of backend servers yet.
-// Cause: it answers that there is no place where it knows of no backend server; who asks takes
-// that for a full service.
-TEST_CASE("a keeper that knows no backend server of a service does not call it full") {
+// Guards against requests refused as if all slots were taken while engines are idle. A starting
+// entry counts as an allocator as soon as it is listed, before it can read the list of backend
+// servers. Its answer that it knows of no slot was taken for a full service.
+TEST_CASE("an allocator that knows no backend server of a service does not report it full") {
   Fixture f(std::vector<BackendId>{});
-  f.AskFor("a", Ask(1));
-  f.AskFor("a", Ask(2, /*may_queue=*/true));
+  f.RequestSlot("a", RequestOf(1));
+  f.RequestSlot("a", RequestOf(2, /*may_queue=*/true));
   for (const PlaceAnswer& answer : f.answers) {
     CHECK(answer.kind != PlaceAnswer::Kind::kFull);
     CHECK(answer.kind != PlaceAnswer::Kind::kQueued);
   }
 }
 
-TEST_CASE("a keeper whose backend servers all leave has no queue for their service") {
+TEST_CASE(
+    "an allocator whose backend servers are all leaving does not queue requests for their "
+    "service") {
   Fixture f(std::vector<BackendId>{});
   f.allocator.SetBackends({{kEngine, {kLlm, 0}}}, kStart);
-  f.AskFor("a", Ask(1, /*may_queue=*/true));
+  f.RequestSlot("a", RequestOf(1, /*may_queue=*/true));
   REQUIRE(f.answers.size() == 1);
   CHECK(f.answers[0].kind == PlaceAnswer::Kind::kNotKept);
 }
 
-// Symptom: a request is refused by one keeper that knows of no place.
-// Sequence: two keepers are asked; one has not read the list of backend servers yet.
-// Cause: its answer was taken for one about places that are all taken.
-TEST_CASE("a keeper that knows of no place is passed over, and alone it decides nothing") {
+// Guards against a request refused by one allocator that owns no slots. Two allocators are asked,
+// and one has not read the list of backend servers yet; its answer was taken to mean that all slots
+// are taken.
+TEST_CASE("an allocator without slots is skipped, and does not decide alone") {
   const PlaceAnswer not_kept{7, PlaceAnswer::Kind::kNotKept, {}, {}};
   PeerMessage message;
   message.answer = not_kept;
@@ -422,7 +422,7 @@
   REQUIRE(IsOk(back));
   CHECK(ValueOf(back).answer->kind == PlaceAnswer::Kind::kNotKept);
 
-  SlotSearch search(Ask(7), {NodeId{"a"}, NodeId{"b"}}, kStart);
+  SlotSearch search(RequestOf(7), {NodeId{"a"}, NodeId{"b"}}, kStart);
   (void)search.Start(kStart);
   const search::Action second = search.OnEvent(search::Answered{not_kept}, kStart);
   REQUIRE(std::holds_alternative<search::AskAllocator>(second));
@@ -433,25 +433,25 @@
     REQUIRE(std::holds_alternative<search::AskAllocator>(third));
     CHECK(std::get<search::AskAllocator>(third).allocator == NodeId{"b"});
   }
-  SUBCASE("the other one knows of none either") {
+  SUBCASE("the other one has none either") {
     const search::Action third = search.OnEvent(search::Answered{not_kept}, kStart);
     CHECK(std::holds_alternative<search::ChooseLocally>(third));
   }
 }
 
-TEST_CASE("a search whose keepers are silent goes on without them") {
-  SlotSearch search(Ask(7), {NodeId{"a"}}, kStart);
+TEST_CASE("a search whose allocators time out chooses locally") {
+  SlotSearch search(RequestOf(7), {NodeId{"a"}}, kStart);
   (void)search.Start(kStart);
   CHECK(std::holds_alternative<search::ChooseLocally>(search.OnEvent(search::TimedOut{}, kStart)));
 }
 
-TEST_CASE("a message comes back as it was, and a long one loses lines, not its sender") {
+TEST_CASE("a message round-trips, and an oversized one loses lines but keeps its sender") {
   PeerMessage message;
   message.from = PeerNamed("a");
   message.report = PlaceReport{3, 2, {5, 6}, {{kDue, 7, true}}, {{kEngine, 1, 2}}};
   message.report->lines[0].incarnation = {0xFFFF};
   message.grant = PlaceGrant{4, {{kEngine, 1, 2, 3, false, {0xFFFF}}}};
-  message.ask = Ask(9, true);
+  message.ask = RequestOf(9, true);
   message.answer = PlaceAnswer{9, PlaceAnswer::Kind::kQueued, kEngine, Duration{5}, Duration{6}};
   auto back = DecodePeerMessage(Encode(message));
   REQUIRE(IsOk(back));
@@ -472,10 +472,10 @@
   CHECK(ValueOf(back).from == message.from);
 }
 
-// Symptom: during a release each half of the entries takes the other half for gone.
-// Sequence: entries of the version before send lines without an incarnation.
-TEST_CASE("a line without an incarnation is read, and says nothing of it") {
-  // As packed by the version before: a grant with one line of five elements.
+// Guards against each half of the entries taking the other half for gone during a release: entries
+// of the previous version send lines without an incarnation.
+TEST_CASE("a line without an incarnation is decoded, with an unknown incarnation") {
+  // As encoded by the previous version: a grant with one line of five elements.
   const std::string line =
       "\x95\xa6"
       "engine\x01\x02\x03\xc2";
@@ -493,7 +493,7 @@
   CHECK(ValueOf(back).grant->lines[0].incarnation == IncarnationTag{});
 }
 
-TEST_CASE("incarnations are told apart by their tags") {
+TEST_CASE("incarnations have distinct tags") {
   CHECK(TagOf({}) == IncarnationTag{});
   for (std::uint64_t number = 1'700'000'000'000; number < 1'700'000'070'000; ++number) {
     REQUIRE_FALSE(TagOf({number}) == IncarnationTag{});
@@ -503,18 +503,17 @@
 
 namespace {
 
-// What a keeper of several engines says to an entry of another data centre, as the entry hears it.
-struct FarEntry {
-  FarEntry() {
+// An allocator of several engines and an entry of another data centre that receives its grants.
+struct RemoteEntry {
+  RemoteEntry() {
     std::map<BackendId, KeptBackend> owned;
     for (int i = 0; i < 8; ++i) owned[Engine(i)] = {kLlm, 4};
     allocator.SetBackends(owned, kStart);
   }
   static BackendId Engine(int i) { return BackendId{"engine" + std::to_string(i)}; }
 
-  // Lines of engines that have no use are left out; unless `all`.
-  // `batch`: items that it runs, by engine.
-  void Report(const std::string& node, bool near, std::map<int, int> batch, int waiting, Time now,
+  // Omits the lines of engines without use, unless `all`. `batch`: running items by engine.
+  void Report(const std::string& node, bool local, std::map<int, int> batch, int waiting, Time now,
               bool all = false, int online = 0) {
     PlaceReport report;
     report.number = ++number;
@@ -524,9 +523,9 @@
       if (all || batch[i] > 0) report.lines.push_back({Engine(i), online, batch[i]});
     }
     report.rest_unused = true;
-    allocator.OnReport(PeerNamed(node, near ? "dc" : "elsewhere"), near, report, now);
+    allocator.OnReport(PeerNamed(node, local ? "dc" : "elsewhere"), local, report, now);
   }
-  // The grant to the far entry, if there is one now.
+  // The grant to the remote entry, if one is due.
   std::optional<PlaceGrant> Due(Time now) {
     allocator.Tick(now);
     for (SlotAllocator::Outgoing& out : allocator.TakeOutgoing(now)) {
@@ -542,10 +541,10 @@
 
 }  // namespace
 
-// Symptom: keepers' grants are a third of all bytes between data centres.
-// Sequence: each use of a backend server is told to all entries, ten times a second.
-TEST_CASE("an entry of another data centre is told what is free, and lines of what it may use") {
-  FarEntry f;
+// Guards against grants that make up a third of all bytes between data centres: each change of a
+// backend server's usage was sent to all entries, ten times a second.
+TEST_CASE("an entry of another data centre gets totals per service, and lines of what it may use") {
+  RemoteEntry f;
   f.Report("far", false, {}, 0, kSettled, /*all=*/true);
   CHECK(f.Due(kSettled)->lines.size() == 8);
   f.acked_grant = 1;
@@ -556,18 +555,18 @@
   CHECK(grant->lines.empty());
   CHECK(grant->services == std::vector<PlaceGrant::ServiceUse>{{kLlm, 32, 8}});
   f.acked_grant = grant->number;
-  // Each line comes again once in a while.
+  // Each line is repeated at kIdleHeartbeat.
   const auto all = f.Due(later + SlotAllocator::kIdleHeartbeat);
   REQUIRE(all);
   REQUIRE(all->lines.size() == 8);
   CHECK(all->lines[0].batch_other == 3);
 }
 
-// Symptom: an entry goes on with batch items that it may not have there any more, and online waits
-// behind them.
-// Sequence: the grant that takes its places away is lost; the next one has no line for them.
-TEST_CASE("what an entry of another data centre may not have any more is said until it is heard") {
-  FarEntry f;
+// Guards against an entry that keeps running batch items whose slots were withdrawn, while online
+// requests wait behind them. The grant that withdraws them was lost, and the next one had no line
+// for them.
+TEST_CASE("a withdrawn grant to another data centre is repeated until it is acknowledged") {
+  RemoteEntry f;
   const Time start = kSettled - SlotAllocator::kRemoteCoalesce;
   f.Report("far", false, {{7, 1}}, 0, start, /*all=*/true);
   (void)f.Due(start);
@@ -582,14 +581,14 @@
     return sum;
   };
   REQUIRE(allowed(*given) == 4);
-  // It has nothing more to run.
+  // It has no more items to run.
   Time now = kSettled + SlotAllocator::kRemoteCoalesce;
   f.Report("far", false, {{7, 1}}, 0, now);
   const auto taken = f.Due(now);
   REQUIRE(taken);
   CHECK(allowed(*taken) == 1);
   CHECK(taken->lines.size() == given->lines.size());
-  // That one was lost.
+  // This grant is lost.
   now += SlotAllocator::kHeartbeat;
   f.Report("far", false, {{7, 1}}, 0, now);
   const auto again = f.Due(now);
@@ -604,10 +603,10 @@
   CHECK(heard->lines.size() == 1);
 }
 
-// Symptom: places stay taken at a keeper though nothing runs there.
-// Sequence: the report that tells of an end is lost; the next ones have lines of what is used.
-TEST_CASE("what a report leaves out as unused is free, even if the word of its end was lost") {
-  FarEntry f;
+// Guards against slots that stay taken at the allocator although nothing runs there. The report of
+// an end was lost, and the next reports only have lines of slots in use.
+TEST_CASE("backend servers omitted as unused are freed even if the report of the end was lost") {
+  RemoteEntry f;
   f.Report("near", true, {{0, 4}, {1, 2}}, 0, kSettled, /*all=*/true);
   f.Report("far", false, {}, 0, kSettled, /*all=*/true);
   CHECK(f.Due(kSettled)->lines[0].batch_other == 4);
@@ -619,9 +618,9 @@
   CHECK(grant->lines[1].batch_other == 2);
 }
 
-// Symptom: places in use count as free after a fleet of few entries has grown large.
-// Sequence: a report doesn't fit its datagram, and loses lines; it says that the rest is unused.
-TEST_CASE("a report that was cut does not say that the rest is unused") {
+// Guards against slots in use that count as free once a fleet has grown large. A report that
+// exceeds its datagram loses lines, and still said that the rest is unused.
+TEST_CASE("a truncated report does not say that the rest is unused") {
   PeerMessage message;
   message.from = PeerNamed("a");
   message.report = PlaceReport{3, 2, {}, {}, {}, /*rest_unused=*/true};
@@ -637,7 +636,7 @@
   CHECK_FALSE(ValueOf(back).report->rest_unused);
 }
 
-TEST_CASE("a grant's services come back as they were, and are none in one of an earlier version") {
+TEST_CASE("the services of a grant round-trip, and are empty in one of an earlier version") {
   PeerMessage message;
   message.from = PeerNamed("a");
   message.grant = PlaceGrant{4, {}, {{kLlm, 32, 7}}};
@@ -646,7 +645,7 @@
   CHECK(ValueOf(back).grant->services == message.grant->services);
 }
 
-TEST_CASE("an entry that has joined sends no byte more for it") {
+TEST_CASE("an entry that has joined sends no extra byte for it") {
   PeerMessage message;
   message.from = PeerNamed("a");
   const std::size_t joined = Encode(message).size();
@@ -657,7 +656,7 @@
   CHECK(Encode(message).size() == joined + 1);
 }
 
-TEST_CASE("what is no message is refused") {
+TEST_CASE("malformed messages are refused") {
   CHECK_FALSE(IsOk(DecodePeerMessage("")));
   CHECK_FALSE(IsOk(DecodePeerMessage("hello")));
   CHECK_FALSE(IsOk(DecodePeerMessage(std::string(200, '\xff'))));
--- a/test/slot-sim.h
+++ b/test/slot-sim.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Entries, keepers and engines in simulated time, with datagrams that take a while,
-// to replay the load that placing has to answer.
+// Simulation of entries, allocators and engines in virtual time, with delayed datagrams, to replay
+// load patterns against the slot allocation.
 
 #include <cmath>
 #include <deque>
@@ -24,47 +24,47 @@
   int engines = 50;
   int slots = 7;
   int data_centres = 5;
-  double online_per_s = 258;  // in the mean
-  double low = 0.39;          // of the mean, between two waves
-  double high = 1.91;         // in a wave
+  double online_per_s = 258;  // mean
+  double low = 0.39;          // factor of the mean between two load peaks
+  double high = 1.91;         // factor of the mean during a load peak
   Duration low_duration{3'600'000};
   Duration high_duration{2'400'000};
   Duration online_run{550'000};
-  double online_spread = 0;  // standard deviation of an online run's length, of its mean
-  // A refused caller comes back once, when it is told to, but within a third of its time left.
+  double online_spread = 0;  // standard deviation of an online run time, relative to its mean
+  // A refused caller retries once, after the given delay but at most a third of its remaining time.
   bool retries = false;
-  // The engines of one data centre are gone from this moment on: connections to them are refused,
-  // and they stay listed.
+  // From this time on the engines of one data centre are gone but still listed: connections to them
+  // are refused.
   Duration lost_at = Duration::max();
-  bool reports_dead_engines = true;  // entries tell keepers which engines they have found dead
+  bool reports_dead_engines = true;  // requests exclude engines found dead
   Duration batch_run{3'600'000};
   double batch_per_s = 26;  // items
-  int job_items = 10;       // that come at once, at one entry
+  int job_items = 10;       // submitted together at one entry
   Duration job_due{18'000'000};
-  bool reports_due_times = true;  // entries tell keepers when what waits is due
+  bool reports_due_times = true;  // reports carry the due times of waiting items
   Duration datagram_delay{1'500'000 / 1000};
   Duration duration{30'000'000};
 };
 
 struct Outcome {
   int online = 0;
-  int late = 0;          // waited for a place for over 200 ms
-  int refused = 0;       // first tries alone
-  int refused_late = 0;  // tries that were refused after a quarter of the goal or more
+  int late = 0;          // waited over 200 ms for a slot
+  int refused = 0;       // first tries only
+  int refused_late = 0;  // tries refused after a quarter of the goal or more
   int retried = 0;
-  int retried_late = 0;      // of those: placed after the goal of their second try
-  int unserved = 0;          // refused, and either not back or refused again
-  int assigned_to_dead = 0;  // places given at engines that the entry knew to be dead
-  int items = 0;             // batch items that were finished
+  int retried_late = 0;      // retries that got a slot after the goal
+  int unserved = 0;          // refused, and either not retried or refused again
+  int assigned_to_dead = 0;  // slots assigned on engines that the entry knew to be dead
+  int items = 0;             // finished batch items
   int items_in_time = 0;
-  int items_due = 0;         // due before the end
-  int preemptions = 0;       // runs of batch items stopped for online
-  int blocked_by_batch = 0;  // times that batch made online wait
+  int items_due = 0;         // due before the end of the simulation
+  int preemptions = 0;       // runs of batch items stopped for online requests
+  int blocked_by_batch = 0;  // online requests that had to wait for batch items
 };
 
 class Simulation {
  public:
-  // `asks`: entries ask keepers; otherwise they choose by what they were told.
+  // `ask_allocators`: entries ask allocators; otherwise they choose by their local state.
   Simulation(const Load& load, bool ask_allocators, unsigned seed)
       : load_(load),
         ask_allocators_(ask_allocators),
@@ -114,7 +114,7 @@
       return at != other.at ? at > other.at : order > other.order;
     }
   };
-  // A caller's patience with one request, over all its tries.
+  // A caller's timeout over all tries of one request.
   static constexpr Duration kCallerTimeout{5'000'000};
   // One try of an online request.
   struct Try {
@@ -123,17 +123,17 @@
     bool is_retry = false;
   };
   struct Pending {
-    int allocator = 0;  // that was asked last
+    int allocator = 0;  // asked last
     Try attempt;
     std::vector<BackendId> tried;
   };
   struct OnlineRun {
     int entry = 0;
     Try attempt;
-    AcquiredSlot place;
+    AcquiredSlot slot;
   };
   struct Item {
-    Duration left{0};  // work
+    Duration remaining{0};  // remaining run time
     Time due{};
   };
   struct BatchRun {
@@ -141,7 +141,7 @@
     std::uint64_t number = 0;
     Item item;
     Time since{};
-    AcquiredSlot place;
+    AcquiredSlot slot;
   };
   struct Engine {
     BackendInfo info;
@@ -158,11 +158,12 @@
     SlotAllocator allocator{0};
     std::vector<Item> items;  // waiting
     std::map<int, std::uint64_t> acked_grants;
-    std::map<int, std::vector<PlaceGrant::ServiceUse>> service_uses;  // by keepers elsewhere
+    std::map<int, std::vector<PlaceGrant::ServiceUse>>
+        service_uses;  // from allocators of other data centres
     std::map<int, std::vector<std::uint64_t>> answered;
     std::uint64_t reports = 0;
     std::map<std::uint64_t, std::shared_ptr<SlotSearch>> searches;
-    std::map<std::uint64_t, Pending> pending;  // by ask
+    std::map<std::uint64_t, Pending> pending;  // by request number
   };
 
   DataCentre CentreOf(int i) const {
@@ -215,14 +216,15 @@
     At(Duration(static_cast<Duration::rep>(gap * 1e6)), [this] { ArriveJob(); });
   }
 
-  // As an owner would queue it. Online takes an item's place as often as ItemPace expects it to.
+  // The queue entry that the item's owner would create, with the share of preemptions by online
+  // requests that ItemPace assumes.
   ItemBacklog::Entry AsQueued(const Item& item) const {
-    const double left =
-        static_cast<double>(item.left.count()) / static_cast<double>(load_.batch_run.count());
-    const double stretch = 1 + (ItemPace::kUsualStretch - 1) * left;
+    const double remaining =
+        static_cast<double>(item.remaining.count()) / static_cast<double>(load_.batch_run.count());
+    const double stretch = 1 + (ItemPace::kUsualStretch - 1) * remaining;
     const Duration needed(
-        static_cast<Duration::rep>(static_cast<double>(item.left.count()) * stretch));
-    return {{}, 0, item.due.time_since_epoch(), needed, {}, item.left < load_.batch_run};
+        static_cast<Duration::rep>(static_cast<double>(item.remaining.count()) * stretch));
+    return {{}, 0, item.due.time_since_epoch(), needed, {}, item.remaining < load_.batch_run};
   }
   ItemRank RankOf(const Item& item) const {
     return ItemBacklog::RankOf(AsQueued(item), now_.time_since_epoch());
@@ -257,14 +259,14 @@
 
   // --- Online ---
 
-  // What runs at engines that are gone is lost: online fails, items wait again.
+  // Runs on lost engines fail: online requests fail, and batch items are queued again.
   void LoseDataCentre() {
     for (Engine& engine : engines_) {
       if (engine.info.data_centre != CentreOf(0)) continue;
       engine.lost = true;
       for (const BatchRun& run : engine.batch) {
         entries_[run.entry]->items.push_back(run.item);
-        entries_[run.entry]->pool.ReleaseSlot(run.place, relay::SendEnd::kBroken, {}, now_);
+        entries_[run.entry]->pool.ReleaseSlot(run.slot, relay::SendEnd::kBroken, {}, now_);
       }
       engine.batch.clear();
     }
@@ -304,16 +306,16 @@
     if (now_ - attempt.at > Duration{75'000}) ++outcome_.refused_late;
     if (!attempt.is_retry) ++outcome_.refused;
     if (attempt.is_retry || !load_.retries) return void(++outcome_.unserved);
-    const Duration left = attempt.time_left - (now_ - attempt.at);
-    const Duration after = std::min(come_back, left / 3);
+    const Duration remaining = attempt.time_left - (now_ - attempt.at);
+    const Duration after = std::min(come_back, remaining / 3);
     const int other = static_cast<int>((e + 1) % entries_.size());
-    At(after, [this, other, time_left = left - after] {
+    At(after, [this, other, time_left = remaining - after] {
       ++outcome_.retried;
       FindSlot(other, {now_, time_left, /*is_retry=*/true});
     });
   }
 
-  // Keepers by the share that is known to be free.
+  // Allocators ordered by their known share of free slots.
   std::vector<NodeId> AllocatorOrder(int e, const std::vector<BackendId>& tried) {
     std::map<int, std::pair<int, int>> shares;
     entries_[e]->pool.ForEach([&](const BackendInfo& info, const SlotUsage& use) {
@@ -365,18 +367,18 @@
   }
 
   void SendOnline(int e, const BackendId& id, const Try& attempt, std::vector<BackendId> tried) {
-    const AcquiredSlot place = entries_[e]->pool.AcquireSlot(id, WorkClass::kOnline, now_);
+    const AcquiredSlot slot = entries_[e]->pool.AcquireSlot(id, WorkClass::kOnline, now_);
     Report(e, allocator_of_.at(id));
     tried.push_back(id);
-    At(load_.datagram_delay / 2, [this, e, id, attempt, place, tried] {
+    At(load_.datagram_delay / 2, [this, e, id, attempt, slot, tried] {
       Engine& engine = engines_[index_.at(id)];
       if (engine.lost) {
-        entries_[e]->pool.ReleaseSlot(place, relay::SendEnd::kUnreachable, {}, now_);
+        entries_[e]->pool.ReleaseSlot(slot, relay::SendEnd::kUnreachable, {}, now_);
         Report(e, allocator_of_.at(id));
         if (tried.size() >= RelayRun::kMaxRejections) return OnRefused(e, attempt, Duration{0});
         return FindSlot(e, attempt, tried);
       }
-      engine.waiting.push_back({e, attempt, place});
+      engine.waiting.push_back({e, attempt, slot});
       if (engine.online + static_cast<int>(engine.batch.size()) >= load_.slots &&
           engine.online < load_.slots) {
         ++outcome_.blocked_by_batch;
@@ -402,9 +404,9 @@
         ++(run.attempt.is_retry ? outcome_.retried_late : outcome_.late);
       }
       ++engine.online;
-      At(OnlineRunLength(), [this, i, e = run.entry, place = run.place] {
+      At(OnlineRunLength(), [this, i, e = run.entry, slot = run.slot] {
         --engines_[i].online;
-        entries_[e]->pool.ReleaseSlot(place, relay::SendEnd::kAnswered, load_.online_run, now_);
+        entries_[e]->pool.ReleaseSlot(slot, relay::SendEnd::kAnswered, load_.online_run, now_);
         Report(e, allocator_of_.at(engines_[i].info.id));
         Admit(i);
       });
@@ -427,8 +429,8 @@
       }
     });
     At(load_.datagram_delay, [this, e, allocator, report] {
-      const bool near = entries_[e]->peer.data_centre == entries_[allocator]->peer.data_centre;
-      entries_[allocator]->allocator.OnReport(entries_[e]->peer, near, report, now_);
+      const bool local = entries_[e]->peer.data_centre == entries_[allocator]->peer.data_centre;
+      entries_[allocator]->allocator.OnReport(entries_[e]->peer, local, report, now_);
       SendDue(allocator);
     });
   }
@@ -491,10 +493,10 @@
     Entry& entry = *entries_[e];
     const std::uint64_t number = ++batch_runs_;
     const Item item = TakeItem(entry);
-    const AcquiredSlot place = entry.pool.AcquireSlot(id, WorkClass::kBatch, now_);
+    const AcquiredSlot slot = entry.pool.AcquireSlot(id, WorkClass::kBatch, now_);
     const int i = index_.at(id);
-    engines_[i].batch.push_back({e, number, item, now_, place});
-    At(item.left, [this, i, number] { EndBatch(i, number); });
+    engines_[i].batch.push_back({e, number, item, now_, slot});
+    At(item.remaining, [this, i, number] { EndBatch(i, number); });
   }
 
   void EndBatch(int i, std::uint64_t number) {
@@ -503,10 +505,10 @@
       if (at->number != number) continue;
       const int e = at->entry;
       if (now_ <= at->item.due) ++outcome_.items_in_time;
-      const AcquiredSlot place = at->place;
+      const AcquiredSlot slot = at->slot;
       engine.batch.erase(at);
       ++outcome_.items;
-      entries_[e]->pool.ReleaseSlot(place, relay::SendEnd::kAnswered, {}, now_);
+      entries_[e]->pool.ReleaseSlot(slot, relay::SendEnd::kAnswered, {}, now_);
       Report(e, allocator_of_.at(engine.info.id));
       return Admit(i);
     }
@@ -518,7 +520,7 @@
     for (std::size_t i = 0; i < engine.batch.size(); ++i) {
       const BatchRun& run = engine.batch[i];
       if (run.entry != e) continue;
-      const Item item{run.item.left - (now_ - run.since), run.item.due};
+      const Item item{run.item.remaining - (now_ - run.since), run.item.due};
       running.push_back({{{}, i}, item.due.time_since_epoch(), AsQueued(item).needed});
     }
     const auto stop = ItemsToStop(std::move(running), 1, now_.time_since_epoch());
@@ -526,17 +528,17 @@
     const auto at = engine.batch.begin() + static_cast<std::ptrdiff_t>(stop.front().item);
     ++outcome_.preemptions;
     Item item = at->item;
-    item.left -= now_ - at->since;
+    item.remaining -= now_ - at->since;
     entries_[e]->items.push_back(item);
-    const AcquiredSlot place = at->place;
+    const AcquiredSlot slot = at->slot;
     engine.batch.erase(at);
-    entries_[e]->pool.ReleaseSlot(place, relay::SendEnd::kAbandoned, {}, now_);
+    entries_[e]->pool.ReleaseSlot(slot, relay::SendEnd::kAbandoned, {}, now_);
     Admit(index_.at(id));
   }
 
   Load load_;
   bool ask_allocators_;
-  // Each kind of arrival by itself, so that two runs have the same.
+  // Separate generators for each kind of arrival, so that two simulations get the same arrivals.
   std::mt19937_64 arrivals_, jobs_;
   std::mt19937_64 random_;
   Time now_{};
