--- a/include/figmill/fleet.h
+++ b/include/figmill/fleet.h
@@ -132,8 +132,8 @@
   // So each chooses the best of this many random candidates.
   static constexpr int kRandomChoices = 3;
 
-  BackendPool(DataCentre data_centre, RandomBits random)
-      : data_centre_(std::move(data_centre)), random_(std::move(random)) {}
+  BackendPool(DataCentre local_data_centre, RandomBits random)
+      : local_data_centre_(std::move(local_data_centre)), random_(std::move(random)) {}
 
   // Adds a backend server or updates its listing. A new incarnation starts with fresh state: its
   // slots are free and earlier faults are forgotten. Otherwise a restarted server would stay
@@ -212,7 +212,7 @@
   [[nodiscard]] std::vector<const Backend*> Usable(const BackendQuery& query, Time now) const;
   static void RecordOutcome(Backend& backend, WorkClass work, relay::SendEnd end, Time now);
 
-  DataCentre data_centre_;
+  DataCentre local_data_centre_;
   RandomBits random_;
   std::map<BackendId, Backend> backends_;
   std::uint64_t last_generation_ = 0;
--- a/include/figmill/sharing.h
+++ b/include/figmill/sharing.h
@@ -97,7 +97,7 @@
 
   // Sets the backend servers that this entry owns now. State of an earlier incarnation is dropped:
   // its slots are free, and its faults are forgotten.
-  void SetBackends(const std::map<BackendId, KeptBackend>& backends, Time now);
+  void SetOwnedBackends(const std::map<BackendId, KeptBackend>& backends, Time now);
   // `local`: the entry is in this data centre.
   void OnReport(const Peer& from, bool local, const PlaceReport& report, Time now);
   void OnRequest(const NodeId& from, const PlaceAsk& request, Time now);
@@ -276,10 +276,10 @@
 };
 // No allocator answered: choose a backend server by the local state.
 struct ChooseLocally {};
-struct Refuse {
+struct RefuseRequest {
   Duration wait{0};  // until the caller should retry
 };
-using Action = std::variant<AskAllocator, Wait, UseSlot, ChooseLocally, Refuse>;
+using Action = std::variant<AskAllocator, Wait, UseSlot, ChooseLocally, RefuseRequest>;
 
 }  // namespace search
 
--- a/src/fleet/backend_pool.cc
+++ b/src/fleet/backend_pool.cc
@@ -70,7 +70,7 @@
 
 bool BackendPool::IsLocal(const BackendId& id) const {
   const BackendInfo* info = Find(id);
-  return info != nullptr && info->data_centre == data_centre_;
+  return info != nullptr && info->data_centre == local_data_centre_;
 }
 
 std::vector<BackendInfo> BackendPool::OfService(const ServiceName& service) const {
@@ -83,7 +83,7 @@
 
 // In fractions of its slots.
 double BackendPool::Cost(const Backend& backend) const {
-  const bool local = backend.info.data_centre == data_centre_;
+  const bool local = backend.info.data_centre == local_data_centre_;
   const SlotUsage& usage = backend.usage;
   const bool preempts = OnlineOf(usage) + usage.batch + usage.batch_other >= backend.info.slots;
   return (OnlineOf(usage) + (local ? 0 : kRemotePenalty) + (preempts ? kPreemptionPenalty : 0)) /
@@ -139,7 +139,7 @@
                                                                double share, Time now) {
   std::vector<const Backend*> candidates = Usable(query, now);
   std::erase_if(candidates, [&](const Backend* each) {
-    return each->info.data_centre != data_centre_ || now < each->rejecting_until ||
+    return each->info.data_centre != local_data_centre_ || now < each->rejecting_until ||
            OnlineOf(each->usage) >= share * each->info.slots;
   });
   if (candidates.empty()) return std::nullopt;
--- a/src/gateway/peer_link_places.cc
+++ b/src/gateway/peer_link_places.cc
@@ -60,7 +60,7 @@
     from_keeper_.try_emplace(keeper.node, FromKeeper{0, now, {}, {}, {}, {}, {}});
   }
   keeper_of_ = keepers_.used();
-  keeper_.SetBackends(keepers_.kept(), now);
+  keeper_.SetOwnedBackends(keepers_.kept(), now);
   if (!touched_.empty()) ScheduleFlush();
 }
 
--- a/src/gateway/place_finder.cc
+++ b/src/gateway/place_finder.cc
@@ -56,7 +56,7 @@
     query.tried = tried_;
     Finish(finder_.places_.Choose(query, Loop::Now()));
   }
-  void On(const search::Refuse& give_up) {
+  void On(const search::RefuseRequest& give_up) {
     Finish(Error{ErrorKind::kOverloaded, "all places are taken", Ran::kNo, give_up.wait});
   }
   void Finish(Result<BackendAddress> result) {
--- a/src/sharing/batch_slots.cc
+++ b/src/sharing/batch_slots.cc
@@ -21,8 +21,8 @@
 
 int SlotAllocator::UnusedGrantsElsewhere(const NodeId& entry, const OwnedBackend& except) const {
   const EntryState& state = entries_.at(entry);
-  const bool grant_pending = state.allowed_changed || state.acked_grant < state.last_grant;
-  if (!grant_pending) return 0;
+  const bool has_unapplied_grant = state.allowed_changed || state.acked_grant < state.last_grant;
+  if (!has_unapplied_grant) return 0;
   int unused = 0;
   for (const auto& [id, owned] : backends_) {
     if (&owned == &except || owned.info.service != except.info.service) continue;
--- a/src/sharing/slot_allocator.cc
+++ b/src/sharing/slot_allocator.cc
@@ -26,7 +26,7 @@
   return batch;
 }
 
-void SlotAllocator::SetBackends(const std::map<BackendId, KeptBackend>& backends, Time now) {
+void SlotAllocator::SetOwnedBackends(const std::map<BackendId, KeptBackend>& backends, Time now) {
   std::erase_if(backends_,
                 [&backends](const auto& each) { return !backends.contains(each.first); });
   bool restarted = false;
--- a/src/sharing/slot_requests.cc
+++ b/src/sharing/slot_requests.cc
@@ -46,9 +46,9 @@
             [now](const Entry& a, const Entry& b) { return IsServedBefore(a, b, now); });
   const auto found = std::find_if(entries_.begin(), entries_.end(), serve);
   if (found == entries_.end()) return std::nullopt;
-  Entry first = std::move(*found);
+  Entry popped = std::move(*found);
   entries_.erase(found);
-  return first;
+  return popped;
 }
 
 std::size_t SlotRequestQueue::CountAhead(const Entry& entry, Time now) const {
--- a/src/sharing/slot_search.cc
+++ b/src/sharing/slot_search.cc
@@ -27,7 +27,7 @@
   if (next_ < allocators_.size()) return RequestFrom(allocators_[next_++], now);
   // Only the answers of allocators that own slots show that all are taken; a timeout shows nothing.
   if (!shortest_queue_) return search::ChooseLocally{};
-  if (request_.may_queue) return search::Refuse{retry_after_.value_or(shortest_wait_)};
+  if (request_.may_queue) return search::RefuseRequest{retry_after_.value_or(shortest_wait_)};
   request_.may_queue = true;
   return RequestFrom(*shortest_queue_, now);
 }
--- a/test/fleet-health-test.cc
+++ b/test/fleet-health-test.cc
@@ -63,16 +63,16 @@
 TEST_CASE("a backend server that fails some of its requests is ejected, longer each time") {
   OutlierDetector detector;
   Time now = kStart;
-  Duration ejected{0};
+  Duration ejected_time{0};
   for (int i = 0; i < 2'000; ++i) {
     now += 10 * kMillisecond;
     if (detector.IsEjected(now)) {
-      ejected += 10 * kMillisecond;
+      ejected_time += 10 * kMillisecond;
       continue;
     }
     detector.Record(i % 5 < 2, now);
   }
-  CHECK(ejected > (now - kStart) * 8 / 10);
+  CHECK(ejected_time > (now - kStart) * 8 / 10);
 }
 
 // Guards against requests refused after three sends within 8 ms although slots are free. Backend
@@ -165,7 +165,7 @@
   Allocator() {
     std::map<BackendId, KeptBackend> owned;
     for (int i = 0; i < 4; ++i) owned[Engine(i)] = {kLlm, 4};
-    allocator.SetBackends(owned, kStart);
+    allocator.SetOwnedBackends(owned, kStart);
   }
   void Report(int entry, int engine, std::uint64_t answers, std::uint64_t faults, Time now) {
     PlaceReport report;
@@ -222,14 +222,14 @@
   for (int i = 0; i < 4; ++i)
     owned[Engine(i)] = {.service = kLlm, .places = 4, .incarnation = {i == 0 ? 2U : 1U}};
   SUBCASE("not when its incarnation only becomes known") {
-    k.allocator.SetBackends(owned, kStart);
+    k.allocator.SetOwnedBackends(owned, kStart);
     CHECK(k.Placed(kStart)[Engine(0)] == 0);
   }
   SUBCASE("restarted") {
     owned[Engine(0)].incarnation.number = 1;
-    k.allocator.SetBackends(owned, kStart);
+    k.allocator.SetOwnedBackends(owned, kStart);
     owned[Engine(0)].incarnation.number = 2;
-    k.allocator.SetBackends(owned, kStart);
+    k.allocator.SetOwnedBackends(owned, kStart);
     CHECK(k.Placed(kStart)[Engine(0)] > 0);
     const std::vector<SlotAllocator::Ejection> changes = k.allocator.TakeEjections();
     REQUIRE(changes.size() == 2);
--- a/test/foreign-entries-test.cc
+++ b/test/foreign-entries-test.cc
@@ -302,7 +302,7 @@
   const Time settled = start + SlotAllocator::kTakeoverDelay;
   const Peer peer{NodeId{"a"}, 1, Address{"10.0.0.1", 1}, DataCentre{"dc"}, 1, false};
   SlotAllocator keeper{0};
-  keeper.SetBackends({{kEngine, {llm, 4}}}, start);
+  keeper.SetOwnedBackends({{kEngine, {llm, 4}}}, start);
   const auto report = [&](std::uint64_t number, int online, int batch, int waiting) {
     const std::vector<WaitingItems> items =
         waiting == 0 ? std::vector<WaitingItems>{}
@@ -310,7 +310,7 @@
     keeper.OnReport(peer, true, {number, 0, {}, items, {{kEngine, online, batch}}}, settled);
   };
   report(1, 1, 2, 5);
-  keeper.SetBackends({{kEngine, {llm, 4, /*frozen=*/true}}}, settled);
+  keeper.SetOwnedBackends({{kEngine, {llm, 4, /*frozen=*/true}}}, settled);
   CHECK(keeper.AllowedBatch(kEngine, peer.node) == 2);
   report(2, 4, 2, 5);  // online that was on its way when the entry was spoilt
   CHECK(keeper.AllowedBatch(kEngine, peer.node) == 2);
@@ -324,7 +324,7 @@
   for (const SlotAllocator::Outgoing& out : keeper.TakeOutgoing(settled)) {
     if (out.answer) CHECK(out.answer->kind == PlaceAnswer::Kind::kNotKept);
   }
-  keeper.SetBackends({{kEngine, {llm, 4}}}, settled);
+  keeper.SetOwnedBackends({{kEngine, {llm, 4}}}, settled);
   CHECK(keeper.AllowedBatch(kEngine, peer.node) > 1);
 }
 
--- a/test/overload-load-test.cc
+++ b/test/overload-load-test.cc
@@ -99,7 +99,7 @@
   load.online_per_s = 50;
   load.batch_per_s = 2;
   load.lost_at = Duration{4'000'000};
-  load.duration = Duration{12'000'000};
+  load.simulated_time = Duration{12'000'000};
   const sim::Outcome outcome = sim::Simulation(load, true, 7).Run();
   load.reports_dead_engines = false;
   const sim::Outcome before = sim::Simulation(load, true, 7).Run();
--- a/test/overload-test.cc
+++ b/test/overload-test.cc
@@ -102,34 +102,34 @@
 TEST_CASE("a caller on its last try waits beyond its goal while such requests are being served") {
   OverloadTracker tracker;
   tracker.OnRefused(kStart);
-  LastTryAdmission admission;
+  LastTryAdmission last_tries;
   const LastTryAdmission::Attempt attempt{seconds(3), milliseconds(200), kRun};
-  CHECK(admission.Admits(attempt, tracker, kStart));
-  CHECK_FALSE(admission.Admits({milliseconds(600), milliseconds(200), kRun}, tracker, kStart));
-  admission.OnExpired();
-  CHECK_FALSE(admission.Admits(attempt, tracker, kStart));
-  admission.OnServed();
-  CHECK(admission.Admits(attempt, tracker, kStart));
+  CHECK(last_tries.Admits(attempt, tracker, kStart));
+  CHECK_FALSE(last_tries.Admits({milliseconds(600), milliseconds(200), kRun}, tracker, kStart));
+  last_tries.OnExpired();
+  CHECK_FALSE(last_tries.Admits(attempt, tracker, kStart));
+  last_tries.OnServed();
+  CHECK(last_tries.Admits(attempt, tracker, kStart));
 }
 
 TEST_CASE("expired last tries of the previous overload don't count in a new one") {
   OverloadTracker tracker;
   tracker.OnRefused(kStart);
-  LastTryAdmission admission;
+  LastTryAdmission last_tries;
   const LastTryAdmission::Attempt attempt{seconds(3), milliseconds(200), kRun};
-  CHECK(admission.Admits(attempt, tracker, kStart));
-  admission.OnExpired();
+  CHECK(last_tries.Admits(attempt, tracker, kStart));
+  last_tries.OnExpired();
   tracker.OnRefused(kStart + seconds(3));
-  CHECK(admission.Admits(attempt, tracker, kStart + seconds(3)));
+  CHECK(last_tries.Admits(attempt, tracker, kStart + seconds(3)));
 }
 
 TEST_CASE("a caller on its last try is refused at once when the overload outlasts it") {
   OverloadTracker tracker;
   SimulateOverload(tracker, kStart, seconds(4));
   tracker.OnRefused(kStart + seconds(8));
-  LastTryAdmission admission;
-  CHECK_FALSE(admission.Admits({seconds(3), Duration{0}, kRun}, tracker, kStart + seconds(8)));
-  CHECK(admission.Admits({seconds(3), Duration{0}, kRun}, tracker, kStart + seconds(10)));
+  LastTryAdmission last_tries;
+  CHECK_FALSE(last_tries.Admits({seconds(3), Duration{0}, kRun}, tracker, kStart + seconds(8)));
+  CHECK(last_tries.Admits({seconds(3), Duration{0}, kRun}, tracker, kStart + seconds(10)));
 }
 
 // Guards against requests that are refused twice and leave unserved. A caller retries after 0.2 s
--- a/test/sharing-test.cc
+++ b/test/sharing-test.cc
@@ -41,7 +41,7 @@
   explicit Fixture(std::vector<BackendId> engines = {kEngine}) {
     std::map<BackendId, KeptBackend> owned;
     for (const BackendId& engine : engines) owned[engine] = {kLlm, 4};
-    allocator.SetBackends(owned, kStart);
+    allocator.SetOwnedBackends(owned, kStart);
   }
 
   // `waiting`: batch items, all due at kDue.
@@ -196,8 +196,8 @@
   constexpr BackendIncarnation kFirst{1'000};
   constexpr BackendIncarnation kSecond{2'000};
   Fixture f;
-  f.allocator.SetBackends({{kEngine, {.service = kLlm, .places = 4, .incarnation = kFirst}}},
-                          kSettled);
+  f.allocator.SetOwnedBackends({{kEngine, {.service = kLlm, .places = 4, .incarnation = kFirst}}},
+                               kSettled);
   const auto report = [&f](const std::string& node, int online, int batch, int waiting,
                            BackendIncarnation incarnation) {
     PlaceReport all;
@@ -207,8 +207,8 @@
   };
   report("a", 3, 1, 0, kFirst);
   f.RequestSlot("b", RequestOf(1));
-  f.allocator.SetBackends({{kEngine, {.service = kLlm, .places = 4, .incarnation = kSecond}}},
-                          kSettled);
+  f.allocator.SetOwnedBackends({{kEngine, {.service = kLlm, .places = 4, .incarnation = kSecond}}},
+                               kSettled);
   SUBCASE("its slots are free at once") {
     report("b", 0, 0, 9, kSecond);
     CHECK(f.Allowed("b") == 4);
@@ -382,8 +382,8 @@
   }
   SUBCASE("the queue is full too") {
     const auto refused = search.OnEvent(full(Duration{50'000}, Duration{700'000}), kStart);
-    REQUIRE(std::holds_alternative<search::Refuse>(refused));
-    CHECK(std::get<search::Refuse>(refused).wait == Duration{700'000});
+    REQUIRE(std::holds_alternative<search::RefuseRequest>(refused));
+    CHECK(std::get<search::RefuseRequest>(refused).wait == Duration{700'000});
   }
 }
 
@@ -404,7 +404,7 @@
     "an allocator whose backend servers are all leaving does not queue requests for their "
     "service") {
   Fixture f(std::vector<BackendId>{});
-  f.allocator.SetBackends({{kEngine, {kLlm, 0}}}, kStart);
+  f.allocator.SetOwnedBackends({{kEngine, {kLlm, 0}}}, kStart);
   f.RequestSlot("a", RequestOf(1, /*may_queue=*/true));
   REQUIRE(f.answers.size() == 1);
   CHECK(f.answers[0].kind == PlaceAnswer::Kind::kNotKept);
@@ -508,7 +508,7 @@
   RemoteEntry() {
     std::map<BackendId, KeptBackend> owned;
     for (int i = 0; i < 8; ++i) owned[Engine(i)] = {kLlm, 4};
-    allocator.SetBackends(owned, kStart);
+    allocator.SetOwnedBackends(owned, kStart);
   }
   static BackendId Engine(int i) { return BackendId{"engine" + std::to_string(i)}; }
 
--- a/test/slot-load-test.cc
+++ b/test/slot-load-test.cc
@@ -17,7 +17,7 @@
   sim::Load load;
   load.batch_run = Duration{4'700'000};
   load.batch_per_s = 19;
-  load.duration = Duration{60'000'000};
+  load.simulated_time = Duration{60'000'000};
   return load;
 }
 
@@ -103,7 +103,7 @@
   sim::Load load = LongItems();
   load.engines = 40;
   load.batch_per_s = 40;
-  load.duration = Duration{18'000'000};
+  load.simulated_time = Duration{18'000'000};
   const sim::Outcome outcome = sim::Simulation(load, true, 7).Run();
   MESSAGE(outcome.items << " items, late or refused: " << LateShare(outcome));
   CHECK(outcome.items >= 308);
--- a/test/slot-sim.h
+++ b/test/slot-sim.h
@@ -43,7 +43,7 @@
   Duration job_due{18'000'000};
   bool reports_due_times = true;  // reports carry the due times of waiting items
   Duration datagram_delay{1'500'000 / 1000};
-  Duration duration{30'000'000};
+  Duration simulated_time{30'000'000};
 };
 
 struct Outcome {
@@ -88,7 +88,7 @@
   }
 
   Outcome Run() {
-    if (load_.lost_at < load_.duration) At(load_.lost_at, [this] { LoseDataCentre(); });
+    if (load_.lost_at < load_.simulated_time) At(load_.lost_at, [this] { LoseDataCentre(); });
     At(Duration{0}, [this] { Arrive(); });
     At(Duration{0}, [this] { ArriveJob(); });
     for (std::size_t i = 0; i < entries_.size(); ++i) Tick(static_cast<int>(i));
@@ -96,7 +96,7 @@
       if (ticked_.insert({allocator, allocator}).second) AllocatorTick(allocator);
     }
     ticked_.clear();
-    while (!events_.empty() && events_.top().at < Time{load_.duration}) {
+    while (!events_.empty() && events_.top().at < Time{load_.simulated_time}) {
       const Event event = events_.top();
       events_.pop();
       now_ = event.at;
@@ -187,7 +187,7 @@
       for (const auto& entry : entries_) entry->pool.AddOrUpdate(engine.info);
     }
     for (const auto& [allocator, backends] : owned)
-      entries_[allocator]->allocator.SetBackends(backends, now_);
+      entries_[allocator]->allocator.SetOwnedBackends(backends, now_);
   }
 
   static double Seconds(Duration time) { return std::chrono::duration<double>(time).count(); }
@@ -210,7 +210,7 @@
     Entry& entry = *entries_[jobs_() % entries_.size()];
     const Item item{load_.batch_run, now_ + load_.job_due};
     entry.items.insert(entry.items.end(), load_.job_items, item);
-    if (item.due < Time{load_.duration}) outcome_.items_due += load_.job_items;
+    if (item.due < Time{load_.simulated_time}) outcome_.items_due += load_.job_items;
     const double per_s = load_.batch_per_s / load_.job_items;
     const double gap = std::exponential_distribution<double>(per_s)(jobs_);
     At(Duration(static_cast<Duration::rep>(gap * 1e6)), [this] { ArriveJob(); });
@@ -360,7 +360,7 @@
           entry.pool.Choose({ServiceName{"llm"}, pending.tried}, now_);
       if (!IsOk(chosen)) return OnRefused(e, pending.attempt, Duration{0});
       SendOnline(e, ValueOf(chosen).id, pending.attempt, pending.tried);
-    } else if (const auto* give_up = std::get_if<search::Refuse>(&action)) {
+    } else if (const auto* give_up = std::get_if<search::RefuseRequest>(&action)) {
       entry.searches.erase(number);
       OnRefused(e, entry.pending[number].attempt, give_up->wait);
     }
