--- a/test/sharing-test.cc
+++ b/test/sharing-test.cc
@@ -228,12 +228,12 @@
                          {1, 0, {}, {}, {{kEngine, 1, 0, Duration{0}, 0, 0, TagOf(kSecond)}}},
                          kSettled);
     f.allocator.Tick(kSettled + SlotAllocator::kHeartbeat);
-    std::vector<IncarnationTag> told;
+    std::vector<IncarnationTag> sent_incarnations;
     for (const auto& out : f.allocator.TakeOutgoing(kSettled + SlotAllocator::kHeartbeat)) {
       if (!out.grant) continue;
-      for (const auto& line : out.grant->lines) told.push_back(line.incarnation);
+      for (const auto& line : out.grant->lines) sent_incarnations.push_back(line.incarnation);
     }
-    CHECK(told == std::vector<IncarnationTag>{TagOf(kSecond)});
+    CHECK(sent_incarnations == std::vector<IncarnationTag>{TagOf(kSecond)});
   }
 }
 
