--- /dev/null
+++ b/test/slot-sim.h
@@ -0,0 +1,560 @@
+#pragma once
+
+// Simulation of entries, allocators and engines in virtual time, with delayed datagrams, to replay
+// load patterns against the slot allocation.
+
+#include <cmath>
+#include <deque>
+#include <functional>
+#include <map>
+#include <memory>
+#include <queue>
+#include <random>
+#include <set>
+#include <vector>
+
+#include "figmill/items.h"
+#include "figmill/overload.h"
+#include "figmill/sharing.h"
+
+namespace figmill::sim {
+
+struct Load {
+  int entries = 36;
+  int engines = 50;
+  int slots = 7;
+  int data_centres = 5;
+  double online_per_s = 258;  // mean
+  double low = 0.39;          // factor of the mean between two load peaks
+  double high = 1.91;         // factor of the mean during a load peak
+  Duration low_duration{3'600'000};
+  Duration high_duration{2'400'000};
+  Duration online_run{550'000};
+  double online_spread = 0;  // standard deviation of an online run time, relative to its mean
+  // A refused caller retries once, after the given delay but at most a third of its remaining time.
+  bool retries = false;
+  // From this time on the engines of one data centre are gone but still listed: connections to them
+  // are refused.
+  Duration lost_at = Duration::max();
+  bool reports_dead_engines = true;  // requests exclude engines found dead
+  Duration batch_run{3'600'000};
+  double batch_per_s = 26;  // items
+  int job_items = 10;       // submitted together at one entry
+  Duration job_due{18'000'000};
+  bool reports_due_times = true;  // reports carry the due times of waiting items
+  Duration datagram_delay{1'500'000 / 1000};
+  Duration simulated_time{30'000'000};
+};
+
+struct Outcome {
+  int online = 0;
+  int late = 0;          // waited over 200 ms for a slot
+  int refused = 0;       // first tries only
+  int refused_late = 0;  // tries refused after a quarter of the goal or more
+  int retried = 0;
+  int retried_late = 0;      // retries that got a slot after the goal
+  int unserved = 0;          // refused, and either not retried or refused again
+  int assigned_to_dead = 0;  // slots assigned on engines that the entry knew to be dead
+  int items = 0;             // finished batch items
+  int items_in_time = 0;
+  int items_due = 0;         // due before the end of the simulation
+  int preemptions = 0;       // runs of batch items stopped for online requests
+  int blocked_by_batch = 0;  // online requests that had to wait for batch items
+};
+
+class Simulation {
+ public:
+  // `ask_allocators`: entries ask allocators; otherwise they choose by their local state.
+  Simulation(const Load& load, bool ask_allocators, unsigned seed)
+      : load_(load),
+        ask_allocators_(ask_allocators),
+        arrivals_(seed + 1),
+        jobs_(seed + 2),
+        random_(seed) {
+    for (int i = 0; i < load.engines; ++i) {
+      Engine& engine = engines_.emplace_back();
+      engine.info.id = BackendId{"engine-" + std::to_string(i)};
+      engine.info.service = ServiceName{"llm"};
+      engine.info.data_centre = CentreOf(i);
+      engine.info.slots = load.slots;
+      index_[engine.info.id] = i;
+    }
+    for (int i = 0; i < load.entries; ++i) {
+      Peer peer{NodeId{"entry-" + std::to_string(i)}, 1, {}, CentreOf(i), 1, false};
+      entries_.push_back(std::make_unique<Entry>(peer, [this] { return random_(); }));
+      node_[peer.node] = i;
+    }
+    ChooseAllocators();
+  }
+
+  Outcome Run() {
+    if (load_.lost_at < load_.simulated_time) At(load_.lost_at, [this] { LoseDataCentre(); });
+    At(Duration{0}, [this] { Arrive(); });
+    At(Duration{0}, [this] { ArriveJob(); });
+    for (std::size_t i = 0; i < entries_.size(); ++i) Tick(static_cast<int>(i));
+    for (const auto& [id, allocator] : allocator_of_) {
+      if (ticked_.insert({allocator, allocator}).second) AllocatorTick(allocator);
+    }
+    ticked_.clear();
+    while (!events_.empty() && events_.top().at < Time{load_.simulated_time}) {
+      const Event event = events_.top();
+      events_.pop();
+      now_ = event.at;
+      event.task();
+    }
+    return outcome_;
+  }
+
+ private:
+  struct Event {
+    Time at{};
+    std::uint64_t order = 0;
+    std::function<void()> task;
+    bool operator<(const Event& other) const {
+      return at != other.at ? at > other.at : order > other.order;
+    }
+  };
+  // A caller's timeout over all tries of one request.
+  static constexpr Duration kCallerTimeout{5'000'000};
+  // One try of an online request.
+  struct Try {
+    Time at{};
+    Duration time_left{0};
+    bool is_retry = false;
+  };
+  struct Pending {
+    int allocator = 0;  // asked last
+    Try attempt;
+    std::vector<BackendId> tried;
+  };
+  struct OnlineRun {
+    int entry = 0;
+    Try attempt;
+    AcquiredSlot slot;
+  };
+  struct Item {
+    Duration remaining{0};  // remaining run time
+    Time due{};
+  };
+  struct BatchRun {
+    int entry = 0;
+    std::uint64_t number = 0;
+    Item item;
+    Time since{};
+    AcquiredSlot slot;
+  };
+  struct Engine {
+    BackendInfo info;
+    bool lost = false;
+    int online = 0;
+    std::deque<OnlineRun> waiting;
+    std::vector<BatchRun> batch;
+  };
+  struct Entry {
+    Entry(const Peer& self, RandomBits bits)
+        : peer(self), pool(self.data_centre, std::move(bits)) {}
+    Peer peer;
+    BackendPool pool;
+    SlotAllocator allocator{0};
+    std::vector<Item> items;  // waiting
+    std::map<int, std::uint64_t> acked_grants;
+    std::map<int, std::vector<PlaceGrant::ServiceUse>>
+        service_uses;  // from allocators of other data centres
+    std::map<int, std::vector<std::uint64_t>> answered;
+    std::uint64_t reports = 0;
+    std::map<std::uint64_t, std::shared_ptr<SlotSearch>> searches;
+    std::map<std::uint64_t, Pending> pending;  // by request number
+  };
+
+  DataCentre CentreOf(int i) const {
+    return DataCentre{"dc-" + std::to_string(i % load_.data_centres)};
+  }
+
+  void At(Duration after, std::function<void()> task) {
+    events_.push({now_ + after, ++next_event_, std::move(task)});
+  }
+
+  void ChooseAllocators() {
+    PeerTable table(entries_.front()->peer);
+    for (const auto& entry : entries_) table.Heard(entry->peer, now_);
+    std::map<int, std::map<BackendId, KeptBackend>> owned;
+    for (const Engine& engine : engines_) {
+      const auto allocators =
+          table.KeepersOf(engine.info.data_centre, engines_.size() / load_.data_centres, now_);
+      const int allocator = node_.at(KeeperAmong(allocators, engine.info.id)->node);
+      allocator_of_[engine.info.id] = allocator;
+      owned[allocator][engine.info.id] = {engine.info.service, engine.info.slots};
+      for (const auto& entry : entries_) entry->pool.AddOrUpdate(engine.info);
+    }
+    for (const auto& [allocator, backends] : owned)
+      entries_[allocator]->allocator.SetOwnedBackends(backends, now_);
+  }
+
+  static double Seconds(Duration time) { return std::chrono::duration<double>(time).count(); }
+
+  double Rate() const {
+    const double phase = std::fmod(Seconds(now_.time_since_epoch()),
+                                   Seconds(load_.low_duration + load_.high_duration));
+    return load_.online_per_s * (phase < Seconds(load_.low_duration) ? load_.low : load_.high);
+  }
+
+  void Arrive() {
+    const int entry = static_cast<int>(arrivals_() % entries_.size());
+    ++outcome_.online;
+    FindSlot(entry, {now_, kCallerTimeout, /*is_retry=*/false});
+    const double gap = std::exponential_distribution<double>(Rate())(arrivals_);
+    At(Duration(static_cast<Duration::rep>(gap * 1e6)), [this] { Arrive(); });
+  }
+
+  void ArriveJob() {
+    Entry& entry = *entries_[jobs_() % entries_.size()];
+    const Item item{load_.batch_run, now_ + load_.job_due};
+    entry.items.insert(entry.items.end(), load_.job_items, item);
+    if (item.due < Time{load_.simulated_time}) outcome_.items_due += load_.job_items;
+    const double per_s = load_.batch_per_s / load_.job_items;
+    const double gap = std::exponential_distribution<double>(per_s)(jobs_);
+    At(Duration(static_cast<Duration::rep>(gap * 1e6)), [this] { ArriveJob(); });
+  }
+
+  // The queue entry that the item's owner would create, with the share of preemptions by online
+  // requests that ItemDurationEstimator assumes.
+  ItemBacklog::Entry AsQueued(const Item& item) const {
+    const double remaining =
+        static_cast<double>(item.remaining.count()) / static_cast<double>(load_.batch_run.count());
+    const double stretch = 1 + (ItemDurationEstimator::kDefaultSlowdown - 1) * remaining;
+    const Duration time_to_finish(
+        static_cast<Duration::rep>(static_cast<double>(item.remaining.count()) * stretch));
+    return {
+        {}, 0, item.due.time_since_epoch(), time_to_finish, {}, item.remaining < load_.batch_run};
+  }
+  ItemRank RankOf(const Item& item) const {
+    return ItemBacklog::RankOf(AsQueued(item), now_.time_since_epoch());
+  }
+
+  std::vector<WaitingItems> Waiting(const Entry& entry) const {
+    std::map<ItemBacklog::Group, int> groups;
+    for (const Item& item : entry.items) {
+      const ItemRank rank = RankOf(item);
+      const StoreTime due =
+          rank == ItemRank::kLate ? WaitingItems::kLate : item.due.time_since_epoch();
+      ++groups[load_.reports_due_times ? std::pair(rank, due)
+                                       : std::pair(ItemRank::kNotStarted, StoreTime{0})];
+    }
+    std::vector<WaitingItems> waiting;
+    waiting.reserve(groups.size());
+    for (const auto& [group, items] : groups) {
+      waiting.push_back({group.second, items, group.first == ItemRank::kStarted});
+    }
+    return waiting;
+  }
+
+  Item TakeItem(Entry& entry) const {
+    const auto first = std::min_element(
+        entry.items.begin(), entry.items.end(), [this](const Item& a, const Item& b) {
+          return std::pair(RankOf(a), a.due) < std::pair(RankOf(b), b.due);
+        });
+    const Item item = *first;
+    entry.items.erase(first);
+    return item;
+  }
+
+  // --- Online ---
+
+  // Runs on lost engines fail: online requests fail, and batch items are queued again.
+  void LoseDataCentre() {
+    for (Engine& engine : engines_) {
+      if (engine.info.data_centre != CentreOf(0)) continue;
+      engine.lost = true;
+      for (const BatchRun& run : engine.batch) {
+        entries_[run.entry]->items.push_back(run.item);
+        entries_[run.entry]->pool.ReleaseSlot(run.slot, relay::SendEnd::kBroken, {}, now_);
+      }
+      engine.batch.clear();
+    }
+  }
+
+  void FindSlot(int e, const Try& attempt, std::vector<BackendId> tried = {}) {
+    Entry& entry = *entries_[e];
+    BackendQuery query;
+    query.service = ServiceName{"llm"};
+    query.tried = tried;
+    if (const auto lightly_loaded =
+            ask_allocators_ ? entry.pool.ChooseLightlyLoaded(query, 0.5, now_) : std::nullopt) {
+      return SendOnline(e, lightly_loaded->id, attempt, tried);
+    }
+    if (!ask_allocators_) {
+      const Result<BackendAddress> chosen = entry.pool.Choose(query, now_);
+      if (!IsOk(chosen)) return OnRefused(e, attempt, Duration{0});
+      return SendOnline(e, ValueOf(chosen).id, attempt, tried);
+    }
+    PlaceAsk ask;
+    ask.number = ++requests_made_;
+    ask.service = query.service;
+    ask.goal_left = Duration{300'000};
+    ask.time_left = attempt.time_left;
+    ask.last_chance = retry_detector_.IsRetry("", attempt.time_left, now_);
+    ask.tried = tried;
+    if (load_.reports_dead_engines) {
+      for (BackendId& id : entry.pool.ExcludedBackends(query, now_)) ask.tried.push_back(id);
+    }
+    auto search = std::make_shared<SlotSearch>(ask, AllocatorOrder(e, ask.tried), now_);
+    entry.searches[ask.number] = search;
+    entry.pending[ask.number] = {0, attempt, std::move(tried)};
+    Perform(e, ask.number, search->Start(now_));
+  }
+
+  void OnRefused(int e, const Try& attempt, Duration come_back) {
+    if (now_ - attempt.at > Duration{75'000}) ++outcome_.refused_late;
+    if (!attempt.is_retry) ++outcome_.refused;
+    if (attempt.is_retry || !load_.retries) return void(++outcome_.unserved);
+    const Duration remaining = attempt.time_left - (now_ - attempt.at);
+    const Duration after = std::min(come_back, remaining / 3);
+    const int other = static_cast<int>((e + 1) % entries_.size());
+    At(after, [this, other, time_left = remaining - after] {
+      ++outcome_.retried;
+      FindSlot(other, {now_, time_left, /*is_retry=*/true});
+    });
+  }
+
+  // Allocators ordered by their known share of free slots.
+  std::vector<NodeId> AllocatorOrder(int e, const std::vector<BackendId>& tried) {
+    std::map<int, std::pair<int, int>> shares;
+    entries_[e]->pool.ForEach([&](const BackendInfo& info, const SlotUsage& use) {
+      if (std::find(tried.begin(), tried.end(), info.id) != tried.end()) return;
+      auto& [free, places] = shares[allocator_of_.at(info.id)];
+      free += std::max(0, info.slots - use.online - use.online_other);
+      places += info.slots;
+    });
+    std::vector<std::pair<double, int>> order;
+    order.reserve(shares.size());
+    for (auto& [allocator, share] : shares) {
+      for (const PlaceGrant::ServiceUse& use : entries_[e]->service_uses[allocator]) {
+        share = {use.places - use.online, use.places};
+      }
+      order.emplace_back(-static_cast<double>(share.first) / share.second, allocator);
+    }
+    std::sort(order.begin(), order.end());
+    std::vector<NodeId> nodes;
+    nodes.reserve(order.size());
+    for (const auto& [free, allocator] : order) nodes.push_back(entries_[allocator]->peer.node);
+    return nodes;
+  }
+
+  void Perform(int e, std::uint64_t number, const search::Action& action) {
+    Entry& entry = *entries_[e];
+    if (const auto* ask = std::get_if<search::AskAllocator>(&action)) {
+      const int allocator = node_.at(ask->allocator);
+      entry.pending[number].allocator = allocator;
+      At(load_.datagram_delay, [this, e, allocator, each = ask->request] {
+        entries_[allocator]->allocator.OnRequest(entries_[e]->peer.node, each, now_);
+        SendDue(allocator);
+      });
+    } else if (const auto* take = std::get_if<search::UseSlot>(&action)) {
+      const Pending pending = entry.pending[number];
+      entry.answered[pending.allocator].push_back(number);
+      entry.searches.erase(number);
+      if (entry.pool.IsUsable(take->backend, now_)) {
+        return SendOnline(e, take->backend, pending.attempt, pending.tried);
+      }
+      ++outcome_.assigned_to_dead;
+      const Result<BackendAddress> chosen =
+          entry.pool.Choose({ServiceName{"llm"}, pending.tried}, now_);
+      if (!IsOk(chosen)) return OnRefused(e, pending.attempt, Duration{0});
+      SendOnline(e, ValueOf(chosen).id, pending.attempt, pending.tried);
+    } else if (const auto* give_up = std::get_if<search::RefuseRequest>(&action)) {
+      entry.searches.erase(number);
+      OnRefused(e, entry.pending[number].attempt, give_up->wait);
+    }
+  }
+
+  void SendOnline(int e, const BackendId& id, const Try& attempt, std::vector<BackendId> tried) {
+    const AcquiredSlot slot = entries_[e]->pool.AcquireSlot(id, WorkClass::kOnline, now_);
+    Report(e, allocator_of_.at(id));
+    tried.push_back(id);
+    At(load_.datagram_delay / 2, [this, e, id, attempt, slot, tried] {
+      Engine& engine = engines_[index_.at(id)];
+      if (engine.lost) {
+        entries_[e]->pool.ReleaseSlot(slot, relay::SendEnd::kUnreachable, {}, now_);
+        Report(e, allocator_of_.at(id));
+        if (tried.size() >= RelayRun::kMaxRejections) return OnRefused(e, attempt, Duration{0});
+        return FindSlot(e, attempt, tried);
+      }
+      engine.waiting.push_back({e, attempt, slot});
+      if (engine.online + static_cast<int>(engine.batch.size()) >= load_.slots &&
+          engine.online < load_.slots) {
+        ++outcome_.blocked_by_batch;
+      }
+      Admit(index_.at(id));
+    });
+  }
+
+  Duration OnlineRunLength() {
+    if (load_.online_spread == 0) return load_.online_run;
+    const auto mean = static_cast<double>(load_.online_run.count());
+    std::normal_distribution<double> length(mean, mean * load_.online_spread);
+    return Duration(static_cast<Duration::rep>(std::max(mean / 4, length(arrivals_))));
+  }
+
+  void Admit(int i) {
+    Engine& engine = engines_[i];
+    while (!engine.waiting.empty() &&
+           engine.online + static_cast<int>(engine.batch.size()) < load_.slots) {
+      const OnlineRun run = engine.waiting.front();
+      engine.waiting.pop_front();
+      if (now_ - run.attempt.at > Duration{200'000}) {
+        ++(run.attempt.is_retry ? outcome_.retried_late : outcome_.late);
+      }
+      ++engine.online;
+      At(OnlineRunLength(), [this, i, e = run.entry, slot = run.slot] {
+        --engines_[i].online;
+        entries_[e]->pool.ReleaseSlot(slot, relay::SendEnd::kAnswered, load_.online_run, now_);
+        Report(e, allocator_of_.at(engines_[i].info.id));
+        Admit(i);
+      });
+    }
+  }
+
+  // --- Messages ---
+
+  void Report(int e, int allocator) {
+    Entry& entry = *entries_[e];
+    PlaceReport report;
+    report.number = ++entry.reports;
+    report.grant = entry.acked_grants[allocator];
+    report.asked = std::exchange(entry.answered[allocator], {});
+    report.waiting = Waiting(entry);
+    entry.pool.ForEach([&](const BackendInfo& info, const SlotUsage& use) {
+      if (allocator_of_.at(info.id) == allocator) {
+        report.lines.push_back(
+            {info.id, use.online, use.batch, use.usual_run, use.answers, use.faults});
+      }
+    });
+    At(load_.datagram_delay, [this, e, allocator, report] {
+      const bool local = entries_[e]->peer.data_centre == entries_[allocator]->peer.data_centre;
+      entries_[allocator]->allocator.OnReport(entries_[e]->peer, local, report, now_);
+      SendDue(allocator);
+    });
+  }
+
+  void SendDue(int allocator) {
+    for (const SlotAllocator::Outgoing& out : entries_[allocator]->allocator.TakeOutgoing(now_)) {
+      const int e = node_.at(out.to);
+      At(load_.datagram_delay, [this, e, allocator, out] {
+        if (out.grant) OnGrant(e, allocator, *out.grant);
+        if (out.answer) OnAnswer(e, *out.answer);
+      });
+    }
+  }
+
+  void OnAnswer(int e, const PlaceAnswer& answer) {
+    const auto found = entries_[e]->searches.find(answer.number);
+    if (found == entries_[e]->searches.end()) return;
+    const auto search = found->second;
+    Perform(e, answer.number, search->OnEvent(search::Answered{answer}, now_));
+  }
+
+  void OnGrant(int e, int allocator, const PlaceGrant& grant) {
+    Entry& entry = *entries_[e];
+    if (grant.number <= entry.acked_grants[allocator]) return;
+    entry.acked_grants[allocator] = grant.number;
+    entry.service_uses[allocator] = grant.services;
+    for (const PlaceGrant::Line& line : grant.lines) {
+      entry.pool.ApplyGrant(
+          line.backend, {line.online_other, line.batch_other, line.allowed, line.ejected}, now_);
+      const SlotUsage use = entry.pool.UsageOf(line.backend);
+      for (int i = use.batch; i > line.allowed; --i) StopBatch(e, line.backend);
+      StartAllowed(e, line.backend);
+    }
+    Report(e, allocator);
+  }
+
+  void Tick(int e) {
+    for (const auto& [id, allocator] : allocator_of_) {
+      if (ticked_.insert({e, allocator}).second) Report(e, allocator);
+    }
+    ticked_.clear();
+    At(SlotAllocator::kHeartbeat, [this, e] { Tick(e); });
+  }
+
+  void AllocatorTick(int e) {
+    entries_[e]->allocator.Tick(now_);
+    SendDue(e);
+    At(SlotAllocator::kCoalesce, [this, e] { AllocatorTick(e); });
+  }
+
+  // --- Batch ---
+
+  void StartAllowed(int e, const BackendId& id) {
+    Entry& entry = *entries_[e];
+    const SlotUsage use = entry.pool.UsageOf(id);
+    for (int i = use.batch; i < use.batch_allowed && !entry.items.empty(); ++i) StartBatch(e, id);
+  }
+
+  void StartBatch(int e, const BackendId& id) {
+    Entry& entry = *entries_[e];
+    const std::uint64_t number = ++batch_runs_;
+    const Item item = TakeItem(entry);
+    const AcquiredSlot slot = entry.pool.AcquireSlot(id, WorkClass::kBatch, now_);
+    const int i = index_.at(id);
+    engines_[i].batch.push_back({e, number, item, now_, slot});
+    At(item.remaining, [this, i, number] { EndBatch(i, number); });
+  }
+
+  void EndBatch(int i, std::uint64_t number) {
+    Engine& engine = engines_[i];
+    for (auto at = engine.batch.begin(); at != engine.batch.end(); ++at) {
+      if (at->number != number) continue;
+      const int e = at->entry;
+      if (now_ <= at->item.due) ++outcome_.items_in_time;
+      const AcquiredSlot slot = at->slot;
+      engine.batch.erase(at);
+      ++outcome_.items;
+      entries_[e]->pool.ReleaseSlot(slot, relay::SendEnd::kAnswered, {}, now_);
+      Report(e, allocator_of_.at(engine.info.id));
+      return Admit(i);
+    }
+  }
+
+  void StopBatch(int e, const BackendId& id) {
+    Engine& engine = engines_[index_.at(id)];
+    std::vector<RunningItem> running;
+    for (std::size_t i = 0; i < engine.batch.size(); ++i) {
+      const BatchRun& run = engine.batch[i];
+      if (run.entry != e) continue;
+      const Item item{run.item.remaining - (now_ - run.since), run.item.due};
+      running.push_back({{{}, i}, item.due.time_since_epoch(), AsQueued(item).time_to_finish});
+    }
+    const auto stop = ItemsToStop(std::move(running), 1, now_.time_since_epoch());
+    if (stop.empty()) return;
+    const auto at = engine.batch.begin() + static_cast<std::ptrdiff_t>(stop.front().item);
+    ++outcome_.preemptions;
+    Item item = at->item;
+    item.remaining -= now_ - at->since;
+    entries_[e]->items.push_back(item);
+    const AcquiredSlot slot = at->slot;
+    engine.batch.erase(at);
+    entries_[e]->pool.ReleaseSlot(slot, relay::SendEnd::kAbandoned, {}, now_);
+    Admit(index_.at(id));
+  }
+
+  Load load_;
+  bool ask_allocators_;
+  // Separate generators for each kind of arrival, so that two simulations get the same arrivals.
+  std::mt19937_64 arrivals_, jobs_;
+  std::mt19937_64 random_;
+  Time now_{};
+  std::uint64_t next_event_ = 0;
+  std::uint64_t requests_made_ = 0;
+  std::uint64_t batch_runs_ = 0;
+  std::priority_queue<Event> events_;
+  std::vector<Engine> engines_;
+  std::vector<std::unique_ptr<Entry>> entries_;
+  std::map<BackendId, int> index_;
+  std::map<NodeId, int> node_;
+  std::map<BackendId, int> allocator_of_;
+  std::set<std::pair<int, int>> ticked_;
+  RetryDetector retry_detector_;
+  Outcome outcome_;
+};
+
+}  // namespace figmill::sim
