--- a/include/figmill/online.h
+++ b/include/figmill/online.h
@@ -1,9 +1,9 @@
 #pragma once
 
-// Decisions of an entry for online requests: whom to send one to, whether its
-// team may still send, whether a failure may be tried again, and what one
-// request does next. No I/O, clocks or threads: events go in with the time,
-// actions come out. Nothing here is thread-safe; each traffic thread has its own.
+// Logic of an entry for online requests: selects the agent for a request, enforces team limits,
+// decides whether a failed attempt may be retried, and computes the next step of each request.
+// No I/O, clocks or threads: events and the current time go in, actions come out. Nothing here
+// is thread-safe; each traffic thread has its own instances.
 
 #include <array>
 #include <cstddef>
@@ -26,68 +26,72 @@
 
 // --- Routing -------------------------------------------------------------------
 
-// An agent to send to, in the incarnation that is meant.
+// A node to send to, and the incarnation that the call is meant for.
 struct Pick {
   NodeId node;
   Address address;
   Incarnation incarnation = 0;
 };
 
-// What an agent says of itself in the head of each answer.
+// The load that an agent reports in the head of each answer.
 struct AgentLoad {
   std::uint32_t online_running = 0;
   std::uint32_t batch_running = 0;
-  std::uint32_t online_mark = 0;  // online streams to fill it with before another is used
+  std::uint32_t online_mark = 0;  // online streams that it should hold before another agent is used
 };
 
 struct RouteQuery {
   ServiceName service;
-  std::string_view prefix;        // start of the prompt; empty: no affinity
-  double tokens = 1;              // tokens that the answer may have
-  std::span<const NodeId> tried;  // never picked again
+  std::string_view prefix;        // start of the prompt, for cache affinity; empty: no affinity
+  double tokens = 1;              // upper bound on the tokens of the answer
+  std::span<const NodeId> tried;  // excluded from the choice
 };
 
 // Why an attempt at an agent ended.
 enum class AttemptEnd : std::uint8_t {
-  kAnswered,   // the whole answer came, whatever its status
-  kRefused,    // a truthful refusal, such as `overloaded`; no fault
-  kFailed,     // broke off, unreachable, silent
-  kAbandoned,  // given up by this side; says nothing about the agent
+  kAnswered,   // the complete answer arrived, whatever its status
+  kRefused,    // the agent declined the request, such as `overloaded`; not a fault
+  kFailed,     // connection lost, unreachable or timed out
+  kAbandoned,  // ended by the entry; says nothing about the agent
 };
 
-// Chooses agents for one entry. Costs don't grow with the fleet: each service
-// has at most `kSubset` candidates here, chosen by rendezvous hash, so that
-// entries spread evenly over the agents and few candidates move when one leaves.
+// Chooses agents for one entry. The cost of a choice doesn't grow with the fleet: each service
+// has at most `kSubsetSize` candidates here, selected by rendezvous hash, so that the entries
+// spread evenly over the agents and few candidates change when an agent leaves.
 class Router {
  public:
-  static constexpr std::size_t kSubset = 20;
-  static constexpr std::size_t kLocalSubset = 16;  // the rest is kept for other data centres
-  static constexpr int kFailuresToEject = 3;       // in a row
+  static constexpr std::size_t kSubsetSize = 20;
+  static constexpr std::size_t kLocalSubsetSize =
+      16;  // the rest is reserved for agents in other data centres
+  static constexpr int kFailuresToEject = 3;  // consecutive
   static constexpr Duration kFirstEjection{5'000'000};
-  static constexpr Duration kLongestEjection{60'000'000};
+  static constexpr Duration kMaxEjection{60'000'000};
   static constexpr Duration kSlowStart{10'000'000};
-  static constexpr Duration kReportLife{5'000'000};  // a report's weight falls to 0 over this
-  static constexpr double kBoundedLoad = 1.25;       // of the mean load, for prefix affinity
-  static constexpr double kSlackRequests = 2;        // always allowed at the prefix's owner
-  static constexpr double kOwnSlackRequests = 0.5;   // of this entry, beyond its mean
-  static constexpr std::uint32_t kUnknownMark = 8;   // before the first report
-  static constexpr double kHopRequests = 1;          // price of another data centre
-  static constexpr double kRegionHopRequests = 16;   // price of another region
+  static constexpr Duration kReportLife{
+      5'000'000};  // the weight of a load report decays linearly to 0 over this
+  static constexpr double kBoundedLoad =
+      1.25;  // multiple of the mean load that prefix affinity may put on one agent
+  static constexpr double kPrefixOwnerSlackRequests = 2;  // always allowed at the prefix's owner
+  static constexpr double kEntrySlackRequests =
+      0.5;  // requests of this entry allowed beyond its mean per agent
+  static constexpr std::uint32_t kDefaultOnlineMark = 8;  // used before the first load report
+  static constexpr double kDataCentreCostRequests = 1;  // cost of another data centre, in requests
+  static constexpr double kRegionCostRequests = 16;     // cost of another region, in requests
 
   Router(NodeId self, DataCentre here, RandomBits random);
 
-  // Leaving, dead and drained agents are out at once; suspect ones serve only a
-  // service that has no other.
+  // Leaving, dead and drained agents are removed at once; suspect agents serve only services
+  // that have no other agent.
   void Update(const Snapshot& snapshot, Time now);
 
-  // Errors: kNoBackend (nobody left to try), ran no.
+  // Errors: kNoBackend (no candidate is left), with Ran::kNo.
   [[nodiscard]] Result<Pick> Choose(const RouteQuery& query, Time now);
-  // The agent in its present incarnation, also when ejected or suspect.
+  // The agent in its current incarnation, also when ejected or suspect.
   [[nodiscard]] std::optional<Pick> Find(const NodeId& node) const;
 
   void Dispatched(const NodeId& node, double tokens);
   void HeadSeen(const NodeId& node, const AgentLoad& load, Time now);
-  // `error` says why, for kRefused.
+  // `error` gives the reason of kRefused.
   void Ended(const NodeId& node, double tokens, AttemptEnd end, const std::optional<Error>& error,
              Time now);
 
@@ -97,14 +101,15 @@
  private:
   struct Agent {
     Pick pick;
-    std::uint32_t online_mark = kUnknownMark;
-    double hop_requests = 0;
+    std::uint32_t online_mark = kDefaultOnlineMark;
+    double distance_cost_requests = 0;
     bool suspect = false;
     double own_tokens = 0;
     std::uint32_t own_running = 0;
-    double others_running = 0;  // by the last report, without our own
+    double others_running = 0;  // from the last report, without this entry's own requests
     std::optional<Time> reported_at;
-    std::optional<Time> ramp_from;  // set while the agent is slowly let in
+    std::optional<Time>
+        slow_start_began_at;  // start of the slow start; unset when the agent never had one
     int failures = 0;
     int ejections = 0;
     Time ejected_until{};
@@ -113,47 +118,49 @@
   struct Candidate {
     Agent* agent = nullptr;
     double cost = 0;
-    std::size_t rank = 0;  // in the order that all entries share
+    std::size_t common_order = 0;  // position in the order that all entries share
   };
 
-  void Choosable(const RouteQuery& query, Time now, std::vector<Candidate>& out);
-  void KeepTogether(const ServiceName& service, Time now, std::vector<Candidate>& out) const;
+  void CollectCandidates(const RouteQuery& query, Time now, std::vector<Candidate>& out);
+  void ConsolidateOnlineStreams(const ServiceName& service, Time now,
+                                std::vector<Candidate>& out) const;
   [[nodiscard]] static double ReportWeight(const Agent& agent, Time now);
   [[nodiscard]] static double SlowStartShare(const Agent& agent, Time now);
-  [[nodiscard]] static double UsualOthers(std::span<const Candidate> candidates, Time now);
-  [[nodiscard]] double Cost(const Agent& agent, double tokens, double usual_others, Time now) const;
-  [[nodiscard]] const Candidate* Owner(const RouteQuery& query,
-                                       std::span<const Candidate> candidates) const;
-  [[nodiscard]] const Candidate& BetterOfTwo(std::span<const Candidate> candidates);
-  void Fail(Agent& agent, Time now);
+  [[nodiscard]] static double MeanOthersRunning(std::span<const Candidate> candidates, Time now);
+  [[nodiscard]] double Cost(const Agent& agent, double tokens, double mean_others_running,
+                            Time now) const;
+  [[nodiscard]] const Candidate* PrefixOwner(const RouteQuery& query,
+                                             std::span<const Candidate> candidates) const;
+  [[nodiscard]] const Candidate& PowerOfTwoChoices(std::span<const Candidate> candidates);
+  void RecordFailure(Agent& agent, Time now);
 
   NodeId self_;
   DataCentre here_;
   RandomBits random_;
-  bool started_ = false;
+  bool updated_once_ = false;
   std::shared_ptr<const Config> config_;
   double mean_tokens_ = 256;
   std::unordered_map<NodeId, Agent> agents_;
   std::unordered_map<ServiceName, std::vector<NodeId>> subsets_;
-  std::vector<Candidate> scratch_;
+  std::vector<Candidate> candidates_;
 };
 
 // --- Team limits ---------------------------------------------------------------
 
-// A team's limit holds over all entries without a counter in the store. Each
-// team has a home: the entry that wins the rendezvous hash for it. An entry that
-// needs more than a small free share reports its demand to the home, which
-// splits the limit by demand. With the home silent, a share lapses to an equal one.
+// A team's limit holds over all entries without a counter in the store. Each team has an owner:
+// the entry with the highest rendezvous hash for it. An entry that needs more than a small
+// share that it may use unasked reports its demand to the owner, which divides the limit by
+// demand. When the owner doesn't respond, an entry's share expires and it uses an equal share.
 
 struct TeamRates {
   double requests = 0;
   double tokens = 0;
 };
 
-// What an entry tells a team's home.
+// The demand for a team that an entry reports to the team's owner.
 struct ShareReport {
   TeamId team;
-  TeamRates wanted;    // a second, also what was refused
+  TeamRates wanted;    // per second, including refused requests
   TeamRates admitted;  // since the last report
 };
 struct ShareAsk {
@@ -164,10 +171,10 @@
 class TokenBucket {
  public:
   void SetRate(double per_second, double capacity, Time now);
-  // Level after refill; below 0 when a large request has run it into debt.
+  // Tokens available after the refill; negative when a large request has overdrawn the bucket.
   [[nodiscard]] double Level(Time now);
   void Take(double n) { level_ -= n; }
-  // Until the level is at least `n`.
+  // Time until the level is at least `n`.
   [[nodiscard]] Duration Until(double n, Time now);
   [[nodiscard]] double capacity() const { return capacity_; }
 
@@ -182,22 +189,23 @@
 class TeamLimits {
  public:
   static constexpr Duration kReportPeriod{500'000};
-  static constexpr Duration kGrantLife{3'000'000};
-  static constexpr Duration kForgetAfter{60'000'000};
-  static constexpr double kFreeShare = 0.25;  // of an equal share, without asking
-  static constexpr double kLeastBurst = 2;    // requests
+  static constexpr Duration kShareLifetime{3'000'000};
+  static constexpr Duration kIdleTimeout{60'000'000};
+  static constexpr double kFreeShare =
+      0.25;  // fraction of an equal share that an entry may use without a grant
+  static constexpr double kMinBurst = 2;  // requests
   static constexpr std::size_t kMaxTeams = 8192;
 
   explicit TeamLimits(NodeId self) : self_(std::move(self)) {}
   void Update(const Snapshot& snapshot, Time now);
 
-  // Charges one request of `tokens`. Errors: kTeamLimit, ran no, with retry_after.
+  // Charges one request of `tokens`. Errors: kTeamLimit, with Ran::kNo and retry_after.
   [[nodiscard]] Result<Ok> Admit(const TeamId& team, double tokens, Time now);
-  // Corrects the charge when the answer turned out shorter or longer.
+  // Corrects the charge by the actual length of the answer.
   void Settle(const TeamId& team, double charged, double used);
 
-  // Reports that are due; call it once a kReportPeriod. A team whose home is this
-  // entry is asked for here too, with `home.node` this entry.
+  // Reports that are due; call this once every kReportPeriod. A team that this entry owns is
+  // included, with this entry as the owner.
   [[nodiscard]] std::vector<ShareAsk> Due(Time now);
   void Granted(const TeamId& team, const TeamRates& share, Time now);
 
@@ -211,15 +219,17 @@
     TokenBucket tokens;
     TeamRates demand;    // since the last report
     TeamRates admitted;  // since the last report
-    TeamRates wanted;    // smoothed, a second
+    TeamRates wanted;    // smoothed, per second
     std::optional<TeamRates> share;
-    std::optional<Time> asked_at;  // since when the home is asked, or it answered last
+    std::optional<Time>
+        owner_asked_at;  // time of the first unanswered request to the owner, or of its last answer
     Time used_at{};
     Time reported_at{};
-    bool short_of = false;  // ran low, or refused, since the last report
+    bool needs_larger_share =
+        false;  // the bucket ran low or a request was refused since the last report
   };
   void SetRates(Team& team, const TeamLimit& limit, Time now) const;
-  [[nodiscard]] Team* Track(const TeamId& team, const TeamLimit& limit, Time now);
+  [[nodiscard]] Team* FindOrAdd(const TeamId& team, const TeamLimit& limit, Time now);
   void Forget(Time now);
 
   NodeId self_;
@@ -228,17 +238,18 @@
   std::unordered_map<TeamId, Team> teams_;
 };
 
-// The home's side: splits a team's limit by reported demand, and takes back what
-// was admitted beyond it, so that the long run keeps to the limit.
+// The owner's side: divides a team's limit by reported demand and recovers what was admitted
+// beyond it, so that the long-term rate stays within the limit.
 class TeamShares {
  public:
   static constexpr Duration kReportLife{2'000'000};
-  static constexpr double kPaybackSeconds = 4;  // an excess is taken back over about this
-  static constexpr double kLeastShare = 0.1;    // of the limit, while paying back
+  static constexpr double kRecoverySeconds = 4;  // an excess is recovered over about this time
+  static constexpr double kMinShare =
+      0.1;  // fraction of the limit that remains while an excess is recovered
 
   [[nodiscard]] TeamRates Report(const NodeId& entry, const ShareReport& report,
                                  const TeamLimit& limit, Time now);
-  // Drops teams without reports.
+  // Drops teams that no entry reported for TeamLimits::kIdleTimeout.
   void Forget(Time now);
   [[nodiscard]] std::size_t tracked() const { return teams_.size(); }
 
@@ -249,7 +260,7 @@
   };
   struct Team {
     std::map<NodeId, Reporter> reporters;
-    TeamRates excess;  // admitted beyond the limit, not yet taken back
+    TeamRates excess;  // admitted beyond the limit and not yet recovered
     Time at{};
   };
   std::unordered_map<TeamId, Team> teams_;
@@ -257,41 +268,41 @@
 
 // --- Retry budget ----------------------------------------------------------------
 
-// Retries of a service are a share of its successes, so that failing servers
-// can't multiply the load on the others: attempts <= requests x 1.1 + reserve.
+// Limits the retries of a service to a fraction of its successes, so that failing servers can't
+// multiply the load on the others: attempts <= requests x 1.1 + reserve.
 class RetryBudget {
  public:
-  static constexpr double kShare = 0.1;
-  static constexpr double kReserve = 5;  // retries at start, and the most saved up
+  static constexpr double kRetriesPerSuccess = 0.1;
+  static constexpr double kMaxRetries = 5;  // initial balance and upper bound of the saved retries
   void Succeeded();
   [[nodiscard]] bool Spend();
 
  private:
-  double saved_ = kReserve;
+  double balance_ = kMaxRetries;
 };
 
 // --- Event streams -----------------------------------------------------------------
 
-// Cuts a text/event-stream into whole events, so that a stream which breaks
-// inside an event can go on after the last whole one.
+// Splits a text/event-stream into complete events, so that a stream whose connection is lost
+// inside an event can be resumed after the last complete one.
 class EventCutter {
  public:
-  // Whole events, each with its blank line, that `bytes` completes.
+  // Passes on each event that `bytes` completes, with the blank line that ends it.
   void Feed(std::string_view bytes, const std::function<void(std::string_view event)>& on_event);
-  // Gives up the unfinished event.
-  [[nodiscard]] std::string TakeTail();
-  // One that carries a token: it has data, and isn't the closing "[DONE]".
-  [[nodiscard]] static bool CarriesToken(std::string_view event);
+  // Removes and returns the incomplete event.
+  [[nodiscard]] std::string TakeIncompleteEvent();
+  // Whether the event has data other than the closing "[DONE]".
+  [[nodiscard]] static bool HasToken(std::string_view event);
 
  private:
-  std::string tail_;
-  std::size_t scanned_ = 0;
+  std::string incomplete_;
+  std::size_t searched_to_ = 0;
 };
 
 // --- One request ---------------------------------------------------------------------
 
-// Numbers the calls of one request, resumes included. Events of a call that is
-// no longer the current one are late: dropped and counted.
+// Numbers the calls of one request, including resumes. Events of a call that is no longer the
+// current one are late: they are dropped and counted.
 using CallNumber = std::uint32_t;
 
 struct RequestPlan {
@@ -300,20 +311,20 @@
   std::string prefix;
   double tokens = 1;
   bool repeatable = true;
-  bool can_resume = true;    // model engines hold streams; plain services don't
-  bool wants_stream = true;  // the caller asked for events; a resume must give the same
+  bool can_resume = true;    // model engines keep streams for a resume; plain services don't
+  bool wants_stream = true;  // the caller requested events; a resume must also return events
   Time deadline{};
 };
 
 namespace event {
 
 struct Start {};
-// A dispatch that had to wait, as for a durable claim, goes out now: silence is
-// counted from here.
+// A delayed dispatch, such as one that waited for a durable claim, was sent; the silence
+// timeout starts now.
 struct Sent {
   CallNumber call = 0;
 };
-// A problem document in place of an answer, or in its `F` frame.
+// A problem document in place of an answer, or in the answer's `F` frame.
 struct AgentRefused {
   CallNumber call = 0;
   Error error;
@@ -322,7 +333,7 @@
   CallNumber call = 0;
   int status = 0;
   std::string content_type;
-  // As the agent names it; an answer to another request is dropped.
+  // The request id that the agent returned; an answer to another request is dropped.
   RequestId request;
 };
 struct Data {
@@ -331,12 +342,12 @@
 };
 struct End {
   CallNumber call = 0;
-  std::uint64_t bytes = 0;  // by the final marker
+  std::uint64_t bytes = 0;  // as stated by the final marker
   std::uint64_t tokens = 0;
   std::uint64_t cached_tokens = 0;
 };
-// The call broke off, or ended without its final marker. `sent` is false only
-// when no connection was made.
+// The call failed: its connection was lost, or it ended without its final marker. `sent` is
+// false only when no connection was established.
 struct Broke {
   CallNumber call = 0;
   bool sent = true;
@@ -358,28 +369,30 @@
 
 namespace action {
 
-// Call the agent. `resume` continues a stream that it ran under this id before.
+// Calls the agent. `resume` continues a stream that the agent ran earlier under this id.
 struct Dispatch {
   CallNumber call = 0;
   Pick to;
   RequestId request;
   bool resume = false;
-  std::uint64_t resume_from = 0;  // tokens that the caller has
+  std::uint64_t resume_from = 0;  // tokens that the caller has received
 };
-// Ask whether the request was started there; answer with RevokeAnswered.
+// Asks the agent whether it started the request, and revokes the request if it did not; the
+// result is RevokeAnswered.
 struct Revoke {
   CallNumber call = 0;
   Pick to;
   RequestId request;
 };
-// The call is over for this request: close its connection, tell the router.
+// The request no longer uses the call: close its connection and report the outcome to the
+// router.
 struct CallOver {
   CallNumber call = 0;
   Pick to;
   AttemptEnd end = AttemptEnd::kAbandoned;
   std::optional<Error> error;
 };
-// Stop the work at the engine.
+// Cancels the work at the engine.
 struct CancelAt {
   Pick to;
   RequestId request;
@@ -395,11 +408,12 @@
   std::uint64_t tokens = 0;
   std::uint64_t cached_tokens = 0;
 };
-// The final answer. After SendHead the caller must see that the answer broke.
+// The final answer. After SendHead the caller's connection must be closed so that the answer is
+// visibly incomplete.
 struct Fail {
   Error error;
 };
-// One timer; a later one replaces it.
+// Sets the only timer of the request, replacing an earlier one.
 struct SetTimer {
   Time at{};
 };
@@ -410,40 +424,41 @@
                                    action::CancelAt, action::SendHead, action::SendBytes,
                                    action::Finish, action::Fail, action::SetTimer>;
 
-// Where a request may go; bound to a Router by the shell.
+// Lookups of agents for a request; the I/O layer binds them to a Router.
 struct RequestRoutes {
   std::function<Result<Pick>(const RequestPlan& plan, std::span<const NodeId> tried, Time now)>
       choose;
   std::function<std::optional<Pick>(const NodeId& node)> find;
 };
 
-// The life of one online request at its entry. What it keeps to:
-// - work is sent again only when an agent proved that it never started, or when
-//   it is repeatable; to another agent, within the budget and the deadline;
-// - a stream that breaks is resumed before it is run again;
-// - the caller gets each byte once and in order; an answer without its final
-//   marker or of the wrong length is broken, never short;
-// - `ran` in the final error is true over all attempts;
-// - a request that is given up gets its answer at once.
+// State machine of one online request at its entry. Invariants:
+// - work is sent again only when an agent confirmed that it never started, or when it is
+//   repeatable; to another agent only within the retry budget and the deadline;
+// - a broken stream is resumed before the request is run again;
+// - the caller gets each byte once and in order; an answer without its final marker or of the
+//   wrong length is reported as broken and never passed as complete;
+// - `ran` in the final error covers all attempts;
+// - a request that fails for good is answered at once.
 class RequestRun {
  public:
-  // An answer that is no event stream is held until it is whole, so that a break
-  // never shows; a larger one than this fails as kTooLarge.
-  static constexpr std::size_t kHoldBytes = std::size_t{8} << 20;
-  // Silence after which the agent is asked whether the work still runs.
-  static constexpr Duration kHeadPatience{3'000'000};
-  static constexpr Duration kStreamPatience{2'000'000};
+  // An answer that is not an event stream is buffered until it is complete, so that the caller
+  // never sees a lost connection; an answer larger than this fails as kTooLarge.
+  static constexpr std::size_t kMaxBufferedBytes = std::size_t{8} << 20;
+  // Time without data after which the agent is asked whether the work is still running.
+  static constexpr Duration kHeadTimeout{3'000'000};
+  static constexpr Duration kStreamTimeout{2'000'000};
   static constexpr Duration kRevokeTimeout{1'000'000};
-  static constexpr int kRevokes = 3;  // for what may not be repeated; others ask once
-  // Resumes in a row, without progress. What may not be repeated has no other
-  // way to its answer, and a restarted agent needs seconds to be known.
-  static constexpr int kResumes = 3;
-  static constexpr int kResumesOfUnrepeatable = 7;
+  static constexpr int kMaxRevokes =
+      3;  // for requests that are not repeatable; others send one revoke
+  // Consecutive resumes without progress. A request that is not repeatable has no other way to
+  // its answer, and a restarted agent needs seconds to appear in the membership.
+  static constexpr int kMaxResumes = 3;
+  static constexpr int kMaxResumesOfUnrepeatable = 7;
   static constexpr Duration kResumeBackoff{50'000};
-  static constexpr Duration kLongestResumeBackoff{2'000'000};
+  static constexpr Duration kMaxResumeBackoff{2'000'000};
   static constexpr Duration kRetryAfter{1'000'000};
 
-  // `routes` and `budget` outlive the run.
+  // `routes` and `budget` must outlive this object.
   RequestRun(RequestPlan plan, const RequestRoutes& routes, RetryBudget& budget, RandomBits random);
 
   [[nodiscard]] std::vector<RequestAction> On(const RequestEvent& event, Time now);
@@ -451,28 +466,29 @@
   [[nodiscard]] bool done() const { return phase_ == Phase::kDone; }
   [[nodiscard]] std::uint32_t attempts() const { return attempts_; }
   [[nodiscard]] std::uint32_t resumes() const { return resumes_; }
-  [[nodiscard]] std::uint32_t late_events() const { return late_; }
+  [[nodiscard]] std::uint32_t late_events() const { return late_events_; }
   [[nodiscard]] const RequestPlan& plan() const { return plan_; }
 
  private:
   enum class Phase : std::uint8_t {
     kNew,
-    kWaiting,    // call open, no head yet
-    kStreaming,  // call open, head seen
-    kRevoking,   // no call; waiting to hear whether it started
-    kResting,    // no call; resume when the timer fires
+    kWaiting,     // call open, head not received
+    kStreaming,   // call open, head received
+    kRevoking,    // no call; waiting for the answer to a revoke
+    kBackingOff,  // no call; waiting for the resume backoff to end
     kDone,
   };
-  // What is known of the current attempt.
+  // State of the current attempt.
   struct Attempt {
-    Pick to;        // of the present call
-    Pick first_to;  // whose incarnation can say that the work never started
+    Pick to;             // of the present call
+    Pick dispatched_to;  // the target of the dispatch; only this incarnation can confirm that the
+                         // work never started
     RequestId request;
     Ran ran = Ran::kNo;
-    bool resuming = false;  // the present call asks for a resume
+    bool resuming = false;  // the current call is a resume
     int resumes_in_row = 0;
     int revokes = 0;
-    int said_finished = 0;  // by probes, while its answer stays out
+    int finished_probes = 0;  // probes answered with kFinished while the answer was missing
     bool new_incarnation_tried = false;
   };
 
@@ -488,25 +504,25 @@
   void OnCallerGone();
 
   void DispatchTo(const Pick& pick, bool resume, Time now);
-  void Broken(const Error& why, Time now);
-  void AskWhetherStarted(Time now);
-  void Probe(Time now);
-  void ProbeAnswered(event::RevokeState state, Time now);
-  void ResumeSoon(Time now);
+  void HandleBrokenCall(const Error& why, Time now);
+  void SendRevoke(Time now);
+  void SendProbe(Time now);
+  void OnProbeAnswered(event::RevokeState state, Time now);
+  void ScheduleResume(Time now);
   void Resume(Time now);
-  void AskedInVain(Time now);
-  void CantResume(Time now);
-  void TryElsewhere(Time now);
-  [[nodiscard]] bool SpentNothing() const;
+  void OnRevokeUnanswered(Time now);
+  void RerunOrFail(Time now);
+  void DispatchToNextAgent(Time now);
+  [[nodiscard]] bool IsFreeRetry() const;
   void CloseCall(AttemptEnd end, std::optional<Error> error = {});
   void CancelStarted();
-  void GiveUp(Error error);
+  void FinishWithError(Error error);
   void DropUnsent();
   void Deliver(std::string_view bytes);
   void DeliverEvent(std::string_view event);
-  void Send(std::string bytes);
-  void Listen(Duration patience, Time now);
-  void Arm(Time at);
+  void SendToCaller(std::string bytes);
+  void ArmSilenceTimer(Duration silence_timeout, Time now);
+  void ArmTimer(Time at);
   [[nodiscard]] bool IsCurrent(CallNumber call);
   [[nodiscard]] bool CallOpen() const;
 
@@ -522,27 +538,28 @@
   std::vector<NodeId> tried_;
   std::uint32_t attempts_ = 0;
   std::uint32_t resumes_ = 0;
-  std::uint32_t late_ = 0;
-  Ran ran_before_ = Ran::kNo;  // over the earlier attempts
-  Error last_error_;           // why the last attempt failed
-  Time wake_at_{};             // when silence is questioned, or a rest ends
+  std::uint32_t late_events_ = 0;
+  Ran ran_before_ = Ran::kNo;  // combined over the earlier attempts
+  Error last_error_;           // reason of the last failed attempt
+  Time timer_due_{};           // when the silence timeout or the resume backoff ends
   std::optional<Time> armed_at_;
   bool probing_ = false;
-  Duration patience_{0};
+  Duration silence_timeout_{0};
 
   // The answer.
   int status_ = 0;
   std::string content_type_;
   bool event_stream_ = false;
   bool head_sent_ = false;
-  bool differs_ = false;  // a new run's events aren't the ones sent
-  std::string held_;      // not sent yet: a whole answer, or a closing event
+  bool rerun_differs_ = false;  // the events of a rerun differ from those already sent
+  std::string buffer_;          // not sent yet: a buffered answer, or events without a token
   EventCutter cutter_;
   std::uint64_t call_bytes_ = 0;   // of the present call
-  std::uint64_t tokens_sent_ = 0;  // events with a token that the caller has
-  std::uint64_t sent_hash_ = 0;    // over those
-  std::uint64_t replay_left_ = 0;  // of a new run, still to be matched to the ones sent
-  std::uint64_t replay_hash_ = 0;
+  std::uint64_t tokens_sent_ = 0;  // events with a token that the caller has received
+  std::uint64_t sent_hash_ = 0;    // over the tokens counted by tokens_sent_
+  std::uint64_t rerun_events_left_ =
+      0;  // events of a rerun still to be compared with those already sent
+  std::uint64_t rerun_hash_ = 0;
 };
 
 }  // namespace figmill
--- a/include/figmill/relay.h
+++ b/include/figmill/relay.h
@@ -1,15 +1,15 @@
 #pragma once
 
-// The life of one request that an entry passes to a backend server itself: when
-// it is sent, sent again, resumed, refused or broken off. No I/O: typed events go
-// in with the time, typed actions come out. Not thread-safe.
+// State machine of one request that an entry forwards to a backend server itself: decides when
+// the request is sent, resent, resumed, rejected or aborted. No I/O: typed events and the
+// current time go in, typed actions come out. Not thread-safe.
 //
-// What it keeps to:
-// - a request that may not be repeated goes out a second time only after the
-//   backend server said that it did not run it, or when it was never sent;
-// - "not run" is said only when that is true of every send;
-// - the caller gets each event of a stream once, whole and in order, and what
-//   breaks off looks broken.
+// Invariants:
+// - a request that is not idempotent is sent a second time only after the backend server
+//   reported that it did not run it, or when it was never sent;
+// - the final error says "not run" only when that holds for every send;
+// - the caller gets each event of a stream once, complete and in order, and an incomplete
+//   answer is visibly incomplete.
 
 #include <cstdint>
 #include <optional>
@@ -22,60 +22,61 @@
 
 namespace figmill {
 
-// A backend server. One that starts again may keep its id.
+// Id of a backend server. It may stay the same across a restart of the server.
 struct BackendId {
   std::string value;
   auto operator<=>(const BackendId&) const = default;
   [[nodiscard]] bool empty() const { return value.empty(); }
 };
 
-// One life of a backend server, from a start of its process to its end. A later one has a
-// higher number, and nothing of what an earlier one held or was sent.
+// One process lifetime of a backend server, from start to exit. A later incarnation has a
+// higher number and keeps no state of an earlier one, nor any request that was sent to it.
 struct BackendIncarnation {
-  std::uint64_t number = 0;  // 0: not known
+  std::uint64_t number = 0;  // 0: unknown
   auto operator<=>(const BackendIncarnation&) const = default;
   [[nodiscard]] bool known() const { return number != 0; }
 };
-// Whether `now` began after `before` had ended. One that is not known is neither before nor
+// Whether `now` started after `before` had ended. An unknown incarnation is neither before nor
 // after any other.
 [[nodiscard]] inline bool IsLater(BackendIncarnation now, BackendIncarnation before) {
   return before.known() && now > before;
 }
 
-// Where a backend server is reached, and in which incarnation it was when it was chosen.
+// The address of a backend server, and its incarnation at the time it was chosen.
 struct BackendAddress {
   BackendId id;
   Address address;
   BackendIncarnation incarnation = {};
 };
 
-// Numbers the sends of one request; events of an earlier one are late and dropped.
+// Numbers the sends of one request; events of an earlier send are late and are dropped.
 using SendNumber = std::uint32_t;
 
 struct RelayPlan {
   RequestId request;
   bool idempotent = false;  // may run more than once
-  bool stream = false;      // the answer is passed on event by event
-  bool resumable = false;   // a stream can go on after an event id
+  bool stream = false;      // the answer is forwarded event by event
+  bool resumable = false;   // a stream can be resumed after an event id
   int max_backends = 1;     // on how many backend servers it may run
-  Time limit{};             // final answer by then
-  // Silence after which an idempotent request is tried elsewhere. 0: never.
+  Time limit{};             // the final answer is due by then
+  // Time without data after which an idempotent request is sent to another backend server. 0:
+  // never.
   Duration first_byte_patience{0};
   Duration next_byte_patience{0};
-  // Where the caller itself resumes from.
+  // The event id after which the caller resumes a stream.
   std::optional<std::string> after_event = {};
 };
 
-// The status of a backend server that is not the one that a request was meant for.
+// HTTP status of a backend server that is not the one that the request was addressed to.
 inline constexpr int kMisdirected = 421;
 
-// Whose request an answer names.
+// How the request id in an answer compares to the id of the request that was sent.
 enum class AnsweredId : std::uint8_t { kOurs, kNone, kAnothers };
 [[nodiscard]] AnsweredId AnsweredIdOf(std::string_view echoed, std::string_view ours);
-// Whether an answer is the one to our request. A second answer to an earlier request may come
-// where this one's is due; "not run" in it says nothing of ours, and a request that may not be
-// repeated would run twice if it were believed. Backend servers refuse without naming a request
-// as well; a late answer always names one.
+// Whether an answer belongs to our request. A duplicate answer to an earlier request may arrive
+// on a reused connection in place of the expected one; if its "not run" were taken for ours, a
+// request that is not idempotent would run twice. Backend servers may reject a request without
+// a request id; a late answer always has one.
 [[nodiscard]] inline bool IsOurs(AnsweredId id, bool not_run) {
   return id == AnsweredId::kOurs || (id == AnsweredId::kNone && not_run);
 }
@@ -85,15 +86,14 @@
 // --- Events ----------------------------------------------------------------------
 
 struct Start {};
-// The answer to AskPlace.
+// The result of AskPlace.
 struct Placed {
   BackendAddress backend;
 };
 struct NoPlace {
   Error error;
 };
-// The head of an answer. `not_run`: the backend server says that it did not run
-// the request.
+// The head of an answer. `not_run`: the backend server states that it did not run the request.
 struct Head {
   SendNumber send = 0;
   HttpHead head;
@@ -107,13 +107,14 @@
 struct End {
   SendNumber send = 0;
 };
-// `sent` is false only when no connection was made.
+// The send failed: its connection was lost or the answer was malformed. `sent` is false only
+// when no connection was established.
 struct Broke {
   SendNumber send = 0;
   bool sent = true;
   std::string why;
 };
-// The incarnation of the backend server that it was sent to has ended.
+// The incarnation of the backend server that the request was sent to has ended.
 struct BackendRestarted {
   SendNumber send = 0;
 };
@@ -125,30 +126,31 @@
 
 // --- Actions -----------------------------------------------------------------------
 
-// Choose a backend server; the answer is Placed or NoPlace, also at once.
+// Chooses a backend server; the result is Placed or NoPlace, possibly at once.
 struct AskPlace {
-  std::vector<BackendId> tried;  // not again
-  bool resumes = false;          // part of the answer has been delivered
+  std::vector<BackendId> tried;  // excluded from the choice
+  bool resumes = false;          // part of the answer was already delivered
 };
 struct Send {
   SendNumber send = 0;
   BackendAddress backend;
-  std::optional<std::string> after_event;  // resume after this event
+  std::optional<std::string> after_event;  // resume the stream after this event
   Duration time_left{0};
 };
-// How a send ended, for the health of the backend server.
+// The outcome of a send, which is evaluated for the health of the backend server.
 enum class SendEnd : std::uint8_t {
-  kAnswered,     // whole, and no failure
-  kRejected,     // not run, says the backend server
+  kAnswered,     // complete, and not a server error
+  kRejected,     // not run, as the backend server stated
   kMisdirected,  // not run: another backend server answers at its address
-  kFailed,       // an answer that says it failed
-  kUnreachable,  // no connection
-  kBroken,       // broke off, was malformed or belonged to another request
-  kSilent,       // given up for its silence
-  kAbandoned,    // the caller left, or its time was up
+  kFailed,       // complete or partial answer with a server error status
+  kUnreachable,  // no connection was established
+  kBroken,       // connection lost, answer malformed, or answer to another request
+  kSilent,       // no data within the silence timeout
+  kAbandoned,    // the caller disconnected, or the deadline passed
 };
 [[nodiscard]] std::string_view ToString(SendEnd end);
-// The send is over: close its connection if it is still open, give its place back.
+// The request no longer uses the send: close its connection if it is still open and release its
+// slot at the backend server.
 struct SendOver {
   SendNumber send = 0;
   BackendAddress backend;
@@ -161,21 +163,21 @@
 struct PassBytes {
   std::string bytes;
 };
-// A whole answer at once.
+// Forwards a complete answer.
 struct PassAnswer {
   HttpHead head;
   std::string body;
 };
 struct Finish {};
-// The final answer is this entry's own.
+// The final answer is an error of this entry.
 struct Refuse {
   Error error;
 };
-// The answer can't be finished: close the caller's connection.
+// The answer can't be completed: close the caller's connection.
 struct BreakOff {
   Error error;
 };
-// One timer; a later one replaces it.
+// Sets the only timer of the request, replacing an earlier one.
 struct SetTimer {
   Time at{};
 };
@@ -185,31 +187,31 @@
 
 }  // namespace relay
 
-// Cuts an event stream into whole events and knows the id of the last one. Ids increase: an
-// event at or before the last one is a repetition.
+// Splits an event stream into complete events, records the id of the last one and detects
+// duplicates. Ids increase: an event whose id is not after the last one is a duplicate.
 class EventPieces {
  public:
-  // The whole events that `bytes` completes, as they came.
+  // Returns the events that `bytes` completes, unchanged.
   [[nodiscard]] std::string Feed(std::string_view bytes);
-  // Gives up an event that was begun and not finished.
+  // Drops an incomplete event.
   void DropTail() {
-    tail_.clear();
+    incomplete_.clear();
     repeats_ = false;
   }
-  // An event came again: what is sent is not the rest of the stream. Nothing more is taken of
-  // it until DropTail; passed on, it would stand in the output twice.
+  // A duplicate event arrived, so the data is not the continuation of the stream. Further data
+  // is ignored until DropTail; forwarded, it would appear twice in the output.
   [[nodiscard]] bool repeats() const { return repeats_; }
-  [[nodiscard]] bool in_event() const { return !tail_.empty(); }
+  [[nodiscard]] bool in_event() const { return !incomplete_.empty(); }
   [[nodiscard]] const std::optional<std::string>& last_id() const { return last_id_; }
   [[nodiscard]] std::uint64_t count() const { return count_; }
-  // Goes on after events that came otherwise.
+  // Sets the position of a stream whose earlier events were received elsewhere.
   void GoOnAfter(std::string last_id, std::uint64_t count) {
     last_id_ = std::move(last_id);
     count_ = count;
   }
 
  private:
-  std::string tail_;
+  std::string incomplete_;
   std::optional<std::string> last_id_;
   std::uint64_t count_ = 0;
   bool repeats_ = false;
@@ -217,16 +219,16 @@
 
 class RelayRun {
  public:
-  // Answers that are passed on whole are held up to this size; a longer one is
-  // passed on as it comes. Unit: bytes. An answer held whole can still be had from
-  // another backend server when it breaks off.
-  static constexpr std::size_t kMaxHeldBytes = 256U << 10;
-  // Backend servers that may say "not run" before the caller is told so: each
-  // costs a round trip, and by then the service as a whole is full.
+  // Answers that are not event streams are buffered up to this size; a longer one is forwarded
+  // as it arrives. Unit: bytes. While an answer is buffered, a lost connection can still be
+  // recovered by a send to another backend server.
+  static constexpr std::size_t kMaxBufferedBytes = 256U << 10;
+  // Rejections by backend servers ("not run") after which the caller gets an error: each costs
+  // a round trip, and by then the service as a whole is full.
   static constexpr std::size_t kMaxRejections = 3;
-  // A timer that fires this late says that this host stood still: what the backend
-  // server sent meanwhile has not been read yet, and it is not silent.
-  static constexpr Duration kOverslept{100'000};
+  // A timer that fires at least this late shows that this host was suspended: data that the
+  // backend server sent meanwhile has not been read yet, so the server is not silent.
+  static constexpr Duration kSuspendedTimerDelay{100'000};
 
   explicit RelayRun(RelayPlan plan);
 
@@ -238,7 +240,7 @@
   [[nodiscard]] std::uint64_t events_passed() const { return pieces_.count(); }
 
  private:
-  enum class State : std::uint8_t { kIdle, kAsking, kSent, kAnswering, kFinished };
+  enum class State : std::uint8_t { kIdle, kChoosingBackend, kSent, kAnswering, kFinished };
 
   void On(Time now, const relay::Start& event);
   void On(Time now, const relay::Placed& event);
@@ -251,15 +253,15 @@
   void On(Time now, const relay::TimerFired& event);
   void On(Time now, const relay::CallerGone& event);
 
-  void Ask(Time now);
+  void ChooseNextBackend(Time now);
   void EndSend(relay::SendEnd end, std::string why);
-  void TryElsewhere(Time now, relay::SendEnd end, std::string why, Ran ran);
+  void SendToNextBackend(Time now, relay::SendEnd end, std::string why, Ran ran);
   void OnFailedAnswer(Time now, const relay::Head& event);
-  void OnTimeUp();
-  void GiveUp(Error error);
+  void OnDeadline();
+  void FinishWithError(Error error);
   void ArmTimer(Time now);
   [[nodiscard]] bool IsCurrent(SendNumber send) const;
-  [[nodiscard]] bool MaySendAgain(Ran ran) const;
+  [[nodiscard]] bool MayResend(Ran ran) const;
 
   RelayPlan plan_;
   State state_ = State::kIdle;
@@ -268,13 +270,13 @@
   BackendAddress backend_;
   std::vector<BackendId> tried_;
   std::size_t rejections_ = 0;
-  int backends_used_ = 0;  // on which it ran, or may have run
+  int backends_used_ = 0;  // backend servers on which the request ran, or may have run
   Ran ran_ = Ran::kNo;
   bool head_passed_ = false;
   HttpHead head_;
-  std::string held_;
+  std::string buffer_;
   EventPieces pieces_;
-  Time heard_at_{};
+  Time last_data_at_{};
   Time timer_at_{};
 };
 
--- a/src/online/event_cutter.cc
+++ b/src/online/event_cutter.cc
@@ -6,8 +6,8 @@
 namespace figmill {
 namespace {
 
-// Length of the event at the start of `text` with its blank line, or npos.
-// Lines end in "\n" or "\r\n"; `from` is where a newline was not yet looked for.
+// Length of the event at the start of `text` including its blank line, or npos. Lines end in
+// "\n" or "\r\n"; the search for newlines starts at `from`.
 std::size_t EventLength(std::string_view text, std::size_t from) {
   for (std::size_t at = text.find('\n', from); at != std::string_view::npos;
        at = text.find('\n', at + 1)) {
@@ -22,9 +22,9 @@
 
 void EventCutter::Feed(std::string_view bytes,
                        const std::function<void(std::string_view event)>& on_event) {
-  tail_.append(bytes);
-  std::string_view rest = tail_;
-  std::size_t from = scanned_;
+  incomplete_.append(bytes);
+  std::string_view rest = incomplete_;
+  std::size_t from = searched_to_;
   while (true) {
     const std::size_t length = EventLength(rest, from);
     if (length == std::string_view::npos) break;
@@ -32,18 +32,18 @@
     rest.remove_prefix(length);
     from = 0;
   }
-  tail_.erase(0, tail_.size() - rest.size());
-  // A blank line may lie across two reads: "\n", "\r" and "\n" at most.
-  constexpr std::size_t kOverlap = 2;
-  scanned_ = tail_.size() - std::min(tail_.size(), kOverlap);
+  incomplete_.erase(0, incomplete_.size() - rest.size());
+  // A blank line may be split across reads: at most "\n", "\r" and "\n".
+  constexpr std::size_t kMaxSplitBlankLine = 2;
+  searched_to_ = incomplete_.size() - std::min(incomplete_.size(), kMaxSplitBlankLine);
 }
 
-std::string EventCutter::TakeTail() {
-  scanned_ = 0;
-  return std::exchange(tail_, {});
+std::string EventCutter::TakeIncompleteEvent() {
+  searched_to_ = 0;
+  return std::exchange(incomplete_, {});
 }
 
-bool EventCutter::CarriesToken(std::string_view event) {
+bool EventCutter::HasToken(std::string_view event) {
   constexpr std::string_view kData = "data:";
   std::size_t at = 0;
   while (at < event.size()) {
--- a/src/online/request_answer.cc
+++ b/src/online/request_answer.cc
@@ -1,4 +1,5 @@
-// The answer's side of a request's life: what is held, sent, and matched.
+// Handling of the answer of a RequestRun: buffering, forwarding, and comparison of a rerun with
+// what was already sent.
 
 #include <string>
 #include <utility>
@@ -12,13 +13,13 @@
 namespace figmill {
 namespace {
 
-Error BrokenAnswer(std::string detail) {
+Error BrokenAnswerError(std::string detail) {
   return Error{ErrorKind::kBrokenAnswer, std::move(detail)};
 }
 
-// What must come again in a new run: the token. Ids, times and usage differ from
-// run to run.
-std::string_view TokenPart(std::string_view event) {
+// The part of an event that must be the same in a rerun: the token. Ids, times and usage differ
+// between runs.
+std::string_view TokenOf(std::string_view event) {
   const std::size_t from = event.find("\"choices\":");
   const std::size_t to = event.rfind(']');
   if (from == std::string_view::npos || to == std::string_view::npos || to < from) return event;
@@ -34,9 +35,10 @@
 void RequestRun::OnHead(const event::Head& head, Time now) {
   if (!IsCurrent(head.call)) return;
   if (phase_ == Phase::kStreaming || head.request != attempt_.request) {
-    // Another caller's answer, or two answers in one: nothing of it may pass.
-    ++late_;
-    return Broken(BrokenAnswer("an answer to another request came"), now);
+    // An answer to another request, or a second head in one call: nothing of it may reach the
+    // caller.
+    ++late_events_;
+    return HandleBrokenCall(BrokenAnswerError("received an answer to another request"), now);
   }
   attempt_.ran = Ran::kYes;
   phase_ = Phase::kStreaming;
@@ -44,43 +46,48 @@
       head_sent_ ? head.status != status_ || head.content_type != content_type_
                  : attempt_.resuming && IsEventStream(head.content_type) != plan_.wants_stream;
   if (differs) {
-    last_error_ = BrokenAnswer("the stream didn't go on as it began");
+    last_error_ = BrokenAnswerError("the resumed stream has a different status or content type");
     CloseCall(AttemptEnd::kFailed, last_error_);
-    return CantResume(now);
+    return RerunOrFail(now);
   }
   status_ = head.status;
   content_type_ = head.content_type;
   event_stream_ = IsEventStream(head.content_type);
-  Listen(kStreamPatience, now);
+  ArmSilenceTimer(kStreamTimeout, now);
 }
 
 void RequestRun::OnData(const event::Data& data, Time now) {
   if (!IsCurrent(data.call)) return;
   if (phase_ != Phase::kStreaming) {
-    return Broken(BrokenAnswer("the answer came without its head"), now);
+    return HandleBrokenCall(BrokenAnswerError("received data before the head of the answer"), now);
   }
   call_bytes_ += data.bytes.size();
   attempt_.resumes_in_row = 0;
-  attempt_.said_finished = 0;
+  attempt_.finished_probes = 0;
   Deliver(data.bytes);
-  if (differs_) return GiveUp(BrokenAnswer("the stream broke, and a new run answered differently"));
-  if (!event_stream_ && held_.size() > kHoldBytes) {
-    return GiveUp(Error{ErrorKind::kTooLarge, "the answer is too large to be passed on whole"});
+  if (rerun_differs_)
+    return FinishWithError(
+        BrokenAnswerError("the stream was interrupted, and a rerun gave different output"));
+  if (!event_stream_ && buffer_.size() > kMaxBufferedBytes) {
+    return FinishWithError(Error{ErrorKind::kTooLarge, "the answer is too large to be buffered"});
   }
-  Listen(kStreamPatience, now);
+  ArmSilenceTimer(kStreamTimeout, now);
 }
 
 void RequestRun::OnEnd(const event::End& end, Time now) {
   if (!IsCurrent(end.call)) return;
   if (phase_ != Phase::kStreaming || end.bytes != call_bytes_) {
-    return Broken(BrokenAnswer("the answer's length isn't what its end says"), now);
+    return HandleBrokenCall(
+        BrokenAnswerError("the length of the answer doesn't match its final marker"), now);
   }
-  if (replay_left_ > 0) {
-    return GiveUp(BrokenAnswer("the stream broke, and a new run answered differently"));
+  if (rerun_events_left_ > 0) {
+    return FinishWithError(
+        BrokenAnswerError("the stream was interrupted, and a rerun gave different output"));
   }
-  // What is left has no blank line after it, yet the count says that it is whole.
-  const std::string tail = cutter_.TakeTail();
-  Send(std::exchange(held_, {}) + tail);
+  // The remaining bytes don't end in a blank line, but the byte count confirms that they are
+  // complete.
+  const std::string rest = cutter_.TakeIncompleteEvent();
+  SendToCaller(std::exchange(buffer_, {}) + rest);
   CloseCall(AttemptEnd::kAnswered);
   budget_.Succeeded();
   phase_ = Phase::kDone;
@@ -91,30 +98,30 @@
   if (event_stream_) {
     return cutter_.Feed(bytes, [this](std::string_view event) { DeliverEvent(event); });
   }
-  held_.append(bytes);
+  buffer_.append(bytes);
 }
 
 void RequestRun::DeliverEvent(std::string_view event) {
-  if (!EventCutter::CarriesToken(event)) {
-    // Kept back until the end or the next token: sent before a break, a closing
-    // event would come twice.
-    held_.append(event);
+  if (!EventCutter::HasToken(event)) {
+    // Buffered until the end or the next token: if a closing event were sent before a lost
+    // connection, the caller would get it twice.
+    buffer_.append(event);
     return;
   }
-  const std::string_view token = TokenPart(event);
-  if (replay_left_ > 0) {
-    held_.clear();
-    replay_hash_ = XXH3_64bits_withSeed(token.data(), token.size(), replay_hash_);
-    if (--replay_left_ == 0 && replay_hash_ != sent_hash_) differs_ = true;
+  const std::string_view token = TokenOf(event);
+  if (rerun_events_left_ > 0) {
+    buffer_.clear();
+    rerun_hash_ = XXH3_64bits_withSeed(token.data(), token.size(), rerun_hash_);
+    if (--rerun_events_left_ == 0 && rerun_hash_ != sent_hash_) rerun_differs_ = true;
     return;
   }
-  if (differs_) return;
+  if (rerun_differs_) return;
   ++tokens_sent_;
   sent_hash_ = XXH3_64bits_withSeed(token.data(), token.size(), sent_hash_);
-  Send(std::exchange(held_, {}) + std::string(event));
+  SendToCaller(std::exchange(buffer_, {}) + std::string(event));
 }
 
-void RequestRun::Send(std::string bytes) {
+void RequestRun::SendToCaller(std::string bytes) {
   if (!head_sent_) {
     head_sent_ = true;
     out_.emplace_back(action::SendHead{status_, content_type_});
@@ -122,10 +129,10 @@
   if (!bytes.empty()) out_.emplace_back(action::SendBytes{std::move(bytes)});
 }
 
-// Forgets what came and wasn't sent; it comes again with a resume or a new run.
+// Drops data that was received and not sent; a resume or a rerun delivers it again.
 void RequestRun::DropUnsent() {
-  held_.clear();
-  static_cast<void>(cutter_.TakeTail());
+  buffer_.clear();
+  static_cast<void>(cutter_.TakeIncompleteEvent());
 }
 
 }  // namespace figmill
--- a/src/online/request_errors.cc
+++ b/src/online/request_errors.cc
@@ -2,7 +2,7 @@
 
 namespace figmill::detail {
 
-bool MayGoElsewhere(ErrorKind kind) {
+bool MaySucceedAtOtherAgent(ErrorKind kind) {
   switch (kind) {
     case ErrorKind::kUnknownService:
     case ErrorKind::kOverloaded:
@@ -19,7 +19,7 @@
   }
 }
 
-bool PassesSoon(ErrorKind kind) {
+bool MaySucceedLater(ErrorKind kind) {
   switch (kind) {
     case ErrorKind::kOverloaded:
     case ErrorKind::kStaleOrders:
@@ -31,18 +31,19 @@
   }
 }
 
-Ran Worse(Ran a, Ran b) {
+Ran CombineRan(Ran a, Ran b) {
   if (a == Ran::kYes || b == Ran::kYes) return Ran::kYes;
   if (a == Ran::kUnknown || b == Ran::kUnknown) return Ran::kUnknown;
   return Ran::kNo;
 }
 
-Error DeadlinePassed() {
+Error DeadlineError() {
   return Error{ErrorKind::kDeadlineExceeded, "the deadline passed"};
 }
 
-Error Silent() {
-  return Error{ErrorKind::kBackendFailed, "the agent fell silent before the answer was whole"};
+Error AgentSilentError() {
+  return Error{ErrorKind::kBackendFailed,
+               "the agent stopped responding before the answer was complete"};
 }
 
 }  // namespace figmill::detail
--- a/src/online/request_errors.h
+++ b/src/online/request_errors.h
@@ -1,18 +1,18 @@
 #pragma once
 
-// What the kinds of errors mean for a request's next step.
+// How the kinds of errors affect the next step of a request.
 
 #include "figmill/base.h"
 
 namespace figmill::detail {
 
-// Another agent may do better; the other kinds hold everywhere.
-[[nodiscard]] bool MayGoElsewhere(ErrorKind kind);
-// The same agent may do better in a moment.
-[[nodiscard]] bool PassesSoon(ErrorKind kind);
-// yes > unknown > no: what is true of several attempts together.
-[[nodiscard]] Ran Worse(Ran a, Ran b);
-[[nodiscard]] Error DeadlinePassed();
-[[nodiscard]] Error Silent();
+// Whether another agent may succeed; the other kinds apply to all agents.
+[[nodiscard]] bool MaySucceedAtOtherAgent(ErrorKind kind);
+// Whether the same agent may succeed after a short delay.
+[[nodiscard]] bool MaySucceedLater(ErrorKind kind);
+// Combines the states of several attempts: yes > unknown > no.
+[[nodiscard]] Ran CombineRan(Ran a, Ran b);
+[[nodiscard]] Error DeadlineError();
+[[nodiscard]] Error AgentSilentError();
 
 }  // namespace figmill::detail
--- a/src/online/request_run.cc
+++ b/src/online/request_run.cc
@@ -13,7 +13,7 @@
 std::vector<RequestAction> RequestRun::On(const RequestEvent& event, Time now) {
   out_.clear();
   if (done()) {
-    if (!std::holds_alternative<event::TimerFired>(event)) ++late_;
+    if (!std::holds_alternative<event::TimerFired>(event)) ++late_events_;
     return {};
   }
   std::visit(Overloaded{
@@ -34,237 +34,239 @@
 
 void RequestRun::OnStart(Time now) {
   if (phase_ != Phase::kNew) return;
-  if (now >= plan_.deadline) return GiveUp(detail::DeadlinePassed());
+  if (now >= plan_.deadline) return FinishWithError(detail::DeadlineError());
   const Result<Pick> pick = routes_.choose(plan_, tried_, now);
-  if (!IsOk(pick)) return GiveUp(ErrorOf(pick));
+  if (!IsOk(pick)) return FinishWithError(ErrorOf(pick));
   DispatchTo(ValueOf(pick), false, now);
 }
 
 void RequestRun::OnSent(const event::Sent& sent, Time now) {
-  if (IsCurrent(sent.call)) Listen(kHeadPatience, now);
+  if (IsCurrent(sent.call)) ArmSilenceTimer(kHeadTimeout, now);
 }
 
 void RequestRun::DispatchTo(const Pick& pick, bool resume, Time now) {
   if (!resume) {
     ++attempts_;
     tried_.push_back(pick.node);
-    attempt_ = Attempt{.first_to = pick,
+    attempt_ = Attempt{.dispatched_to = pick,
                        .request = {plan_.request.value + "." + std::to_string(attempts_)},
                        .ran = Ran::kUnknown};
-    replay_left_ = tokens_sent_;
-    replay_hash_ = 0;
+    rerun_events_left_ = tokens_sent_;
+    rerun_hash_ = 0;
   }
   attempt_.to = pick;
   attempt_.resuming = resume;
   phase_ = Phase::kWaiting;
   ++call_;
   call_bytes_ = 0;
-  out_.emplace_back(action::Dispatch{.call = call_,
-                                     .to = pick,
-                                     .request = attempt_.request,
-                                     .resume = resume,
-                                     .resume_from = resume ? tokens_sent_ - replay_left_ : 0});
-  Listen(kHeadPatience, now);
+  out_.emplace_back(
+      action::Dispatch{.call = call_,
+                       .to = pick,
+                       .request = attempt_.request,
+                       .resume = resume,
+                       .resume_from = resume ? tokens_sent_ - rerun_events_left_ : 0});
+  ArmSilenceTimer(kHeadTimeout, now);
 }
 
 void RequestRun::OnRefused(const event::AgentRefused& refused, Time now) {
   if (!IsCurrent(refused.call)) return;
   const Error& error = refused.error;
   last_error_ = error;
-  // A refused resume says nothing of the run that it asks for.
+  // A refused resume doesn't tell whether the run still exists.
   if (attempt_.resuming && phase_ == Phase::kWaiting) {
     CloseCall(AttemptEnd::kRefused, error);
-    return detail::PassesSoon(error.kind) ? ResumeSoon(now) : CantResume(now);
+    return detail::MaySucceedLater(error.kind) ? ScheduleResume(now) : RerunOrFail(now);
   }
   const bool not_run = error.ran == Ran::kNo && phase_ == Phase::kWaiting;
   if (!not_run) {
     if (error.ran == Ran::kYes) attempt_.ran = Ran::kYes;
-    if (!detail::MayGoElsewhere(error.kind)) return GiveUp(error);
+    if (!detail::MaySucceedAtOtherAgent(error.kind)) return FinishWithError(error);
     CloseCall(AttemptEnd::kFailed, error);
     DropUnsent();
-    return plan_.can_resume ? ResumeSoon(now) : CantResume(now);
+    return plan_.can_resume ? ScheduleResume(now) : RerunOrFail(now);
   }
   attempt_.ran = Ran::kNo;
-  if (!detail::MayGoElsewhere(error.kind)) return GiveUp(error);
+  if (!detail::MaySucceedAtOtherAgent(error.kind)) return FinishWithError(error);
   CloseCall(AttemptEnd::kRefused, error);
-  // The agent was restarted: its new process is another one to try.
+  // The agent was restarted: its new incarnation may be tried as well.
   const std::optional<Pick> found = routes_.find(attempt_.to.node);
   if (error.kind == ErrorKind::kStaleOrders && found &&
       found->incarnation > attempt_.to.incarnation) {
     std::erase(tried_, attempt_.to.node);
   }
-  TryElsewhere(now);
+  DispatchToNextAgent(now);
 }
 
 void RequestRun::OnBroke(const event::Broke& broke, Time now) {
   if (!IsCurrent(broke.call)) return;
-  last_error_ = Error{ErrorKind::kBackendFailed, "the call to the agent broke off: " + broke.why};
+  last_error_ = Error{ErrorKind::kBackendFailed, "the call to the agent failed: " + broke.why};
   if (!broke.sent && !attempt_.resuming) {
     attempt_.ran = Ran::kNo;
     CloseCall(AttemptEnd::kFailed, last_error_);
-    return TryElsewhere(now);
+    return DispatchToNextAgent(now);
   }
-  Broken(last_error_, now);
+  HandleBrokenCall(last_error_, now);
 }
 
-// The open call gives no whole answer. What started is resumed; whether it
-// started is asked first when that isn't known.
-void RequestRun::Broken(const Error& why, Time now) {
+// The open call will not deliver a complete answer. An attempt that is known to have started is
+// resumed; otherwise the agent is asked first whether it started.
+void RequestRun::HandleBrokenCall(const Error& why, Time now) {
   last_error_ = why;
   CloseCall(AttemptEnd::kFailed, why);
   DropUnsent();
-  if (attempt_.ran != Ran::kYes) return AskWhetherStarted(now);
-  return plan_.can_resume ? ResumeSoon(now) : CantResume(now);
+  if (attempt_.ran != Ran::kYes) return SendRevoke(now);
+  return plan_.can_resume ? ScheduleResume(now) : RerunOrFail(now);
 }
 
-// A request may have reached the agent though the call broke before any answer:
-// sending it elsewhere at once would run it twice. The agent's tombstone makes
-// `never-started` final. Only the incarnation that got the request may say so: a
-// successor knows nothing of it, and would say the same of work that ran.
-void RequestRun::AskWhetherStarted(Time now) {
+// The request may have reached the agent although the call failed before any answer: sent to
+// another agent at once, it could run twice. The agent keeps a tombstone of the revoked
+// request, which makes `never-started` final. Only the incarnation that got the request can
+// give this answer: a later one has no record of the request and would also report
+// `never-started` for work that ran.
+void RequestRun::SendRevoke(Time now) {
   phase_ = Phase::kRevoking;
   ++attempt_.revokes;
-  out_.emplace_back(action::Revoke{call_, attempt_.first_to, attempt_.request});
-  wake_at_ = now + kRevokeTimeout;
-  Arm(wake_at_);
+  out_.emplace_back(action::Revoke{call_, attempt_.dispatched_to, attempt_.request});
+  timer_due_ = now + kRevokeTimeout;
+  ArmTimer(timer_due_);
 }
 
-// The open call has been silent for long. A paused agent looks like a slow one:
-// its answer to a probe tells them apart, and the call stays open meanwhile.
-void RequestRun::Probe(Time now) {
+// The open call has received no data within its silence timeout. The answer to a probe
+// distinguishes a slow agent from a paused one; the call stays open meanwhile.
+void RequestRun::SendProbe(Time now) {
   probing_ = true;
-  out_.emplace_back(action::Revoke{call_, attempt_.first_to, attempt_.request});
-  wake_at_ = now + kRevokeTimeout;
-  Arm(wake_at_);
+  out_.emplace_back(action::Revoke{call_, attempt_.dispatched_to, attempt_.request});
+  timer_due_ = now + kRevokeTimeout;
+  ArmTimer(timer_due_);
 }
 
 void RequestRun::OnRevokeAnswered(const event::RevokeAnswered& answered, Time now) {
   if (answered.call != call_) {
-    ++late_;
+    ++late_events_;
     return;
   }
-  if (probing_) return ProbeAnswered(answered.state, now);
+  if (probing_) return OnProbeAnswered(answered.state, now);
   if (phase_ != Phase::kRevoking) return;
   switch (answered.state) {
     case event::RevokeState::kNeverStarted:
-      if (attempt_.ran == Ran::kYes) return CantResume(now);
+      if (attempt_.ran == Ran::kYes) return RerunOrFail(now);
       attempt_.ran = Ran::kNo;
-      return TryElsewhere(now);
+      return DispatchToNextAgent(now);
     case event::RevokeState::kRunning:
     case event::RevokeState::kFinished:
       attempt_.ran = Ran::kYes;
-      return plan_.can_resume ? ResumeSoon(now) : CantResume(now);
+      return plan_.can_resume ? ScheduleResume(now) : RerunOrFail(now);
     case event::RevokeState::kNoAnswer:
-      // What may not be repeated is asked for again when the timer fires.
-      if (plan_.repeatable) AskedInVain(now);
+      // For a request that is not repeatable, the revoke is sent again when the timer fires.
+      if (plan_.repeatable) OnRevokeUnanswered(now);
       return;
   }
 }
 
-void RequestRun::ProbeAnswered(event::RevokeState state, Time now) {
+void RequestRun::OnProbeAnswered(event::RevokeState state, Time now) {
   probing_ = false;
   switch (state) {
     case event::RevokeState::kNeverStarted:
-      if (attempt_.ran == Ran::kYes) return Listen(patience_, now);
+      if (attempt_.ran == Ran::kYes) return ArmSilenceTimer(silence_timeout_, now);
       last_error_ = Error{ErrorKind::kOverloaded, "the agent didn't start the work in time"};
       attempt_.ran = Ran::kNo;
       CloseCall(AttemptEnd::kRefused, last_error_);
-      return TryElsewhere(now);
+      return DispatchToNextAgent(now);
     case event::RevokeState::kFinished:
-      // Its last bytes may be on their way, once.
-      if (++attempt_.said_finished > 1) {
+      // The last bytes may still be in transit, so the first such answer is tolerated.
+      if (++attempt_.finished_probes > 1) {
         attempt_.ran = Ran::kYes;
-        return Broken(detail::Silent(), now);
+        return HandleBrokenCall(detail::AgentSilentError(), now);
       }
       [[fallthrough]];
     case event::RevokeState::kRunning:
       attempt_.ran = Ran::kYes;
-      return Listen(2 * patience_, now);
+      return ArmSilenceTimer(2 * silence_timeout_, now);
     case event::RevokeState::kNoAnswer:
-      last_error_ = detail::Silent();
+      last_error_ = detail::AgentSilentError();
       CloseCall(AttemptEnd::kFailed, last_error_);
       DropUnsent();
-      return AskedInVain(now);
+      return OnRevokeUnanswered(now);
   }
 }
 
-// The agent doesn't say whether the work started. Its successor's engine may
-// still hold the stream; else it stays unknown.
-void RequestRun::AskedInVain(Time now) {
+// The agent gave no answer whether the work started. If it was restarted, its engine may still
+// have the stream; otherwise the outcome stays unknown.
+void RequestRun::OnRevokeUnanswered(Time now) {
   const std::optional<Pick> found = routes_.find(attempt_.to.node);
   if (plan_.can_resume && found && found->incarnation != attempt_.to.incarnation &&
       !attempt_.new_incarnation_tried) {
     attempt_.new_incarnation_tried = true;
     return Resume(now);
   }
-  if (!plan_.repeatable && attempt_.revokes < kRevokes) return AskWhetherStarted(now);
-  CantResume(now);
+  if (!plan_.repeatable && attempt_.revokes < kMaxRevokes) return SendRevoke(now);
+  RerunOrFail(now);
 }
 
-void RequestRun::ResumeSoon(Time now) {
-  const int most = plan_.repeatable ? kResumes : kResumesOfUnrepeatable;
-  if (attempt_.resumes_in_row >= most) return CantResume(now);
+void RequestRun::ScheduleResume(Time now) {
+  const int max_resumes = plan_.repeatable ? kMaxResumes : kMaxResumesOfUnrepeatable;
+  if (attempt_.resumes_in_row >= max_resumes) return RerunOrFail(now);
   if (attempt_.resumes_in_row == 0) return Resume(now);
-  phase_ = Phase::kResting;
+  phase_ = Phase::kBackingOff;
   const Duration backoff = kResumeBackoff * (1 << (2 * (attempt_.resumes_in_row - 1)));
-  wake_at_ = now + std::min(backoff, kLongestResumeBackoff);
-  Arm(wake_at_);
+  timer_due_ = now + std::min(backoff, kMaxResumeBackoff);
+  ArmTimer(timer_due_);
 }
 
 void RequestRun::Resume(Time now) {
   ++attempt_.resumes_in_row;
   const std::optional<Pick> found = routes_.find(attempt_.to.node);
-  if (!found) return plan_.repeatable ? CantResume(now) : ResumeSoon(now);
+  if (!found) return plan_.repeatable ? RerunOrFail(now) : ScheduleResume(now);
   ++resumes_;
   DispatchTo(*found, true, now);
 }
 
-// The attempt's answer is lost. A new run is allowed for repeatable work; what
-// the caller has of a stream must then come again, event for event, or the
-// answer is given up as broken.
-void RequestRun::CantResume(Time now) {
+// The answer of the attempt can't be recovered. Repeatable work may be run again; the events
+// that the caller already has must then be the same in the rerun, otherwise the answer fails as
+// broken.
+void RequestRun::RerunOrFail(Time now) {
   if (plan_.repeatable) {
     CancelStarted();
-    return TryElsewhere(now);
+    return DispatchToNextAgent(now);
   }
   Error error = last_error_;
   error.kind = attempt_.ran == Ran::kYes ? ErrorKind::kBrokenAnswer : ErrorKind::kOutcomeUnknown;
-  GiveUp(std::move(error));
+  FinishWithError(std::move(error));
 }
 
-// The budget keeps retries from multiplying the load. An agent that leaves refuses
-// at no cost and to everyone at once: charged for that, the budget would run out
-// and callers be refused though others have room.
-bool RequestRun::SpentNothing() const {
+// The budget keeps retries from multiplying the load. A leaving agent refuses at no cost and
+// refuses all its requests at the same time: charged for that, the budget would be used up and
+// callers would be refused although other agents have capacity.
+bool RequestRun::IsFreeRetry() const {
   return ran_before_ == Ran::kNo &&
          (last_error_.kind == ErrorKind::kLeaving || last_error_.kind == ErrorKind::kStaleOrders);
 }
 
-void RequestRun::TryElsewhere(Time now) {
+void RequestRun::DispatchToNextAgent(Time now) {
   phase_ = Phase::kNew;
-  ran_before_ = detail::Worse(ran_before_, std::exchange(attempt_.ran, Ran::kNo));
-  if (now >= plan_.deadline) return GiveUp(detail::DeadlinePassed());
+  ran_before_ = detail::CombineRan(ran_before_, std::exchange(attempt_.ran, Ran::kNo));
+  if (now >= plan_.deadline) return FinishWithError(detail::DeadlineError());
   const Result<Pick> pick = routes_.choose(plan_, tried_, now);
-  if (!IsOk(pick) || !(SpentNothing() || budget_.Spend())) {
-    // All there is to say to the caller is that it may come back.
+  if (!IsOk(pick) || !(IsFreeRetry() || budget_.Spend())) {
+    // Nothing ran, so the caller is only told that it may retry.
     const bool not_run = ran_before_ == Ran::kNo && last_error_.kind == ErrorKind::kBackendFailed;
     if (not_run) last_error_.kind = ErrorKind::kNoBackend;
-    return GiveUp(last_error_);
+    return FinishWithError(last_error_);
   }
   DispatchTo(ValueOf(pick), false, now);
 }
 
 void RequestRun::OnTimer(Time now) {
   armed_at_.reset();
-  if (now >= plan_.deadline) return GiveUp(detail::DeadlinePassed());
-  if (now < wake_at_) return Arm(wake_at_);
+  if (now >= plan_.deadline) return FinishWithError(detail::DeadlineError());
+  if (now < timer_due_) return ArmTimer(timer_due_);
   switch (phase_) {
     case Phase::kWaiting:
     case Phase::kStreaming:
-      return probing_ ? ProbeAnswered(event::RevokeState::kNoAnswer, now) : Probe(now);
+      return probing_ ? OnProbeAnswered(event::RevokeState::kNoAnswer, now) : SendProbe(now);
     case Phase::kRevoking:
-      return AskedInVain(now);
-    case Phase::kResting:
+      return OnRevokeUnanswered(now);
+    case Phase::kBackingOff:
       return Resume(now);
     case Phase::kNew:
     case Phase::kDone:
@@ -290,13 +292,13 @@
   phase_ = Phase::kNew;
 }
 
-void RequestRun::GiveUp(Error error) {
-  error.ran = detail::Worse(ran_before_, attempt_.ran);
+void RequestRun::FinishWithError(Error error) {
+  error.ran = detail::CombineRan(ran_before_, attempt_.ran);
   if (RowOf(error.kind).retry_may_help) {
-    // Spread over twice the time, so that callers don't come back together.
-    const Duration least = error.retry_after.value_or(kRetryAfter);
-    const auto spread = static_cast<std::uint64_t>(std::max<std::int64_t>(1, least.count()));
-    error.retry_after = least + Duration(static_cast<std::int64_t>(random_() % spread));
+    // Random over [min_delay, 2 x min_delay), so that callers don't retry all at the same time.
+    const Duration min_delay = error.retry_after.value_or(kRetryAfter);
+    const auto spread = static_cast<std::uint64_t>(std::max<std::int64_t>(1, min_delay.count()));
+    error.retry_after = min_delay + Duration(static_cast<std::int64_t>(random_() % spread));
   }
   if (plan_.repeatable) CancelStarted();
   const bool refused = error.ran == Ran::kNo;
@@ -305,16 +307,16 @@
   out_.emplace_back(action::Fail{std::move(error)});
 }
 
-void RequestRun::Listen(Duration patience, Time now) {
+void RequestRun::ArmSilenceTimer(Duration silence_timeout, Time now) {
   probing_ = false;
-  patience_ = patience;
-  wake_at_ = now + patience;
-  Arm(wake_at_);
+  silence_timeout_ = silence_timeout;
+  timer_due_ = now + silence_timeout;
+  ArmTimer(timer_due_);
 }
 
-// A timer that fires early is armed again, so that each piece of a stream
-// doesn't cost one.
-void RequestRun::Arm(Time at) {
+// A timer that fires before the timeout is set again; extending the timeout for each piece of a
+// stream would otherwise cost a timer operation.
+void RequestRun::ArmTimer(Time at) {
   at = std::min(at, plan_.deadline);
   if (armed_at_ && *armed_at_ <= at) return;
   armed_at_ = at;
@@ -323,7 +325,7 @@
 
 bool RequestRun::IsCurrent(CallNumber call) {
   if (call == call_ && CallOpen()) return true;
-  ++late_;
+  ++late_events_;
   return false;
 }
 
--- a/src/online/router.cc
+++ b/src/online/router.cc
@@ -13,9 +13,10 @@
   return slash == std::string_view::npos ? std::string_view{} : name.substr(0, slash);
 }
 
-double HopRequests(const DataCentre& from, const DataCentre& to) {
+double DistanceCostRequests(const DataCentre& from, const DataCentre& to) {
   if (from == to) return 0;
-  return RegionOf(from) == RegionOf(to) ? Router::kHopRequests : Router::kRegionHopRequests;
+  return RegionOf(from) == RegionOf(to) ? Router::kDataCentreCostRequests
+                                        : Router::kRegionCostRequests;
 }
 
 bool IsDrained(const Config* config, const NodeId& node) {
@@ -24,7 +25,7 @@
   return found != config->backends.end() && found->second.drained;
 }
 
-// What the agent says it serves; by the configuration where it says nothing.
+// The services that the agent reports; if it reports none, those of the configuration.
 std::span<const ServiceName> ServicesOf(const Config* config, const Member& member) {
   if (!member.serves.empty() || config == nullptr) return member.serves;
   const auto found = config->backends.find(member.node);
@@ -38,7 +39,7 @@
   std::uint64_t weight = 0;
 };
 
-// The best by weight, with a few places kept for other data centres.
+// The agents with the highest weights, with some slots reserved for other data centres.
 std::vector<NodeId> Subset(std::vector<Ranked> ranked) {
   std::sort(ranked.begin(), ranked.end(), [](const Ranked& a, const Ranked& b) {
     return a.local != b.local ? a.local : a.weight > b.weight;
@@ -48,8 +49,8 @@
   const auto local = static_cast<std::size_t>(first_far - ranked.begin());
   const std::size_t far = ranked.size() - local;
   const std::size_t take_far =
-      std::min(far, Router::kSubset - std::min(local, Router::kLocalSubset));
-  const std::size_t take_local = std::min(local, Router::kSubset - take_far);
+      std::min(far, Router::kSubsetSize - std::min(local, Router::kLocalSubsetSize));
+  const std::size_t take_local = std::min(local, Router::kSubsetSize - take_far);
   std::vector<NodeId> subset;
   subset.reserve(take_local + take_far);
   for (std::size_t i = 0; i < take_local; ++i) subset.push_back(std::move(ranked[i].node));
@@ -57,7 +58,8 @@
   return subset;
 }
 
-// The same order at every entry, so that they fill the same agents first.
+// Sorts in an order that is the same at every entry, so that all entries fill the same agents
+// first.
 void SortByCommonOrder(const ServiceName& service, std::vector<NodeId>& nodes) {
   std::sort(nodes.begin(), nodes.end(), [&](const NodeId& a, const NodeId& b) {
     return RendezvousWeight(service.value, a.value) > RendezvousWeight(service.value, b.value);
@@ -91,11 +93,11 @@
     if (known != before.end()) agent = std::move(known->second);
     const bool is_new = known == before.end() || agent.pick.incarnation != member.incarnation;
     if (is_new) agent = Agent{};
-    // A new agent has cold caches and may have cold weights. At our own start
-    // nothing is known of any, and all are taken for warm.
-    if (is_new && started_) agent.ramp_from = now;
+    // A new agent has cold caches and may have to load weights. When this entry starts, it has
+    // no information about any agent and treats all of them as warm.
+    if (is_new && updated_once_) agent.slow_start_began_at = now;
     agent.pick = Pick{member.node, member.http, member.incarnation};
-    agent.hop_requests = HopRequests(here_, member.data_centre);
+    agent.distance_cost_requests = DistanceCostRequests(here_, member.data_centre);
     agent.suspect = member.liveness == Liveness::kSuspect;
     const Ranked ranked{member.node, member.data_centre == here_,
                         RendezvousWeight(self_.value, member.node.value)};
@@ -106,25 +108,25 @@
   }
   subsets_.clear();
   for (auto& [service, ranked] : alive) subsets_[service] = Subset(std::move(ranked));
-  // A suspect agent is most likely gone, yet better than nobody.
+  // A suspect agent has most likely failed, but is used when there is no other.
   for (auto& [service, ranked] : suspect) {
     if (!subsets_.contains(service)) subsets_[service] = Subset(std::move(ranked));
   }
   for (auto& [service, subset] : subsets_) SortByCommonOrder(service, subset);
-  started_ = true;
+  updated_once_ = true;
 }
 
-// How much of a report still holds; 0 without one.
+// Weight of the agent's last load report by its age; 0 without a report.
 double Router::ReportWeight(const Agent& agent, Time now) {
   if (!agent.reported_at) return 0;
   const double age = static_cast<double>((now - *agent.reported_at).count());
   return std::max(0.0, 1 - age / static_cast<double>(kReportLife.count()));
 }
 
-// Requests of other entries at an agent that said nothing lately: as many as at
-// the others. Taken for idle, an agent that is slow to answer would draw the
-// load of every entry.
-double Router::UsualOthers(std::span<const Candidate> candidates, Time now) {
+// Estimate of other entries' requests at an agent without a recent report: the weighted mean of
+// the agents with reports. If such an agent were assumed to be idle, a slow agent would attract
+// the load of every entry.
+double Router::MeanOthersRunning(std::span<const Candidate> candidates, Time now) {
   double sum = 0;
   double weights = 0;
   for (const Candidate& candidate : candidates) {
@@ -135,25 +137,25 @@
   return weights > 0 ? sum / weights : 0;
 }
 
-double Router::Cost(const Agent& agent, double tokens, double usual_others, Time now) const {
+double Router::Cost(const Agent& agent, double tokens, double mean_others_running, Time now) const {
   const double weight = ReportWeight(agent, now);
-  const double others = weight * agent.others_running + (1 - weight) * usual_others;
+  const double others = weight * agent.others_running + (1 - weight) * mean_others_running;
   return (agent.own_tokens + others * mean_tokens_ + tokens) / SlowStartShare(agent, now);
 }
 
-// Of a warm agent's load, what a new one may have.
+// Fraction of a warm agent's load that the agent may take during its slow start.
 double Router::SlowStartShare(const Agent& agent, Time now) {
-  if (!agent.ramp_from || now >= *agent.ramp_from + kSlowStart) return 1;
-  constexpr double kFirstShare = 0.1;
-  const Duration since = now - *agent.ramp_from;
-  return std::max(kFirstShare,
+  if (!agent.slow_start_began_at || now >= *agent.slow_start_began_at + kSlowStart) return 1;
+  constexpr double kMinShare = 0.1;
+  const Duration since = now - *agent.slow_start_began_at;
+  return std::max(kMinShare,
                   static_cast<double>(since.count()) / static_cast<double>(kSlowStart.count()));
 }
 
-// Candidates that weren't tried, with ejected and busy ones left out. At most
-// half are left out as ejected, those that come back last: when most of them
-// fail, the fault is likely elsewhere, and the rest must not take all the load.
-void Router::Choosable(const RouteQuery& query, Time now, std::vector<Candidate>& out) {
+// Collects the candidates that were not tried, without ejected and busy ones. At most half are
+// excluded as ejected, those whose ejection ends last: when most of them fail, the cause is
+// probably elsewhere, and the remaining agents must not take all the load.
+void Router::CollectCandidates(const RouteQuery& query, Time now, std::vector<Candidate>& out) {
   out.clear();
   const auto subset = subsets_.find(query.service);
   if (subset == subsets_.end()) return;
@@ -174,30 +176,32 @@
     return candidate.agent->busy_until <= now;
   });
   if (busy != out.begin()) out.erase(busy, out.end());
-  KeepTogether(query.service, now, out);
-  const double usual_others = UsualOthers(out, now);
+  ConsolidateOnlineStreams(query.service, now, out);
+  const double mean_others_running = MeanOthersRunning(out, now);
   for (Candidate& candidate : out) {
-    candidate.cost = Cost(*candidate.agent, query.tokens, usual_others, now);
+    candidate.cost = Cost(*candidate.agent, query.tokens, mean_others_running, now);
   }
 }
 
-// Leaves the fewest near agents that hold the service's online streams within
-// their marks, in the order that all entries share. Spread over all engines, a
-// little online everywhere would leave hardly any engine free for batch, as beside
-// online batch may stretch the token gap by a small share only. When the near
-// agents are full, all stay in. Plain services run no batch and stay spread.
-void Router::KeepTogether(const ServiceName& service, Time now, std::vector<Candidate>& out) const {
+// Reduces the local candidates to the fewest that hold the service's online streams within
+// their online marks, in the order that all entries share. If the streams were spread over all
+// engines, nearly every engine would have a few, and hardly any would be free for batch, since
+// batch work beside online streams may increase the token gap only by a small fraction. When
+// the local agents are full, all candidates stay. Services without a model run no batch work
+// and stay spread.
+void Router::ConsolidateOnlineStreams(const ServiceName& service, Time now,
+                                      std::vector<Candidate>& out) const {
   if (!IsModel(config_.get(), service)) return;
   const auto far = std::partition(out.begin(), out.end(), [](const Candidate& candidate) {
-    return candidate.agent->hop_requests == 0;
+    return candidate.agent->distance_cost_requests == 0;
   });
   std::sort(out.begin(), far,
-            [](const Candidate& a, const Candidate& b) { return a.rank < b.rank; });
+            [](const Candidate& a, const Candidate& b) { return a.common_order < b.common_order; });
   double running = 1;
   for (auto candidate = out.begin(); candidate != far; ++candidate) {
     const Agent& agent = *candidate->agent;
-    // An agent outside the fewest gets nothing from any entry, so that an old
-    // report of it rightly fades to none.
+    // An agent outside this set gets no requests from any entry, so that the weight of its last
+    // report correctly decays to 0.
     running += agent.own_running + ReportWeight(agent, now) * agent.others_running;
   }
   double room = 0;
@@ -208,10 +212,10 @@
   if (room >= running) out.erase(end, out.end());
 }
 
-// The prefix's owner, or the next by rendezvous hash that isn't loaded far over
-// the mean. Null when all are.
-const Router::Candidate* Router::Owner(const RouteQuery& query,
-                                       std::span<const Candidate> candidates) const {
+// The prefix's owner, or the next agent by rendezvous hash whose load is not far above the
+// mean. Null when there is none.
+const Router::Candidate* Router::PrefixOwner(const RouteQuery& query,
+                                             std::span<const Candidate> candidates) const {
   double total = 0;
   double own_total = 0;
   for (const Candidate& candidate : candidates) {
@@ -219,16 +223,16 @@
     own_total += candidate.agent->own_tokens;
   }
   const double n = static_cast<double>(candidates.size());
-  const double slack = kSlackRequests * mean_tokens_;
+  const double slack = kPrefixOwnerSlackRequests * mean_tokens_;
   const double bound = std::max(kBoundedLoad * total / n, slack) + query.tokens;
-  // Own requests that stay out are the first sign of a slow agent, whose reports
-  // come late: all entries together must not pile up there.
-  const double own_bound = kBoundedLoad * own_total / n + kOwnSlackRequests * mean_tokens_;
+  // A growing number of this entry's own open requests is the first sign of a slow agent, whose
+  // load reports arrive late: the entries together must not overload it.
+  const double own_bound = kBoundedLoad * own_total / n + kEntrySlackRequests * mean_tokens_;
   const Candidate* best = nullptr;
   std::uint64_t best_weight = 0;
   for (const Candidate& candidate : candidates) {
-    // Another region's cache isn't worth the way there.
-    const bool near = candidate.agent->hop_requests <= kHopRequests;
+    // A cache hit in another region doesn't outweigh the network latency.
+    const bool near = candidate.agent->distance_cost_requests <= kDataCentreCostRequests;
     const bool over = candidate.cost > bound || candidate.agent->own_tokens > own_bound;
     if (!near || over) continue;
     const std::uint64_t weight = RendezvousWeight(query.prefix, candidate.agent->pick.node.value);
@@ -239,40 +243,40 @@
   return best;
 }
 
-// Two choices: one near, if there is any, and one out of all; the cheaper wins,
-// with the hop priced in.
-const Router::Candidate& Router::BetterOfTwo(std::span<const Candidate> candidates) {
+// Power of two choices: one random local candidate, if there is any, and one random candidate
+// of all; the one with the lower cost including the distance wins.
+const Router::Candidate& Router::PowerOfTwoChoices(std::span<const Candidate> candidates) {
   std::size_t near_count = 0;
   for (const Candidate& candidate : candidates) {
-    if (candidate.agent->hop_requests == 0) ++near_count;
+    if (candidate.agent->distance_cost_requests == 0) ++near_count;
   }
   const auto random_index = [&](std::size_t n) { return static_cast<std::size_t>(random_() % n); };
   std::size_t first = random_index(candidates.size());
   if (near_count > 0) {
     std::size_t skip = random_index(near_count);
-    for (first = 0; candidates[first].agent->hop_requests != 0 || skip-- > 0;) ++first;
+    for (first = 0; candidates[first].agent->distance_cost_requests != 0 || skip-- > 0;) ++first;
   }
   if (candidates.size() == 1) return candidates[0];
   std::size_t second = random_index(candidates.size() - 1);
   if (second >= first) ++second;
   const auto price = [&](const Candidate& candidate) {
-    return candidate.cost + candidate.agent->hop_requests * mean_tokens_;
+    return candidate.cost + candidate.agent->distance_cost_requests * mean_tokens_;
   };
   return price(candidates[second]) < price(candidates[first]) ? candidates[second]
                                                               : candidates[first];
 }
 
 Result<Pick> Router::Choose(const RouteQuery& query, Time now) {
-  Choosable(query, now, scratch_);
-  if (scratch_.empty()) {
+  CollectCandidates(query, now, candidates_);
+  if (candidates_.empty()) {
     return Error{ErrorKind::kNoBackend,
-                 "no backend server serves '" + query.service.value + "' now"};
+                 "no backend server of service '" + query.service.value + "' is available"};
   }
   if (!query.prefix.empty()) {
-    const Candidate* owner = Owner(query, scratch_);
+    const Candidate* owner = PrefixOwner(query, candidates_);
     if (owner != nullptr) return owner->agent->pick;
   }
-  return BetterOfTwo(scratch_).agent->pick;
+  return PowerOfTwoChoices(candidates_).agent->pick;
 }
 
 std::optional<Pick> Router::Find(const NodeId& node) const {
@@ -305,7 +309,8 @@
   const auto found = agents_.find(node);
   if (found == agents_.end()) return;
   Agent& agent = found->second;
-  // A restarted agent's counts began anew: what ends late must not undercut them.
+  // The counts of a restarted agent started again from 0: attempts that end late must not make
+  // them negative.
   agent.own_tokens = std::max(0.0, agent.own_tokens - tokens);
   if (agent.own_running > 0) --agent.own_running;
   switch (end) {
@@ -314,32 +319,33 @@
       agent.ejections = 0;
       break;
     case AttemptEnd::kRefused: {
-      constexpr Duration kShortest{100'000};
-      constexpr Duration kLongest{1'000'000};
-      // Other refusals are about the request.
+      constexpr Duration kMinBusy{100'000};
+      constexpr Duration kMaxBusy{1'000'000};
+      // Other refusals concern the request, not the agent.
       const bool about_agent =
           error && (error->kind == ErrorKind::kOverloaded || error->kind == ErrorKind::kLeaving ||
                     error->kind == ErrorKind::kStaleOrders);
       if (!about_agent) break;
-      const Duration busy = error->retry_after.value_or(kShortest);
-      agent.busy_until = now + std::clamp(busy, kShortest, kLongest);
+      const Duration busy = error->retry_after.value_or(kMinBusy);
+      agent.busy_until = now + std::clamp(busy, kMinBusy, kMaxBusy);
       break;
     }
     case AttemptEnd::kFailed:
-      Fail(agent, now);
+      RecordFailure(agent, now);
       break;
     case AttemptEnd::kAbandoned:
       break;
   }
 }
 
-void Router::Fail(Agent& agent, Time now) {
+void Router::RecordFailure(Agent& agent, Time now) {
   if (++agent.failures < kFailuresToEject || agent.ejected_until > now) return;
-  constexpr int kMostDoublings = 4;
-  const Duration length = kFirstEjection * (1 << std::min(agent.ejections, kMostDoublings));
-  agent.ejected_until = now + std::min(length, kLongestEjection);
-  // It comes back slowly; its next failure, not its third, ejects it again.
-  agent.ramp_from = agent.ejected_until;
+  constexpr int kMaxDoublings = 4;
+  const Duration length = kFirstEjection * (1 << std::min(agent.ejections, kMaxDoublings));
+  agent.ejected_until = now + std::min(length, kMaxEjection);
+  // After the ejection the agent goes through a slow start, and a single further failure,
+  // instead of three, ejects it again.
+  agent.slow_start_began_at = agent.ejected_until;
   agent.failures = kFailuresToEject - 1;
   ++agent.ejections;
 }
--- a/src/online/team_limits.cc
+++ b/src/online/team_limits.cc
@@ -6,15 +6,17 @@
 namespace figmill {
 namespace {
 
-// A part of a limit; 0 stays unlimited, which the buckets never see.
-struct Shares {
+// Rate and capacity of a bucket for a fraction of a limit. A limit of 0 means unlimited and is
+// never applied to a bucket.
+struct BucketRate {
   double rate = 0;
   double capacity = 0;
 };
 
-constexpr double kAnyTokens = 1e-3;
+constexpr double kMinTokens = 1e-3;
 
-Shares ShareOf(double limit, double burst_seconds, double granted, double free, double least) {
+BucketRate BucketRateOf(double limit, double burst_seconds, double granted, double free,
+                        double least) {
   const double rate = std::max(granted, free * limit);
   return {rate, std::max(least, rate * burst_seconds)};
 }
@@ -45,20 +47,20 @@
 
 void TeamLimits::SetRates(Team& team, const TeamLimit& limit, Time now) const {
   const double entries = static_cast<double>(std::max<std::size_t>(1, entries_.size()));
-  if (team.share && now > *team.asked_at + kGrantLife) team.share.reset();
-  // An equal share while a home that was asked is silent.
-  const bool home_silent = !team.share && team.asked_at;
-  const double free = (home_silent ? 1.0 : kFreeShare) / entries;
+  if (team.share && now > *team.owner_asked_at + kShareLifetime) team.share.reset();
+  // An equal share while an owner that was asked does not respond.
+  const bool owner_silent = !team.share && team.owner_asked_at;
+  const double free = (owner_silent ? 1.0 : kFreeShare) / entries;
   const TeamRates granted = team.share.value_or(TeamRates{});
-  const Shares requests =
-      ShareOf(limit.requests_per_second, limit.burst_seconds, granted.requests, free, kLeastBurst);
+  const BucketRate requests = BucketRateOf(limit.requests_per_second, limit.burst_seconds,
+                                           granted.requests, free, kMinBurst);
   team.requests.SetRate(requests.rate, requests.capacity, now);
-  const Shares tokens =
-      ShareOf(limit.tokens_per_second, limit.burst_seconds, granted.tokens, free, 1);
+  const BucketRate tokens =
+      BucketRateOf(limit.tokens_per_second, limit.burst_seconds, granted.tokens, free, 1);
   team.tokens.SetRate(tokens.rate, tokens.capacity, now);
 }
 
-TeamLimits::Team* TeamLimits::Track(const TeamId& team, const TeamLimit& limit, Time now) {
+TeamLimits::Team* TeamLimits::FindOrAdd(const TeamId& team, const TeamLimit& limit, Time now) {
   const auto found = teams_.find(team);
   if (found != teams_.end()) return &found->second;
   if (teams_.size() >= kMaxTeams) Forget(now);
@@ -72,26 +74,27 @@
 Result<Ok> TeamLimits::Admit(const TeamId& id, double tokens, Time now) {
   const TeamLimit* limit = LimitOf(id);
   if (limit == nullptr) return Ok{};
-  Team* team = Track(id, *limit, now);
+  Team* team = FindOrAdd(id, *limit, now);
   if (team == nullptr) {
-    return Error{ErrorKind::kTeamLimit, "too many teams at once", Ran::kNo, kReportPeriod};
+    return Error{ErrorKind::kTeamLimit, "too many active teams at this entry", Ran::kNo,
+                 kReportPeriod};
   }
   team->used_at = now;
   team->demand.requests += 1;
   team->demand.tokens += tokens;
-  // A request may run the tokens into debt: one larger than the burst passes
-  // too, and those after it wait.
+  // A request may overdraw the token bucket: one larger than the burst is admitted too, and the
+  // following ones wait.
   Duration wait{0};
   const bool by_requests = limit->requests_per_second > 0;
   const bool by_tokens = limit->tokens_per_second > 0;
   if (by_requests) wait = team->requests.Until(1, now);
-  if (by_tokens) wait = std::max(wait, team->tokens.Until(kAnyTokens, now));
+  if (by_tokens) wait = std::max(wait, team->tokens.Until(kMinTokens, now));
   if (wait > Duration{0}) {
-    team->short_of = true;
-    // A larger share may come with the next report.
+    team->needs_larger_share = true;
+    // A larger share may be granted with the next report.
     const Duration least = team->share ? Duration{100'000} : kReportPeriod;
-    return Error{ErrorKind::kTeamLimit, "team '" + id.value + "' has used up its rate", Ran::kNo,
-                 std::max(wait, least)};
+    return Error{ErrorKind::kTeamLimit, "team '" + id.value + "' has exceeded its rate limit",
+                 Ran::kNo, std::max(wait, least)};
   }
   if (by_requests) team->requests.Take(1);
   if (by_tokens) team->tokens.Take(tokens);
@@ -99,7 +102,7 @@
   team->admitted.tokens += tokens;
   const auto low = [now](TokenBucket& bucket) { return bucket.Level(now) < bucket.capacity() / 2; };
   if ((by_requests && low(team->requests)) || (by_tokens && low(team->tokens))) {
-    team->short_of = true;
+    team->needs_larger_share = true;
   }
   return Ok{};
 }
@@ -115,7 +118,7 @@
 
 std::vector<ShareAsk> TeamLimits::Due(Time now) {
   constexpr double kSmoothing = 0.25;
-  constexpr double kNegligible = 0.05;  // requests a second
+  constexpr double kNegligible = 0.05;  // requests per second
   Forget(now);
   std::vector<ShareAsk> asks;
   for (auto& [id, team] : teams_) {
@@ -128,19 +131,19 @@
     team.reported_at = now;
     SetRates(team, *LimitOf(id), now);
     const bool keeps_share = team.share && team.wanted.requests > kNegligible;
-    if (!team.short_of && !keeps_share) {
+    if (!team.needs_larger_share && !keeps_share) {
       team.share.reset();
-      team.asked_at.reset();
+      team.owner_asked_at.reset();
       continue;
     }
-    team.short_of = false;
+    team.needs_larger_share = false;
     const auto home = std::max_element(entries_.begin(), entries_.end(),
                                        [&id = id](const Pick& a, const Pick& b) {
                                          return RendezvousWeight(id.value, a.node.value) <
                                                 RendezvousWeight(id.value, b.node.value);
                                        });
     if (home == entries_.end()) continue;
-    if (!team.asked_at) team.asked_at = now;
+    if (!team.owner_asked_at) team.owner_asked_at = now;
     asks.push_back({*home, {id, team.wanted, std::exchange(team.admitted, {})}});
   }
   return asks;
@@ -151,13 +154,13 @@
   const TeamLimit* limit = LimitOf(id);
   if (found == teams_.end() || limit == nullptr) return;
   found->second.share = share;
-  found->second.asked_at = now;
+  found->second.owner_asked_at = now;
   SetRates(found->second, *limit, now);
 }
 
 void TeamLimits::Forget(Time now) {
   std::erase_if(teams_,
-                [now](const auto& entry) { return now > entry.second.used_at + kForgetAfter; });
+                [now](const auto& entry) { return now > entry.second.used_at + kIdleTimeout; });
 }
 
 }  // namespace figmill
--- a/src/online/team_shares.cc
+++ b/src/online/team_shares.cc
@@ -5,18 +5,19 @@
 namespace figmill {
 namespace {
 
-// What is left of `limit` while `excess` is taken back.
-double Effective(double limit, double excess) {
-  const double part = 1 - excess / (limit * TeamShares::kPaybackSeconds);
-  return limit * std::clamp(part, TeamShares::kLeastShare, 1.0);
+// The part of `limit` that may be divided while `excess` is recovered.
+double LimitDuringRecovery(double limit, double excess) {
+  const double part = 1 - excess / (limit * TeamShares::kRecoverySeconds);
+  return limit * std::clamp(part, TeamShares::kMinShare, 1.0);
 }
 
-// By demand, where that passes the limit. Else each may use all the headroom: an
-// entry sees a few requests a second, and their noise would be refused. When
-// several use it at once, the excess is taken back.
-double Split(double limit, double excess, double wanted, double all_wanted) {
+// Divides the limit in proportion to demand when the demand exceeds it. Otherwise each entry
+// may use all of the unused rest: an entry gets only a few requests per second, and a share
+// without headroom would refuse normal fluctuations. When several entries use the rest at once,
+// the excess is recovered.
+double ShareByDemand(double limit, double excess, double wanted, double all_wanted) {
   if (limit <= 0) return 0;
-  const double effective = Effective(limit, excess);
+  const double effective = LimitDuringRecovery(limit, excess);
   if (all_wanted <= effective) return wanted + effective - all_wanted;
   return effective * wanted / all_wanted;
 }
@@ -28,14 +29,14 @@
   Team& team = teams_[report.team];
   const double seconds = team.at == Time{} ? 0 : static_cast<double>((now - team.at).count()) / 1e6;
   team.at = now;
-  // The burst that wasn't used is kept as credit, else mere noise would count as
-  // excess.
-  const auto account = [&](double excess, double admitted, double rate) {
+  // An unused burst is kept as credit; otherwise normal fluctuations would count as excess.
+  const auto updated_excess = [&](double excess, double admitted, double rate) {
     return std::max(-rate * limit.burst_seconds, excess + admitted - rate * seconds);
   };
   team.excess.requests =
-      account(team.excess.requests, report.admitted.requests, limit.requests_per_second);
-  team.excess.tokens = account(team.excess.tokens, report.admitted.tokens, limit.tokens_per_second);
+      updated_excess(team.excess.requests, report.admitted.requests, limit.requests_per_second);
+  team.excess.tokens =
+      updated_excess(team.excess.tokens, report.admitted.tokens, limit.tokens_per_second);
 
   team.reporters[entry] = {report.wanted, now};
   std::erase_if(team.reporters,
@@ -46,13 +47,14 @@
     all.tokens += reporter.wanted.tokens;
   }
   return {
-      Split(limit.requests_per_second, team.excess.requests, report.wanted.requests, all.requests),
-      Split(limit.tokens_per_second, team.excess.tokens, report.wanted.tokens, all.tokens)};
+      ShareByDemand(limit.requests_per_second, team.excess.requests, report.wanted.requests,
+                    all.requests),
+      ShareByDemand(limit.tokens_per_second, team.excess.tokens, report.wanted.tokens, all.tokens)};
 }
 
 void TeamShares::Forget(Time now) {
   std::erase_if(teams_, [now](const auto& entry) {
-    return now > entry.second.at + TeamLimits::kForgetAfter;
+    return now > entry.second.at + TeamLimits::kIdleTimeout;
   });
 }
 
--- a/src/online/token_bucket.cc
+++ b/src/online/token_bucket.cc
@@ -31,12 +31,12 @@
 }
 
 Duration TokenBucket::Until(double n, Time now) {
-  constexpr Duration kLongest{60'000'000};
+  constexpr Duration kMaxWait{60'000'000};
   const double missing = n - Level(now);
   if (missing <= 0) return Duration{0};
-  if (rate_ <= 0) return kLongest;
+  if (rate_ <= 0) return kMaxWait;
   return Duration(static_cast<std::int64_t>(
-      std::min(missing / rate_ * kMicrosPerSecond, static_cast<double>(kLongest.count()))));
+      std::min(missing / rate_ * kMicrosPerSecond, static_cast<double>(kMaxWait.count()))));
 }
 
 }  // namespace figmill
--- a/src/relay/event_pieces.cc
+++ b/src/relay/event_pieces.cc
@@ -7,7 +7,7 @@
 
 constexpr std::string_view kIdField = "id:";
 
-// The value of the last "id" line of an event, without the blank before it.
+// The value of the last "id" line of an event, without the leading space.
 std::optional<std::string> IdOf(std::string_view event) {
   std::optional<std::string> id;
   while (!event.empty()) {
@@ -25,7 +25,7 @@
   return id;
 }
 
-std::optional<std::uint64_t> NumberOf(std::string_view id) {
+std::optional<std::uint64_t> ParseNumber(std::string_view id) {
   std::uint64_t number = 0;
   const char* const end = id.data() + id.size();
   const auto [read_to, failure] = std::from_chars(id.data(), end, number);
@@ -33,15 +33,15 @@
   return number;
 }
 
-// Ids that are no numbers have no order that is known here.
-bool MayFollow(std::string_view id, std::string_view last) {
-  const std::optional<std::uint64_t> number = NumberOf(id);
-  const std::optional<std::uint64_t> last_number = NumberOf(last);
+// Ids that are not numbers have no known order.
+bool IsAfter(std::string_view id, std::string_view last) {
+  const std::optional<std::uint64_t> number = ParseNumber(id);
+  const std::optional<std::uint64_t> last_number = ParseNumber(last);
   if (number && last_number) return *number > *last_number;
   return id != last;
 }
 
-// Just behind the blank line that ends the first event, or npos.
+// Position after the blank line that ends the first event, or npos.
 std::size_t EndOfEvent(std::string_view bytes, std::size_t from) {
   for (std::size_t at = bytes.find('\n', from); at != std::string_view::npos;
        at = bytes.find('\n', at + 1)) {
@@ -56,12 +56,12 @@
 
 std::string EventPieces::Feed(std::string_view bytes) {
   if (repeats_) return {};
-  tail_.append(bytes);
+  incomplete_.append(bytes);
   std::size_t whole = 0;
-  for (std::size_t end = EndOfEvent(tail_, 0); end != std::string_view::npos;
-       end = EndOfEvent(tail_, whole)) {
-    auto id = IdOf(std::string_view(tail_).substr(whole, end - whole));
-    if (id && last_id_ && !MayFollow(*id, *last_id_)) {
+  for (std::size_t end = EndOfEvent(incomplete_, 0); end != std::string_view::npos;
+       end = EndOfEvent(incomplete_, whole)) {
+    auto id = IdOf(std::string_view(incomplete_).substr(whole, end - whole));
+    if (id && last_id_ && !IsAfter(*id, *last_id_)) {
       repeats_ = true;
       break;
     }
@@ -69,8 +69,8 @@
     ++count_;
     whole = end;
   }
-  std::string events = tail_.substr(0, whole);
-  tail_.erase(0, whole);
+  std::string events = incomplete_.substr(0, whole);
+  incomplete_.erase(0, whole);
   return events;
 }
 
--- a/src/relay/relay_run.cc
+++ b/src/relay/relay_run.cc
@@ -6,7 +6,7 @@
 namespace figmill {
 namespace {
 
-constexpr int kFirstFailure = 500;
+constexpr int kFirstErrorStatus = 500;
 
 bool IsSuccess(int status) {
   return status >= 200 && status < 300;
@@ -57,21 +57,21 @@
 
 void RelayRun::On(Time now, const relay::Start& /*event*/) {
   assert(state_ == State::kIdle);
-  Ask(now);
+  ChooseNextBackend(now);
 }
 
-void RelayRun::Ask(Time now) {
-  state_ = State::kAsking;
+void RelayRun::ChooseNextBackend(Time now) {
+  state_ = State::kChoosingBackend;
   ArmTimer(now);
   actions_.emplace_back(relay::AskPlace{tried_, head_passed_});
 }
 
 void RelayRun::On(Time now, const relay::Placed& event) {
-  if (state_ != State::kAsking) return;
+  if (state_ != State::kChoosingBackend) return;
   backend_ = event.backend;
   tried_.push_back(backend_.id);
   state_ = State::kSent;
-  heard_at_ = now;
+  last_data_at_ = now;
   std::optional<std::string> after = pieces_.last_id();
   if (!after) after = plan_.after_event;
   const Duration left = std::max(plan_.limit - now, Duration{0});
@@ -80,26 +80,28 @@
 }
 
 void RelayRun::On(Time /*now*/, const relay::NoPlace& event) {
-  if (state_ != State::kAsking) return;
+  if (state_ != State::kChoosingBackend) return;
   Error error = event.error;
   error.ran = ran_;
   if (ran_ != Ran::kNo) error.kind = ErrorKind::kBackendFailed;
-  GiveUp(std::move(error));
+  FinishWithError(std::move(error));
 }
 
 void RelayRun::On(Time now, const relay::Head& event) {
   if (!IsCurrent(event.send) || state_ != State::kSent) return;
   if (!IsOurs(event.id, event.not_run)) {
-    return TryElsewhere(now, relay::SendEnd::kBroken, "answered another request", Ran::kUnknown);
+    return SendToNextBackend(now, relay::SendEnd::kBroken, "received an answer to another request",
+                             Ran::kUnknown);
   }
   if (event.not_run) {
     ++rejections_;
     const bool misdirected = event.head.status == kMisdirected;
-    return TryElsewhere(now, misdirected ? relay::SendEnd::kMisdirected : relay::SendEnd::kRejected,
-                        "not run, status " + std::to_string(event.head.status), Ran::kNo);
+    return SendToNextBackend(now,
+                             misdirected ? relay::SendEnd::kMisdirected : relay::SendEnd::kRejected,
+                             "not run, status " + std::to_string(event.head.status), Ran::kNo);
   }
-  if (event.head.status >= kFirstFailure) return OnFailedAnswer(now, event);
-  heard_at_ = now;
+  if (event.head.status >= kFirstErrorStatus) return OnFailedAnswer(now, event);
+  last_data_at_ = now;
   state_ = State::kAnswering;
   ran_ = Ran::kYes;
   head_ = event.head;
@@ -110,11 +112,11 @@
   ArmTimer(now);
 }
 
-// Its own failure, after it began to work. Another backend server may do better.
+// The backend server failed after it started the request. Another one may succeed.
 void RelayRun::OnFailedAnswer(Time now, const relay::Head& event) {
-  if (MaySendAgain(Ran::kYes) || head_passed_) {
-    return TryElsewhere(now, relay::SendEnd::kFailed, "status " + std::to_string(event.head.status),
-                        Ran::kYes);
+  if (MayResend(Ran::kYes) || head_passed_) {
+    return SendToNextBackend(now, relay::SendEnd::kFailed,
+                             "status " + std::to_string(event.head.status), Ran::kYes);
   }
   state_ = State::kAnswering;
   ran_ = Ran::kYes;
@@ -123,84 +125,88 @@
 
 void RelayRun::On(Time now, const relay::Bytes& event) {
   if (!IsCurrent(event.send) || state_ != State::kAnswering) return;
-  heard_at_ =
-      now;  // the timer looks at this when it fires, which is cheaper than a new one each time
+  last_data_at_ = now;  // the timer compares against this when it fires, which is cheaper than a
+                        // new timer for each read
   if (plan_.stream && IsSuccess(head_.status)) {
     std::string events = pieces_.Feed(event.bytes);
     if (!events.empty()) actions_.emplace_back(relay::PassBytes{std::move(events)});
     if (!pieces_.repeats()) return;
-    return TryElsewhere(now, relay::SendEnd::kBroken, "an event came again", Ran::kUnknown);
+    return SendToNextBackend(now, relay::SendEnd::kBroken, "received a duplicate event",
+                             Ran::kUnknown);
   }
   if (head_passed_) {
     actions_.emplace_back(relay::PassBytes{std::string(event.bytes)});
     return;
   }
-  held_.append(event.bytes);
-  if (held_.size() <= kMaxHeldBytes) return;
+  buffer_.append(event.bytes);
+  if (buffer_.size() <= kMaxBufferedBytes) return;
   head_passed_ = true;
   actions_.emplace_back(relay::PassHead{head_});
-  actions_.emplace_back(relay::PassBytes{std::exchange(held_, {})});
+  actions_.emplace_back(relay::PassBytes{std::exchange(buffer_, {})});
 }
 
 void RelayRun::On(Time now, const relay::End& event) {
   if (!IsCurrent(event.send)) return;
   if (state_ != State::kAnswering || pieces_.in_event()) {
-    return TryElsewhere(now, relay::SendEnd::kBroken, "ended early", Ran::kUnknown);
+    return SendToNextBackend(now, relay::SendEnd::kBroken, "the answer ended early", Ran::kUnknown);
   }
-  const bool failed = head_.status >= kFirstFailure;
+  const bool failed = head_.status >= kFirstErrorStatus;
   EndSend(failed ? relay::SendEnd::kFailed : relay::SendEnd::kAnswered,
           "status " + std::to_string(head_.status));
   state_ = State::kFinished;
   if (head_passed_) {
     actions_.emplace_back(relay::Finish{});
   } else {
-    actions_.emplace_back(relay::PassAnswer{std::move(head_), std::move(held_)});
+    actions_.emplace_back(relay::PassAnswer{std::move(head_), std::move(buffer_)});
   }
 }
 
 void RelayRun::On(Time now, const relay::Broke& event) {
   if (!IsCurrent(event.send)) return;
-  if (!event.sent) return TryElsewhere(now, relay::SendEnd::kUnreachable, event.why, Ran::kNo);
-  TryElsewhere(now, relay::SendEnd::kBroken, event.why, Ran::kUnknown);
+  if (!event.sent) return SendToNextBackend(now, relay::SendEnd::kUnreachable, event.why, Ran::kNo);
+  SendToNextBackend(now, relay::SendEnd::kBroken, event.why, Ran::kUnknown);
 }
 
-// Whether it ran can't be known: it may have run at the incarnation that has ended, and a
-// request that crossed the restart runs at the new one, which goes by the same id. The new one
-// may be tried: it is as good as any other backend server.
+// Whether the request ran is unknown: it may have run in the incarnation that has ended, or in
+// the new one with the same id if it arrived after the restart. The new incarnation may be
+// tried like any other backend server.
 void RelayRun::On(Time now, const relay::BackendRestarted& event) {
   if (!IsCurrent(event.send)) return;
   std::erase(tried_, backend_.id);
-  TryElsewhere(now, relay::SendEnd::kBroken, "the backend server has started again", Ran::kUnknown);
+  SendToNextBackend(now, relay::SendEnd::kBroken, "the backend server has started again",
+                    Ran::kUnknown);
 }
 
 void RelayRun::On(Time now, const relay::TimerFired& /*event*/) {
-  if (now >= plan_.limit) return OnTimeUp();
+  if (now >= plan_.limit) return OnDeadline();
   if (state_ != State::kSent && state_ != State::kAnswering) return;
-  if (now - timer_at_ >= kOverslept) heard_at_ = now;
-  const Duration patience =
+  if (now - timer_at_ >= kSuspendedTimerDelay) last_data_at_ = now;
+  const Duration silence_timeout =
       state_ == State::kSent ? plan_.first_byte_patience : plan_.next_byte_patience;
-  const bool silent = patience.count() > 0 && now - heard_at_ >= patience;
-  if (silent && MaySendAgain(Ran::kUnknown)) {
-    return TryElsewhere(now, relay::SendEnd::kSilent, "no bytes in time", Ran::kUnknown);
+  const bool silent = silence_timeout.count() > 0 && now - last_data_at_ >= silence_timeout;
+  if (silent && MayResend(Ran::kUnknown)) {
+    return SendToNextBackend(now, relay::SendEnd::kSilent, "no data within the silence timeout",
+                             Ran::kUnknown);
   }
   ArmTimer(now);
 }
 
-void RelayRun::OnTimeUp() {
-  const bool out = state_ == State::kSent || state_ == State::kAnswering;
-  if (out) {
-    EndSend(relay::SendEnd::kAbandoned, "time is up");
+void RelayRun::OnDeadline() {
+  const bool send_open = state_ == State::kSent || state_ == State::kAnswering;
+  if (send_open) {
+    EndSend(relay::SendEnd::kAbandoned, "the deadline passed");
     if (ran_ == Ran::kNo) ran_ = Ran::kUnknown;
   }
   if (ran_ == Ran::kNo) {
-    return GiveUp({ErrorKind::kOverloaded, "no backend server had room in time", Ran::kNo});
+    return FinishWithError({ErrorKind::kOverloaded,
+                            "no backend server had a free slot before the deadline", Ran::kNo});
   }
-  GiveUp({ErrorKind::kDeadlineExceeded, "no whole answer in time", ran_});
+  FinishWithError({ErrorKind::kDeadlineExceeded, "no complete answer before the deadline", ran_});
 }
 
 void RelayRun::On(Time /*now*/, const relay::CallerGone& /*event*/) {
   if (state_ == State::kSent || state_ == State::kAnswering) {
-    EndSend(relay::SendEnd::kAbandoned, "the caller left");
+    EndSend(relay::SendEnd::kAbandoned, "the caller disconnected");
   }
   state_ = State::kFinished;
 }
@@ -209,33 +215,35 @@
   actions_.emplace_back(relay::SendOver{send_, backend_, end, std::move(why)});
 }
 
-// `ran` is what the end of the last send says about it.
-bool RelayRun::MaySendAgain(Ran ran) const {
+// `ran`: whether the request ran, as shown by the end of the last send.
+bool RelayRun::MayResend(Ran ran) const {
   if (ran == Ran::kNo) return rejections_ < kMaxRejections;
   if (!plan_.idempotent) return false;
   if (head_passed_ && !(plan_.stream && plan_.resumable)) return false;
   return backends_used_ + 1 < plan_.max_backends;
 }
 
-void RelayRun::TryElsewhere(Time now, relay::SendEnd end, std::string why, Ran ran) {
-  const bool again = MaySendAgain(ran) && now < plan_.limit;
+void RelayRun::SendToNextBackend(Time now, relay::SendEnd end, std::string why, Ran ran) {
+  const bool again = MayResend(ran) && now < plan_.limit;
   EndSend(end, why);
   pieces_.DropTail();
-  held_.clear();
+  buffer_.clear();
   if (ran != Ran::kNo) {
     ++backends_used_;
     if (ran_ != Ran::kYes) ran_ = ran;
   }
-  if (again) return Ask(now);
+  if (again) return ChooseNextBackend(now);
   if (ran_ == Ran::kNo) {
-    return GiveUp(
-        {ErrorKind::kOverloaded, "no backend server took it; the last one: " + why, Ran::kNo});
+    return FinishWithError({ErrorKind::kOverloaded,
+                            "no backend server accepted the request; last error: " + why,
+                            Ran::kNo});
   }
-  GiveUp({end == relay::SendEnd::kBroken ? ErrorKind::kBrokenAnswer : ErrorKind::kBackendFailed,
-          std::move(why), ran_});
+  FinishWithError(
+      {end == relay::SendEnd::kBroken ? ErrorKind::kBrokenAnswer : ErrorKind::kBackendFailed,
+       std::move(why), ran_});
 }
 
-void RelayRun::GiveUp(Error error) {
+void RelayRun::FinishWithError(Error error) {
   state_ = State::kFinished;
   if (head_passed_) {
     actions_.emplace_back(relay::BreakOff{std::move(error)});
@@ -246,10 +254,11 @@
 
 void RelayRun::ArmTimer(Time now) {
   Time at = plan_.limit;
-  Duration patience{0};
-  if (state_ == State::kSent) patience = plan_.first_byte_patience;
-  if (state_ == State::kAnswering) patience = plan_.next_byte_patience;
-  if (patience.count() > 0 && MaySendAgain(Ran::kUnknown)) at = std::min(at, heard_at_ + patience);
+  Duration silence_timeout{0};
+  if (state_ == State::kSent) silence_timeout = plan_.first_byte_patience;
+  if (state_ == State::kAnswering) silence_timeout = plan_.next_byte_patience;
+  if (silence_timeout.count() > 0 && MayResend(Ran::kUnknown))
+    at = std::min(at, last_data_at_ + silence_timeout);
   timer_at_ = std::max(at, now);
   actions_.emplace_back(relay::SetTimer{timer_at_});
 }
--- a/src/routes/route_table.cc
+++ b/src/routes/route_table.cc
@@ -8,14 +8,14 @@
 namespace figmill {
 namespace {
 
-std::string HostKey(std::string_view host) {
+std::string NormalizedHost(std::string_view host) {
   std::string key(host.substr(0, host.find(':')));
   std::transform(key.begin(), key.end(), key.begin(),
                  [](unsigned char c) { return static_cast<char>(std::tolower(c)); });
   return key;
 }
 
-Error BadRoute(const Route& route, std::string_view why) {
+Error InvalidRoute(const Route& route, std::string_view why) {
   return Error{ErrorKind::kBadRequest, "route '" + route.name + "': " + std::string(why)};
 }
 
@@ -25,20 +25,20 @@
 }
 
 Result<Ok> ValidateRoute(const RoutingConfig& config, const Route& route) {
-  if (route.host.empty()) return BadRoute(route, "has no host");
+  if (route.host.empty()) return InvalidRoute(route, "has no host");
   if (!route.prefix.starts_with('/') || !route.prefix.ends_with('/')) {
-    return BadRoute(route, "prefix '" + route.prefix + "' must begin and end with a slash");
+    return InvalidRoute(route, "prefix '" + route.prefix + "' must begin and end with a slash");
   }
-  if (route.split.empty()) return BadRoute(route, "goes to no service");
+  if (route.split.empty()) return InvalidRoute(route, "has no service");
   std::uint64_t weights = 0;
   for (const ServiceShare& share : route.split) {
     weights += share.weight;
     if (HasService(config, share.service)) continue;
-    return BadRoute(route, "goes to the unknown service '" + share.service.value + "'");
+    return InvalidRoute(route, "refers to the unknown service '" + share.service.value + "'");
   }
-  if (weights == 0) return BadRoute(route, "has only weights of 0");
-  if (route.timeout.count() <= 0) return BadRoute(route, "needs a time-out above 0");
-  if (route.max_backends < 1) return BadRoute(route, "must allow one backend server at least");
+  if (weights == 0) return InvalidRoute(route, "has only weights of 0");
+  if (route.timeout.count() <= 0) return InvalidRoute(route, "timeout must be greater than 0");
+  if (route.max_backends < 1) return InvalidRoute(route, "must allow at least one backend server");
   return Ok{};
 }
 
@@ -65,8 +65,8 @@
 
 Result<Ok> Validate(const RoutingConfig& config) {
   for (const Route& route : config.routes) {
-    Result<Ok> verdict = ValidateRoute(config, route);
-    if (!IsOk(verdict)) return verdict;
+    Result<Ok> result = ValidateRoute(config, route);
+    if (!IsOk(result)) return result;
   }
   if (config.teams) return Validate(*config.teams);
   return Ok{};
@@ -74,7 +74,7 @@
 
 RouteTable::RouteTable(RoutingConfig config, std::uint64_t secret) : config_(std::move(config)) {
   if (config_.teams) teams_.emplace(*std::exchange(config_.teams, std::nullopt), secret);
-  for (const Route& route : config_.routes) by_host_[HostKey(route.host)].push_back(&route);
+  for (const Route& route : config_.routes) by_host_[NormalizedHost(route.host)].push_back(&route);
   for (auto& [host, routes] : by_host_) {
     std::stable_sort(routes.begin(), routes.end(), [](const Route* a, const Route* b) {
       return a->prefix.size() > b->prefix.size();
@@ -83,7 +83,7 @@
 }
 
 const Route* RouteTable::Find(std::string_view host, std::string_view path) const {
-  const auto found = by_host_.find(HostKey(host));
+  const auto found = by_host_.find(NormalizedHost(host));
   if (found == by_host_.end()) return nullptr;
   for (const Route* route : found->second) {
     if (path.starts_with(route->prefix)) return route;
--- a/test/online-limits-test.cc
+++ b/test/online-limits-test.cc
@@ -29,8 +29,8 @@
   return snapshot;
 }
 
-// Entries before one team, whose reports take a tick each way and get lost when
-// `homes_up` is false.
+// Entries that serve one team. Their reports take one tick in each direction, and are lost
+// while `homes_up` is false.
 class Fleet {
  public:
   Fleet(int n, double requests, double tokens) : snapshot_(Entries(n, requests, tokens)) {
@@ -40,7 +40,7 @@
     }
   }
 
-  // Admitted requests a second, with arrivals at `rate` split by `weights`.
+  // Returns the admitted requests per second, with arrivals at `rate` distributed by `weights`.
   double Run(double rate, const std::vector<double>& weights, Duration span, double tokens = 1) {
     std::discrete_distribution<std::size_t> entry(weights.begin(), weights.end());
     std::poisson_distribution<int> arrivals(rate * static_cast<double>(kTick.count()) / 1e6);
@@ -55,14 +55,14 @@
     admitted_share = static_cast<double>(admitted) / offered;
     return admitted / (static_cast<double>(span.count()) / 1e6);
   }
-  double admitted_share = 0;  // of what the last run offered
+  double admitted_share = 0;  // admitted fraction of the requests in the last run
   bool homes_up = true;
   int reports = 0;
 
  private:
   void Exchange() {
     for (std::size_t i = 0; i < limits_.size(); ++i) {
-      // Entries don't report in step.
+      // Entries report at different times.
       const Duration phase = kTick * static_cast<int>(i * 7 % 50);
       if ((now_ - kStart + phase) % TeamLimits::kReportPeriod != Duration{0}) continue;
       for (const ShareAsk& ask : limits_[i].Due(now_)) {
@@ -117,17 +117,17 @@
   }
 }
 
-TEST_CASE("tokens are limited as well, and debt of a large request is paid back") {
+TEST_CASE("tokens are limited as well, and an overdraft by a large request is recovered") {
   Fleet fleet(8, 0, 4000);
   fleet.Run(60, Skewed(8), Duration{5'000'000}, 200);
   CHECK(fleet.Run(60, Skewed(8), Duration{60'000'000}, 200) * 200 ==
         doctest::Approx(4000).epsilon(0.1));
 }
 
-TEST_CASE("with its home silent a team keeps an equal share at each entry") {
-  // Symptom: a team is refused everywhere, or unlimited, while one entry is down.
-  // Sequence: the team's home stops answering reports.
-  // Cause: shares that only the home can give, or that never lapse.
+TEST_CASE("a team keeps an equal share at each entry while its owner doesn't respond") {
+  // Guards against a team that is refused at every entry, or unlimited, while the entry that
+  // owns it is down: its owner no longer answers reports, and shares depend on the owner alone
+  // or never expire.
   Fleet fleet(8, 40, 0);
   const std::vector<double> even(8, 1.0);
   fleet.Run(120, even, Duration{10'000'000});
@@ -136,7 +136,7 @@
   CHECK(fleet.Run(120, even, Duration{60'000'000}) == doctest::Approx(40).epsilon(0.1));
 }
 
-TEST_CASE("a refusal says when to come back, and teams without a limit cost nothing") {
+TEST_CASE("a refusal has a retry delay, and teams without a limit are not tracked") {
   TeamLimits limits({"e0"});
   limits.Update(Entries(1, 1, 0), kStart);
   std::optional<Error> refused;
--- a/test/online-router-test.cc
+++ b/test/online-router-test.cc
@@ -40,7 +40,7 @@
   Router Made(const std::string& self) {
     return {NodeId{self}, DataCentre{"north/a"}, [this] { return random(); }};
   }
-  // Where `n` requests go that stay in flight.
+  // Sends `n` requests that stay in flight; returns their number by agent.
   std::map<std::string, int> Send(int n, Time now, std::string_view prefix = {}) {
     std::map<std::string, int> to;
     for (int i = 0; i < n; ++i) {
@@ -57,19 +57,21 @@
 
 }  // namespace
 
-TEST_CASE("each entry knows a bounded subset, and together they load agents evenly") {
+TEST_CASE(
+    "each entry has a bounded set of candidates, and all entries together load agents evenly") {
   const Snapshot fleet = Fleet(100);
   std::map<std::string, int> to;
   for (int entry = 0; entry < 60; ++entry) {
     Bench bench(fleet, "e" + std::to_string(entry));
-    CHECK(bench.router.candidates(kService) <= Router::kSubset);
+    CHECK(bench.router.candidates(kService) <= Router::kSubsetSize);
     for (const auto& [node, n] : bench.Send(32, kStart)) to[node] += n;
   }
   CHECK(to.size() == 100);
   for (const auto& [node, n] : to) CHECK(n < 4 * 60 * 32 / 100);
 }
 
-TEST_CASE("leaving, drained and dead agents are out at once, suspect ones unless alone") {
+TEST_CASE(
+    "leaving, drained and dead agents are removed at once, suspect ones unless there is no other") {
   Snapshot fleet = Fleet(5);
   fleet.members[0].leaving = true;
   fleet.members[1].liveness = Liveness::kDead;
@@ -87,7 +89,7 @@
   CHECK_FALSE(IsOk(bench.router.Choose({kService, {}, 1, {}}, kStart)));
 }
 
-TEST_CASE("a prefix stays with its owner until that is loaded far over the mean") {
+TEST_CASE("a prefix stays with its owner until the owner's load is far above the mean") {
   Bench bench(Fleet(8));
   constexpr std::string_view kPrefix = "you are an agronomist";
   const std::string owner = bench.Send(1, kStart, kPrefix).begin()->first;
@@ -100,12 +102,11 @@
   for (const auto& [node, n] : many) CHECK(n <= 15);
 }
 
-TEST_CASE("an agent that says nothing isn't taken for idle") {
-  // Symptom: one slow server draws the load of every entry, first tokens take
-  // seconds at the 99th percentile.
-  // Sequence: all agents but one report other entries' requests; the slow one's
-  // answers, and with them its reports, don't come.
-  // Cause: no report counted as no load.
+TEST_CASE("an agent without a load report isn't assumed to be idle") {
+  // Guards against one slow agent that attracts the load of every entry, so that first tokens
+  // take seconds at the 99th percentile. All agents but one report the requests of other
+  // entries; the slow one's answers, and its load reports with them, don't arrive. Without a
+  // report an agent was taken for idle.
   Bench bench(Fleet(4));
   for (const char* node : {"a1", "a2", "a3"}) {
     bench.router.HeadSeen({node}, {.online_running = 10}, kStart);
@@ -113,7 +114,7 @@
   CHECK(bench.Send(40, kStart)["a0"] <= 15);
 }
 
-TEST_CASE("another data centre is used when its agents are less loaded by the hop's price") {
+TEST_CASE("another data centre is used when the load difference exceeds the cost of the distance") {
   Snapshot fleet = Fleet(2);
   fleet.members.push_back(Agent(2, "north/b"));
   fleet.members.push_back(Agent(3, "south/a"));
@@ -125,11 +126,11 @@
   CHECK_FALSE(heavy.contains("a3"));
 }
 
-TEST_CASE("a new agent is let in slowly, a failing one ejected, never more than half") {
-  // Symptom: a third of requests fail for minutes while one agent is broken; or a
-  // fault of all agents ends with one of them taking all the load.
-  // Sequence: agents answer nothing; each failure is reported to the router.
-  // Cause: no memory of failures; or ejection without a floor.
+TEST_CASE("a new agent gets a slow start, failing ones are ejected, and at most half of them") {
+  // Guards against two failures: a third of the requests fail for minutes while one agent is
+  // broken, because failures aren't remembered; and a fault of all agents puts all the load on
+  // one of them, because ejection has no lower bound on the remaining agents. Agents answer
+  // nothing; each failure is reported to the router.
   Snapshot fleet = Fleet(4);
   Bench bench(fleet);
   fleet.members.push_back(Agent(4));
@@ -149,15 +150,15 @@
   CHECK(failing.Send(50, kStart).size() >= 3);
   const Time back = kStart + Router::kFirstEjection + Router::kSlowStart;
   CHECK(failing.Send(200, back).size() == 5);
-  fail("a0", back);  // on probation: one more failure is enough
+  fail("a0", back);  // one more failure is enough after an ejection
   CHECK(failing.router.ejected(back) == 1);
 }
 
-TEST_CASE("the brown-out of a third of the agents doesn't multiply load") {
-  // Symptom: servers that still work fall over after a third of them fail.
-  // Sequence: agents a0..a3 of twelve answer nothing and never started the work;
-  // every request of 40 entries is repeatable.
-  // Cause: each failed request is sent again, without a budget or a memory.
+TEST_CASE("the failure of a third of the agents doesn't multiply load") {
+  // Guards against overload of the remaining servers after a third of them fail. Agents a0..a3
+  // of twelve answer nothing and never start the work; every request of 40 entries is
+  // repeatable. Without a retry budget and without a record of failures, each failed request is
+  // sent again.
   const Snapshot fleet = Fleet(12);
   int requests = 0, attempts = 0, answered = 0;
   for (int entry = 0; entry < 40; ++entry) {
@@ -209,11 +210,11 @@
   CHECK(answered >= 0.97 * requests);
 }
 
-// Symptom: batch gets 6 in 100 of what online leaves of the engines.
-// Sequence: online goes evenly to all engines, so that each always has a little;
-// beside any online, batch may stretch the token gap by a small share only.
-// Cause: spreading a load that a few engines could hold within their marks.
-TEST_CASE("online keeps to the fewest agents that hold it, the same at every entry") {
+// Guards against spreading a load that a few engines could hold within their online marks:
+// batch then got 6 in 100 of the capacity that online left. With online streams spread evenly,
+// each engine always has a few, and beside any online stream batch may increase the token gap
+// only by a small fraction.
+TEST_CASE("online streams go to the fewest agents that can hold them, the same at every entry") {
   Snapshot fleet = Fleet(10);
   auto config = std::make_shared<Config>();
   config->services[kService].kind = ServiceKind::kModel;
@@ -231,7 +232,7 @@
       used.insert(node);
     }
     const auto more = bench.Send(300, kStart);
-    CHECK(more.size() == 10);  // past all marks, everyone helps
+    CHECK(more.size() == 10);  // beyond all marks, every agent is used
   }
   CHECK(used.size() == 2);
 }
--- a/test/online-run-test.cc
+++ b/test/online-run-test.cc
@@ -32,7 +32,7 @@
           incarnation};
 }
 
-// One run before agents that are always known, tried in order.
+// A request with agents that are always found and are tried in order.
 struct Bench {
   explicit Bench(RequestPlan plan) : run(std::move(plan), routes, budget, [] { return 7U; }) {}
 
@@ -80,10 +80,10 @@
 
 }  // namespace
 
-TEST_CASE("a stream that breaks inside an event goes on without gap or double") {
-  // Symptom: a caller's summary has a word twice, or lacks one.
-  // Sequence: the connection breaks inside an event; the stream is resumed.
-  // Cause: the half event counted as received, or was sent before the rest came.
+TEST_CASE("a stream interrupted inside an event is resumed without gaps or duplicates") {
+  // Guards against a duplicate or missing word in a caller's answer: the connection is lost
+  // inside an event and the stream is resumed. The incomplete event must not count as received,
+  // and must not be sent before its rest arrives.
   Bench bench(Plan(true));
   bench.On(event::Start{});
   bench.Head();
@@ -99,11 +99,11 @@
   CHECK(bench.run.done());
 }
 
-TEST_CASE("late, crossed and short answers never reach the caller") {
-  // Symptom: a caller reads another farm's note, or half of its own as if whole.
-  // Sequence: an agent answers a call that was given up, with another request's
-  // head, or ends with a wrong count.
-  // Cause: answers matched by connection or by closing alone.
+TEST_CASE("late, mismatched and truncated answers never reach the caller") {
+  // Guards against a caller that gets the answer to another request, or an incomplete answer as
+  // if it were complete. An agent answers a call that was already closed, answers with the head
+  // of another request, or ends with a wrong byte count. A match by connection or by the end of
+  // the connection alone misses these cases.
   RequestPlan plan = Plan(true);
   plan.wants_stream = false;
   Bench bench(plan);
@@ -118,7 +118,7 @@
   CHECK(bench.run.late_events() == 3);
   bench.On(event::RevokeAnswered{bench.last.call, event::RevokeState::kFinished});
   CHECK(bench.last.resume);
-  bench.Head("text/event-stream");  // the engine gives a stream, which wasn't asked for
+  bench.Head("text/event-stream");  // the engine answers with a stream that wasn't requested
   CHECK(bench.run.attempts() == 3);
   bench.Head("text/plain");
   bench.On(event::Data{bench.last.call, "half"});
@@ -130,11 +130,10 @@
   CHECK(bench.sent == "the whole");
 }
 
-TEST_CASE("a successor's word that it never started work isn't taken") {
-  // Symptom: an invoice is sent twice.
-  // Sequence: an agent starts the work and dies before it answers; its successor
-  // is asked, knows nothing of the request, and says so.
-  // Cause: the revoke went to the new incarnation, after a failed resume there.
+TEST_CASE("a new incarnation's answer that it never started the work isn't accepted") {
+  // Guards against work that runs twice. An agent starts the work and dies before it answers;
+  // the revoke goes to the new incarnation, after a failed resume there, which has no record of
+  // the request and reports that it never started.
   Bench bench(Plan(false));
   bench.On(event::Start{});
   auto actions = bench.On(event::Broke{bench.last.call, true, "reset"});
@@ -147,24 +146,24 @@
   CHECK(First<action::Revoke>(actions)->to.incarnation == 1);
 }
 
-TEST_CASE("silence is questioned, and a paused agent doesn't hold its caller") {
-  // Symptom: callers wait out their whole deadline behind one stopped process.
-  // Sequence: an agent takes a request and is paused; its connection stays open.
-  // Cause: an open connection taken for a sign of life.
+TEST_CASE("a silent agent is probed, and a paused one doesn't block its caller") {
+  // Guards against callers that wait until their deadline for one stopped process: an agent
+  // accepts a request and is paused while its connection stays open. An open connection doesn't
+  // show that the agent is running.
   Bench bench(Plan(true));
   bench.On(event::Start{});
-  auto actions = bench.On(event::TimerFired{}, RequestRun::kHeadPatience);
+  auto actions = bench.On(event::TimerFired{}, RequestRun::kHeadTimeout);
   REQUIRE(First<action::Revoke>(actions) != nullptr);
   bench.On(event::RevokeAnswered{bench.last.call, event::RevokeState::kRunning},
-           RequestRun::kHeadPatience);
-  CHECK(bench.run.attempts() == 1);  // slow, not paused: it goes on
-  bench.On(event::TimerFired{}, 3 * RequestRun::kHeadPatience);
-  actions = bench.On(event::TimerFired{}, 3 * RequestRun::kHeadPatience + 1000 * kMs);
+           RequestRun::kHeadTimeout);
+  CHECK(bench.run.attempts() == 1);  // the agent is slow but not paused, so the call stays open
+  bench.On(event::TimerFired{}, 3 * RequestRun::kHeadTimeout);
+  actions = bench.On(event::TimerFired{}, 3 * RequestRun::kHeadTimeout + 1000 * kMs);
   CHECK(First<action::CancelAt>(actions) != nullptr);
   CHECK(bench.last.to.node == NodeId{"a1"});
 }
 
-TEST_CASE("a request given up is answered at once, and told when to come back") {
+TEST_CASE("a request that fails for good is answered at once with a retry delay") {
   Bench bench(Plan(true));
   bench.On(event::Start{});
   for (int i = 0; i < 3; ++i) {
@@ -177,10 +176,10 @@
   CHECK(bench.error->retry_after >= 500 * kMs);
 }
 
-TEST_CASE("an agent that leaves doesn't use up the retries of the others") {
-  // Symptom: callers get 503 leaving though other agents have room. Sequence: an
-  // agent starts to leave; requests already on their way to it are refused, more
-  // than the budget holds. Cause: refusals that cost nothing, charged as retries.
+TEST_CASE("refusals by a leaving agent don't use the retry budget") {
+  // Guards against 503 answers because of leaving agents while other agents have capacity: an
+  // agent starts to leave, and more requests that are already in transit to it are refused than
+  // the retry budget allows. These refusals cost nothing and must not be charged.
   Bench bench(Plan(true));
   while (bench.budget.Spend()) {
   }
@@ -189,15 +188,15 @@
   CHECK_FALSE(bench.error);
   CHECK(bench.last.to.node == NodeId{"a1"});
   bench.On(event::AgentRefused{bench.last.call, {ErrorKind::kOverloaded, "full", Ran::kNo}});
-  CHECK(bench.error);  // that one counts
+  CHECK(bench.error);  // this refusal is charged to the budget
 }
 
 // --- All orders of events ----------------------------------------------------------
 
 namespace {
 
-// Agents, engines and the wire before one run, driven by a random schedule: each
-// step delivers, loses or delays something, restarts an agent, or lets time pass.
+// Simulates the agents, engines and network of one request with a random schedule: each step
+// delivers, loses or delays something, restarts an agent, or advances the time.
 class World {
  public:
   World(std::uint32_t seed, bool repeatable, bool streaming, bool same_again)
@@ -210,7 +209,7 @@
     Step(event::Start{});
     for (int i = 0; i < 2000 && !bench_.run.done(); ++i) Advance();
     REQUIRE(bench_.run.done());
-    // What is still on its way arrives after the final answer.
+    // Dispatches that are still in transit arrive after the final answer.
     for (Call& call : calls_) Arrive(call);
   }
 
@@ -235,7 +234,7 @@
   struct Call {
     action::Dispatch dispatch;
     bool on_its_way = true;  // has not reached the agent
-    bool open = true;        // at the entry
+    bool open = true;        // not closed by the entry
     std::deque<std::variant<event::AgentRefused, event::Head, std::string, event::End>> answer;
   };
   struct Agent {
@@ -310,7 +309,7 @@
     Step(event::Broke{call.dispatch.call, sent, "reset"});
   }
 
-  // The answer of one run; runs differ unless the model repeats itself.
+  // The answer of one run; runs differ unless the model is deterministic.
   std::string Answer(const std::string& request) const {
     const std::string mark = same_again_ ? "" : request;
     if (!streaming_) return "whole answer " + mark;
@@ -361,7 +360,7 @@
     call.answer.push_back(event::End{call.dispatch.call, bytes, 3, 0});
   }
 
-  // Also to calls that the run has closed: then it is late.
+  // Also delivers to calls that the request has closed; the event is then late.
   void Deliver(Call& call) {
     if (call.answer.empty()) return;
     auto next = std::move(call.answer.front());
@@ -389,7 +388,7 @@
       if (!started) agent.tombstones.insert(revoke.request.value);
       state = started ? event::RevokeState::kRunning : event::RevokeState::kNeverStarted;
     }
-    if (Random(4) == 0) state = event::RevokeState::kNoAnswer;  // its answer is lost
+    if (Random(4) == 0) state = event::RevokeState::kNoAnswer;  // the answer to the revoke is lost
     Step(event::RevokeAnswered{revoke.call, state});
   }
 
@@ -403,7 +402,7 @@
   std::vector<action::Revoke> revokes_;
   std::array<Agent, 3> agents_;
   std::array<std::set<std::string>, 3> engines_;
-  std::set<std::string> answers_ = {""};  // "" stands for a caller that got nothing
+  std::set<std::string> answers_ = {""};  // "" represents a caller that received nothing
   int executions_ = 0;
   int open_ = 0;
   std::uint32_t stale_refusals_ = 0;
@@ -411,11 +410,11 @@
 
 }  // namespace
 
-TEST_CASE("over random orders of failures: run at most once, truthful, whole") {
-  // Symptom: a flag raised twice, a "not run" that ran, a spliced answer.
-  // Sequence: dispatches, answers, revokes and their losses, restarts of agents
-  // and timers in any order, also after the final answer.
-  // Cause: any step that trusts more than what was proven.
+TEST_CASE("random orders of failures: at most one run, correct run state, complete answers") {
+  // Guards against work that runs twice, an error that says "not run" for work that ran, and
+  // answers mixed from several runs. Dispatches, answers, revokes and their losses, restarts of
+  // agents and timers occur in any order, also after the final answer. Each step of the state
+  // machine must rely only on what was confirmed.
   int finished = 0;
   std::uint32_t resumes = 0;
   for (std::uint32_t seed = 0; seed < 40'000; ++seed) {
@@ -426,7 +425,7 @@
     if (world.finished()) ++finished;
     resumes += world.resumes();
   }
-  // The schedules reach both ends, and the way between.
+  // The schedules cover success, failure and resumes in sufficient numbers.
   CHECK(finished > 10'000);
   CHECK(finished < 39'000);
   CHECK(resumes > 5'000);
--- a/test/relay-run-test.cc
+++ b/test/relay-run-test.cc
@@ -65,7 +65,7 @@
 
 }  // namespace
 
-TEST_CASE("a whole answer is passed on unchanged") {
+TEST_CASE("a complete answer is forwarded unchanged") {
   Sent sent(IdempotentPlan());
   sent.Step(relay::Head{1, Answer(200)});
   sent.Step(relay::Bytes{1, "ab"});
@@ -78,10 +78,10 @@
   CHECK(sent.run.finished());
 }
 
-// Symptom: a request that may not be repeated runs twice.
-// Sequence: it is sent, its connection breaks, it is sent to another backend server.
-// Cause: after a send nothing but "not run" proves that it did not run.
-TEST_CASE("a request that may not be repeated is not sent again after its connection broke") {
+// Guards against a second run of a request that is not idempotent: it is sent, its connection
+// is lost, and it is sent to another backend server. After a send, only the answer "not run"
+// proves that it did not run.
+TEST_CASE("a request that is not idempotent is not resent after its connection is lost") {
   Sent sent(Plan());
   sent.Step(relay::Broke{1, true, "reset"});
   const auto* refusal = Last<relay::Refuse>(sent.actions);
@@ -91,13 +91,13 @@
 }
 
 TEST_CASE("a request that was not run, or not sent, goes to another backend server") {
-  SUBCASE("says the backend server") {
+  SUBCASE("the backend server answers that it did not run it") {
     Sent sent(Plan());
     sent.Step(relay::Head{1, Answer(503), /*not_run=*/true});
     REQUIRE(Last<relay::AskPlace>(sent.actions) != nullptr);
     CHECK(Last<relay::AskPlace>(sent.actions)->tried.front().value == "a");
   }
-  SUBCASE("as no connection was made") {
+  SUBCASE("no connection was established") {
     Sent sent(Plan());
     sent.Step(relay::Broke{1, false, "refused"});
     CHECK(Last<relay::AskPlace>(sent.actions) != nullptr);
@@ -105,7 +105,7 @@
   }
 }
 
-TEST_CASE("it is told that it has not run only when no send can have run") {
+TEST_CASE("the error says \"not run\" only when no send can have run") {
   Sent sent(IdempotentPlan());
   sent.Step(relay::Broke{1, true, "reset"});
   REQUIRE(Last<relay::AskPlace>(sent.actions) != nullptr);
@@ -124,20 +124,20 @@
   CHECK(Last<relay::Refuse>(sent.actions) != nullptr);
 }
 
-// Symptom: a caller gets another caller's answer.
-// Sequence: an answer that belongs to an earlier request on a kept connection comes
-// first. Cause: the connection alone doesn't say whose answer it is.
-TEST_CASE("an answer to another request is not passed on") {
+// Guards against a caller that gets another caller's answer: the answer to an earlier request
+// on a reused connection arrives first. The connection alone doesn't identify the request of an
+// answer.
+TEST_CASE("an answer to another request is not forwarded") {
   Sent sent(IdempotentPlan());
   sent.Step(relay::Head{1, Answer(200), false, AnsweredId::kAnothers});
   CHECK(Last<relay::PassHead>(sent.actions) == nullptr);
   CHECK(Last<relay::AskPlace>(sent.actions) != nullptr);
 }
 
-// Symptom: a request that may not be repeated runs at two backend servers.
-// Sequence: a late second answer to an earlier request on a kept connection says "not run".
-// Cause: it was believed whatever request it named.
-TEST_CASE("that another request was not run says nothing of this one") {
+// Guards against a request that is not idempotent and runs at two backend servers: a late
+// duplicate answer to an earlier request on a reused connection says "not run" and is accepted
+// although it names the earlier request.
+TEST_CASE("\"not run\" in an answer to another request is not applied to this one") {
   Sent sent(Plan());
   sent.Step(relay::Head{1, Answer(503), /*not_run=*/true, AnsweredIdOf("earlier", "r")});
   CHECK(Last<relay::AskPlace>(sent.actions) == nullptr);
@@ -145,7 +145,7 @@
   CHECK(Last<relay::Refuse>(sent.actions)->error.ran == Ran::kUnknown);
 }
 
-TEST_CASE("a refusal that names no request is this one's, any other answer is not") {
+TEST_CASE("a rejection without a request id is accepted, any other answer without one is not") {
   Sent refused(Plan());
   refused.Step(relay::Head{1, Answer(503), /*not_run=*/true, AnsweredIdOf("", "r")});
   CHECK(Last<relay::AskPlace>(refused.actions) != nullptr);
@@ -155,10 +155,9 @@
   CHECK(AnsweredIdOf("r", "r") == AnsweredId::kOurs);
 }
 
-// Symptom: an event of a stream comes twice, or a half one.
-// Sequence: the first backend server breaks off in the middle of an event; the
-// second one goes on after the last whole event.
-TEST_CASE("a stream that breaks off is resumed after its last whole event, in one answer") {
+// Guards against a duplicate or incomplete event in a stream: the first backend server's
+// connection is lost inside an event, and the second one resumes after the last complete event.
+TEST_CASE("an interrupted stream is resumed after its last complete event, in one answer") {
   Sent sent(ResumablePlan());
   sent.Step(relay::Head{1, Answer(200)});
   sent.Step(relay::Bytes{1, "id: 1\ndata: x\n\nid: 2\nda"});
@@ -175,11 +174,11 @@
   CHECK(Last<relay::Finish>(sent.actions) != nullptr);
 }
 
-// Symptom: a caller gets the events of a stream twice.
-// Sequence: a stream breaks off and is resumed; the backend server starts it anew, or a late
-// second answer with the same request id comes in place of the resumed one.
-// Cause: what followed the head was passed on whatever ids its events had.
-TEST_CASE("events that have been had already are not passed on") {
+// Guards against a caller that gets the events of a stream twice: a stream is interrupted and
+// resumed, and the backend server starts it from the beginning, or a late duplicate answer with
+// the same request id arrives in place of the resumed one. The event ids after the head must be
+// checked.
+TEST_CASE("duplicate events are not forwarded") {
   Sent sent(ResumablePlan());
   sent.Step(relay::Head{1, Answer(200)});
   sent.Step(relay::Bytes{1, "id: 9\ndata: x\n\nid: 10\ndata: y\n\nid: 11\nda"});
@@ -190,7 +189,7 @@
   SUBCASE("from the first event on") {
     sent.Step(relay::Bytes{2, "id: 9\ndata: x\n\nid: 10\ndata: y\n\n"});
   }
-  SUBCASE("after new ones") {
+  SUBCASE("after new events") {
     sent.Step(relay::Bytes{2, "id: 11\ndata: z\n\nid: 2\ndata: x\n\nid: 12\ndata: y\n\n"});
     passed = "id: 11\ndata: z\n\n";
   }
@@ -198,11 +197,11 @@
   CHECK((bytes == nullptr ? "" : bytes->bytes) == passed);
   REQUIRE(Last<relay::SendOver>(sent.actions) != nullptr);
   CHECK(Last<relay::SendOver>(sent.actions)->end == relay::SendEnd::kBroken);
-  // It has run at two backend servers: there is no third one.
+  // It has run at two backend servers, which is the maximum.
   CHECK(Last<relay::BreakOff>(sent.actions) != nullptr);
 }
 
-TEST_CASE("a caller that resumes gets no event that it has") {
+TEST_CASE("a caller that resumes a stream gets no event again") {
   RelayPlan plan = ResumablePlan();
   plan.after_event = "3";
   Sent sent(plan);
@@ -213,7 +212,9 @@
   CHECK(Last<relay::AskPlace>(sent.actions) != nullptr);
 }
 
-TEST_CASE("event ids that are no numbers differ, and an event without one is taken") {
+TEST_CASE(
+    "event ids that are not numbers are compared for equality, and events without an id are "
+    "accepted") {
   EventPieces pieces;
   const std::string fresh = "id: b\ndata: x\n\ndata: y\n\nid: a\ndata: z\n\n";
   CHECK(pieces.Feed(fresh) == fresh);
@@ -224,7 +225,7 @@
   CHECK(pieces.last_id() == "a");
 }
 
-TEST_CASE("a stream that can't be resumed is broken off, not ended") {
+TEST_CASE("a stream that can't be resumed is aborted, not ended normally") {
   RelayPlan plan = Plan();
   plan.stream = true;
   Sent sent(plan);
@@ -235,7 +236,7 @@
   CHECK(Last<relay::Finish>(sent.actions) == nullptr);
 }
 
-TEST_CASE("a stream that ends within an event is not whole") {
+TEST_CASE("a stream that ends inside an event is incomplete") {
   RelayPlan plan = Plan();
   plan.stream = true;
   Sent sent(plan);
@@ -245,7 +246,7 @@
   CHECK(Last<relay::BreakOff>(sent.actions) != nullptr);
 }
 
-TEST_CASE("the final answer comes at the limit, and says what is known") {
+TEST_CASE("the final answer comes at the deadline with the known run state") {
   SUBCASE("never sent") {
     RelayRun run(Plan());
     (void)run.Step(kStart, relay::Start{});
@@ -262,7 +263,7 @@
   }
 }
 
-TEST_CASE("a caller that leaves ends the send at once") {
+TEST_CASE("a caller that disconnects ends the send at once") {
   Sent sent(Plan());
   sent.Step(relay::CallerGone{});
   CHECK(Last<relay::SendOver>(sent.actions)->end == relay::SendEnd::kAbandoned);
@@ -270,7 +271,7 @@
   CHECK(sent.Step(relay::Head{1, Answer(200)}).empty());
 }
 
-TEST_CASE("a silent backend server is left for another one only where that may run twice") {
+TEST_CASE("a silent backend server is replaced only for idempotent requests") {
   RelayPlan plan = ResumablePlan();
   plan.first_byte_patience = Duration{200'000};
   Sent sent(plan);
@@ -283,7 +284,7 @@
   CHECK(Last<relay::SendOver>(once.actions) == nullptr);
 }
 
-TEST_CASE("a failed answer of the last backend server is passed on as it is") {
+TEST_CASE("an error answer of the last backend server is forwarded unchanged") {
   Sent sent(Plan());
   sent.Step(relay::Head{1, Answer(500)});
   sent.Step(relay::Bytes{1, "no"});
@@ -292,23 +293,23 @@
   CHECK(Last<relay::PassAnswer>(sent.actions)->head.status == 500);
 }
 
-// Symptom: after a host was paused, all the streams that it relayed are sent again.
-// Sequence: the host stands still for a second; when it wakes, its timers fire before it
-// has read what the backend servers sent meanwhile.
-TEST_CASE("a host that stood still does not take its backend servers for silent") {
+// Guards against resending all streams that a host relays after the host was paused: it is
+// suspended for a second, and when it continues, its timers fire before it has read what the
+// backend servers sent meanwhile.
+TEST_CASE("a suspended host does not treat its backend servers as silent") {
   RelayPlan plan = IdempotentPlan();
   plan.first_byte_patience = Duration{300'000};
   Sent sent(plan);
   sent.Step(relay::TimerFired{}, kStart + Duration{1'300'000});
   CHECK(Last<relay::SendOver>(sent.actions) == nullptr);
-  // From then on silence counts again.
+  // From then on the silence timeout applies again.
   sent.Step(relay::TimerFired{}, kStart + Duration{1'600'000});
   REQUIRE(Last<relay::SendOver>(sent.actions) != nullptr);
   CHECK(Last<relay::SendOver>(sent.actions)->end == relay::SendEnd::kSilent);
   CHECK(Last<relay::AskPlace>(sent.actions) != nullptr);
 }
 
-TEST_CASE("silence is no reason to send again what may not be repeated") {
+TEST_CASE("a silence timeout does not resend a request that is not idempotent") {
   RelayPlan plan = Plan();
   plan.first_byte_patience = Duration{300'000};
   Sent sent(plan);
@@ -317,10 +318,10 @@
   CHECK(Last<relay::AskPlace>(sent.actions) == nullptr);
 }
 
-// Symptom: a request that may not be repeated runs twice.
-// Sequence: it crosses the restart of its backend server and runs at the new incarnation, which
-// goes by the same id; the entry that tells of the restart comes after it.
-TEST_CASE("what may not be repeated is not sent again when its backend server started again") {
+// Guards against a second run of a request that is not idempotent: it is in transit while its
+// backend server restarts, and runs at the new incarnation, which has the same id; the notice
+// of the restart arrives at the entry after that.
+TEST_CASE("a request that is not idempotent is not resent when its backend server restarted") {
   Sent sent(Plan());
   sent.Step(relay::BackendRestarted{1});
   const auto* refusal = Last<relay::Refuse>(sent.actions);
@@ -329,12 +330,12 @@
   CHECK(Last<relay::AskPlace>(sent.actions) == nullptr);
 }
 
-TEST_CASE("a stream goes on when its backend server started again, there too") {
+TEST_CASE("a stream is resumed when its backend server restarted, also at that server") {
   Sent sent(ResumablePlan());
   sent.Step(relay::Head{1, Answer(200)});
   sent.Step(relay::Bytes{1, "id: 1\ndata: x\n\nid: 2\nda"});
   sent.Step(relay::BackendRestarted{2});
-  CHECK(sent.actions.empty());  // of no send that is open
+  CHECK(sent.actions.empty());  // the event names a send that is not open
   sent.Step(relay::BackendRestarted{1});
   const auto* ask = Last<relay::AskPlace>(sent.actions);
   REQUIRE(ask != nullptr);
--- a/test/routes-test.cc
+++ b/test/routes-test.cc
@@ -34,10 +34,10 @@
   CHECK(table.Find("other.example", "/a/") == nullptr);
 }
 
-TEST_CASE("a configuration that can't be served is refused with its place") {
+TEST_CASE("an invalid configuration is rejected with the name of the invalid entry") {
   const auto why = [](RoutingConfig config) {
-    const Result<Ok> verdict = Validate(config);
-    return IsOk(verdict) ? std::string("valid") : ErrorOf(verdict).detail;
+    const Result<Ok> result = Validate(config);
+    return IsOk(result) ? std::string("valid") : ErrorOf(result).detail;
   };
   CHECK(why(ConfigOf({RouteTo("a", "/a/")})) == "valid");
   CHECK(why(ConfigOf({RouteTo("a", "/a")})).find("route 'a'") == 0);
@@ -49,7 +49,7 @@
   CHECK(why(ConfigOf({weightless})).find("weights of 0") != std::string::npos);
 }
 
-TEST_CASE("a split route gives each service its share") {
+TEST_CASE("a split route distributes requests by the weights of its services") {
   Route route = RouteTo("a", "/a/");
   route.split = {{ServiceName{"x"}, 9}, {ServiceName{"y"}, 1}};
   int to_y = 0;
@@ -59,7 +59,7 @@
   CHECK(to_y == 100);
 }
 
-TEST_CASE("a stream may run twice only where it can be resumed") {
+TEST_CASE("a stream is idempotent only when it can be resumed") {
   Route route = RouteTo("a", "/a/");
   route.kind = RouteKind::kStream;
   CHECK_FALSE(IsIdempotent(route));
