--- a/bench/routing_bench.cc
+++ b/bench/routing_bench.cc
@@ -192,7 +192,7 @@
       ++refused_;
       return;
     }
-    routers_[entry]->Dispatched({std::to_string(engine)}, kAnswerTokens);
+    routers_[entry]->RecordDispatch({std::to_string(engine)}, kAnswerTokens);
     ++in_flight_[entry][static_cast<std::size_t>(engine)];
     open_[run] = {request, engine, request.at};
   }
@@ -205,7 +205,7 @@
     const double ms = std::chrono::duration<double, std::milli>(at - open.last).count();
     if (event.index == 0) {
       const EngineLoad load = engines_[static_cast<std::size_t>(open.engine)].load();
-      routers_[entry]->HeadSeen(node, {load.running + load.waiting, 0, 0}, at);
+      routers_[entry]->RecordLoad(node, {load.running + load.waiting, 0, 0}, at);
     }
     if (counts && event.index == 0) {
       first_token_.push_back(ms);
@@ -216,7 +216,7 @@
     }
     open.last = at;
     if (!event.last) return;
-    routers_[entry]->Ended(node, kAnswerTokens, AttemptEnd::kAnswered, std::nullopt, at);
+    routers_[entry]->RecordAttemptEnd(node, kAnswerTokens, AttemptEnd::kAnswered, std::nullopt, at);
     --in_flight_[entry][static_cast<std::size_t>(open.engine)];
     open_.erase(event.run);
   }
--- a/include/figmill/online.h
+++ b/include/figmill/online.h
@@ -27,7 +27,7 @@
 // --- Routing -------------------------------------------------------------------
 
 // A node to send to, and the incarnation that the call is meant for.
-struct Pick {
+struct NodeEndpoint {
   NodeId node;
   Address address;
   Incarnation incarnation = 0;
@@ -67,7 +67,7 @@
   static constexpr Duration kFirstEjection{5'000'000};
   static constexpr Duration kMaxEjection{60'000'000};
   static constexpr Duration kSlowStart{10'000'000};
-  static constexpr Duration kReportLife{
+  static constexpr Duration kReportLifetime{
       5'000'000};  // the weight of a load report decays linearly to 0 over this
   static constexpr double kBoundedLoad =
       1.25;  // multiple of the mean load that prefix affinity may put on one agent
@@ -85,22 +85,22 @@
   void Update(const Snapshot& snapshot, Time now);
 
   // Errors: kNoBackend (no candidate is left), with Ran::kNo.
-  [[nodiscard]] Result<Pick> Choose(const RouteQuery& query, Time now);
+  [[nodiscard]] Result<NodeEndpoint> Choose(const RouteQuery& query, Time now);
   // The agent in its current incarnation, also when ejected or suspect.
-  [[nodiscard]] std::optional<Pick> Find(const NodeId& node) const;
+  [[nodiscard]] std::optional<NodeEndpoint> Find(const NodeId& node) const;
 
-  void Dispatched(const NodeId& node, double tokens);
-  void HeadSeen(const NodeId& node, const AgentLoad& load, Time now);
+  void RecordDispatch(const NodeId& node, double tokens);
+  void RecordLoad(const NodeId& node, const AgentLoad& load, Time now);
   // `error` gives the reason of kRefused.
-  void Ended(const NodeId& node, double tokens, AttemptEnd end, const std::optional<Error>& error,
-             Time now);
+  void RecordAttemptEnd(const NodeId& node, double tokens, AttemptEnd end,
+                        const std::optional<Error>& error, Time now);
 
   [[nodiscard]] std::size_t candidates(const ServiceName& service) const;
   [[nodiscard]] std::size_t ejected(Time now) const;
 
  private:
   struct Agent {
-    Pick pick;
+    NodeEndpoint endpoint;
     std::uint32_t online_mark = kDefaultOnlineMark;
     double distance_cost_requests = 0;
     bool suspect = false;
@@ -158,14 +158,14 @@
 };
 
 // The demand for a team that an entry reports to the team's owner.
-struct ShareReport {
+struct DemandReport {
   TeamId team;
   TeamRates wanted;    // per second, including refused requests
   TeamRates admitted;  // since the last report
 };
-struct ShareAsk {
-  Pick home;
-  ShareReport report;
+struct ShareRequest {
+  NodeEndpoint owner;
+  DemandReport report;
 };
 
 class TokenBucket {
@@ -206,8 +206,8 @@
 
   // Reports that are due; call this once every kReportPeriod. A team that this entry owns is
   // included, with this entry as the owner.
-  [[nodiscard]] std::vector<ShareAsk> Due(Time now);
-  void Granted(const TeamId& team, const TeamRates& share, Time now);
+  [[nodiscard]] std::vector<ShareRequest> TakeDueReports(Time now);
+  void ApplyShare(const TeamId& team, const TeamRates& share, Time now);
 
   [[nodiscard]] const TeamLimit* LimitOf(const TeamId& team) const;
   [[nodiscard]] std::size_t entries() const { return entries_.size(); }
@@ -230,27 +230,27 @@
   };
   void SetRates(Team& team, const TeamLimit& limit, Time now) const;
   [[nodiscard]] Team* FindOrAdd(const TeamId& team, const TeamLimit& limit, Time now);
-  void Forget(Time now);
+  void EvictIdle(Time now);
 
   NodeId self_;
   std::shared_ptr<const Config> config_;
-  std::vector<Pick> entries_;
+  std::vector<NodeEndpoint> entries_;
   std::unordered_map<TeamId, Team> teams_;
 };
 
 // The owner's side: divides a team's limit by reported demand and recovers what was admitted
 // beyond it, so that the long-term rate stays within the limit.
-class TeamShares {
+class TeamShareAllocator {
  public:
-  static constexpr Duration kReportLife{2'000'000};
+  static constexpr Duration kReportLifetime{2'000'000};
   static constexpr double kRecoverySeconds = 4;  // an excess is recovered over about this time
   static constexpr double kMinShare =
       0.1;  // fraction of the limit that remains while an excess is recovered
 
-  [[nodiscard]] TeamRates Report(const NodeId& entry, const ShareReport& report,
-                                 const TeamLimit& limit, Time now);
+  [[nodiscard]] TeamRates Allocate(const NodeId& entry, const DemandReport& report,
+                                   const TeamLimit& limit, Time now);
   // Drops teams that no entry reported for TeamLimits::kIdleTimeout.
-  void Forget(Time now);
+  void EvictIdle(Time now);
   [[nodiscard]] std::size_t tracked() const { return teams_.size(); }
 
  private:
@@ -274,8 +274,8 @@
  public:
   static constexpr double kRetriesPerSuccess = 0.1;
   static constexpr double kMaxRetries = 5;  // initial balance and upper bound of the saved retries
-  void Succeeded();
-  [[nodiscard]] bool Spend();
+  void RecordSuccess();
+  [[nodiscard]] bool TrySpend();
 
  private:
   double balance_ = kMaxRetries;
@@ -285,7 +285,7 @@
 
 // Splits a text/event-stream into complete events, so that a stream whose connection is lost
 // inside an event can be resumed after the last complete one.
-class EventCutter {
+class EventSplitter {
  public:
   // Passes on each event that `bytes` completes, with the blank line that ends it.
   void Feed(std::string_view bytes, const std::function<void(std::string_view event)>& on_event);
@@ -348,7 +348,7 @@
 };
 // The call failed: its connection was lost, or it ended without its final marker. `sent` is
 // false only when no connection was established.
-struct Broke {
+struct CallFailed {
   CallNumber call = 0;
   bool sent = true;
   std::string why;
@@ -359,20 +359,20 @@
   RevokeState state = RevokeState::kNoAnswer;
 };
 struct TimerFired {};
-struct CallerGone {};
+struct CallerDisconnected {};
 
 }  // namespace event
 
 using RequestEvent = std::variant<event::Start, event::Sent, event::AgentRefused, event::Head,
-                                  event::Data, event::End, event::Broke, event::RevokeAnswered,
-                                  event::TimerFired, event::CallerGone>;
+                                  event::Data, event::End, event::CallFailed, event::RevokeAnswered,
+                                  event::TimerFired, event::CallerDisconnected>;
 
 namespace action {
 
 // Calls the agent. `resume` continues a stream that the agent ran earlier under this id.
 struct Dispatch {
   CallNumber call = 0;
-  Pick to;
+  NodeEndpoint to;
   RequestId request;
   bool resume = false;
   std::uint64_t resume_from = 0;  // tokens that the caller has received
@@ -381,20 +381,20 @@
 // result is RevokeAnswered.
 struct Revoke {
   CallNumber call = 0;
-  Pick to;
+  NodeEndpoint to;
   RequestId request;
 };
 // The request no longer uses the call: close its connection and report the outcome to the
 // router.
-struct CallOver {
+struct EndCall {
   CallNumber call = 0;
-  Pick to;
+  NodeEndpoint to;
   AttemptEnd end = AttemptEnd::kAbandoned;
   std::optional<Error> error;
 };
 // Cancels the work at the engine.
-struct CancelAt {
-  Pick to;
+struct CancelWork {
+  NodeEndpoint to;
   RequestId request;
 };
 struct SendHead {
@@ -420,15 +420,16 @@
 
 }  // namespace action
 
-using RequestAction = std::variant<action::Dispatch, action::Revoke, action::CallOver,
-                                   action::CancelAt, action::SendHead, action::SendBytes,
+using RequestAction = std::variant<action::Dispatch, action::Revoke, action::EndCall,
+                                   action::CancelWork, action::SendHead, action::SendBytes,
                                    action::Finish, action::Fail, action::SetTimer>;
 
 // Lookups of agents for a request; the I/O layer binds them to a Router.
-struct RequestRoutes {
-  std::function<Result<Pick>(const RequestPlan& plan, std::span<const NodeId> tried, Time now)>
+struct AgentLookup {
+  std::function<Result<NodeEndpoint>(const RequestPlan& plan, std::span<const NodeId> tried,
+                                     Time now)>
       choose;
-  std::function<std::optional<Pick>(const NodeId& node)> find;
+  std::function<std::optional<NodeEndpoint>(const NodeId& node)> find;
 };
 
 // State machine of one online request at its entry. Invariants:
@@ -439,7 +440,7 @@
 //   wrong length is reported as broken and never passed as complete;
 // - `ran` in the final error covers all attempts;
 // - a request that fails for good is answered at once.
-class RequestRun {
+class RequestStateMachine {
  public:
   // An answer that is not an event stream is buffered until it is complete, so that the caller
   // never sees a lost connection; an answer larger than this fails as kTooLarge.
@@ -458,8 +459,9 @@
   static constexpr Duration kMaxResumeBackoff{2'000'000};
   static constexpr Duration kRetryAfter{1'000'000};
 
-  // `routes` and `budget` must outlive this object.
-  RequestRun(RequestPlan plan, const RequestRoutes& routes, RetryBudget& budget, RandomBits random);
+  // `lookup` and `budget` must outlive this object.
+  RequestStateMachine(RequestPlan plan, const AgentLookup& lookup, RetryBudget& budget,
+                      RandomBits random);
 
   [[nodiscard]] std::vector<RequestAction> On(const RequestEvent& event, Time now);
 
@@ -480,9 +482,9 @@
   };
   // State of the current attempt.
   struct Attempt {
-    Pick to;             // of the present call
-    Pick dispatched_to;  // the target of the dispatch; only this incarnation can confirm that the
-                         // work never started
+    NodeEndpoint to;             // of the present call
+    NodeEndpoint dispatched_to;  // the target of the dispatch; only this incarnation can confirm
+                                 // that the work never started
     RequestId request;
     Ran ran = Ran::kNo;
     bool resuming = false;  // the current call is a resume
@@ -498,12 +500,12 @@
   void OnHead(const event::Head& head, Time now);
   void OnData(const event::Data& data, Time now);
   void OnEnd(const event::End& end, Time now);
-  void OnBroke(const event::Broke& broke, Time now);
+  void OnCallFailed(const event::CallFailed& broke, Time now);
   void OnRevokeAnswered(const event::RevokeAnswered& answered, Time now);
   void OnTimer(Time now);
-  void OnCallerGone();
+  void OnCallerDisconnected();
 
-  void DispatchTo(const Pick& pick, bool resume, Time now);
+  void DispatchTo(const NodeEndpoint& endpoint, bool resume, Time now);
   void HandleBrokenCall(const Error& why, Time now);
   void SendRevoke(Time now);
   void SendProbe(Time now);
@@ -527,7 +529,7 @@
   [[nodiscard]] bool CallOpen() const;
 
   RequestPlan plan_;
-  const RequestRoutes& routes_;
+  const AgentLookup& lookup_;
   RetryBudget& budget_;
   RandomBits random_;
   Phase phase_ = Phase::kNew;
@@ -553,7 +555,7 @@
   bool head_sent_ = false;
   bool rerun_differs_ = false;  // the events of a rerun differ from those already sent
   std::string buffer_;          // not sent yet: a buffered answer, or events without a token
-  EventCutter cutter_;
+  EventSplitter splitter_;
   std::uint64_t call_bytes_ = 0;   // of the present call
   std::uint64_t tokens_sent_ = 0;  // events with a token that the caller has received
   std::uint64_t sent_hash_ = 0;    // over the tokens counted by tokens_sent_
--- a/src/figmilld/traffic/entry_online.cc
+++ b/src/figmilld/traffic/entry_online.cc
@@ -124,7 +124,8 @@
   sink.bytes = [ticket](std::string bytes) { ticket->Write(std::move(bytes)); };
   sink.finish = [ticket] { ticket->End(); };
   sink.fail = [ticket](const Error& error) { ticket->Fail(error); };
-  ClaimAttempt claim = [ticket](const RequestId& request, const Pick& agent, ClaimGranted go) {
+  ClaimAttempt claim = [ticket](const RequestId& request, const NodeEndpoint& agent,
+                                ClaimGranted go) {
     Member member;
     member.node = agent.node;
     member.incarnation = agent.incarnation;
--- a/src/figmilld/traffic/limit_shares.cc
+++ b/src/figmilld/traffic/limit_shares.cc
@@ -29,24 +29,25 @@
 
 void LimitShares::Ask() {
   const Time now = Loop::Now();
-  homes_.Forget(now);
-  for (const ShareAsk& ask : limits_.Due(now)) {
+  homes_.EvictIdle(now);
+  for (const ShareRequest& ask : limits_.TakeDueReports(now)) {
     const TeamId team = ask.report.team;
-    if (ask.home.node == self_) {
-      limits_.Granted(team, homes_.Report(self_, ask.report, *limits_.LimitOf(team), now), now);
+    if (ask.owner.node == self_) {
+      limits_.ApplyShare(team, homes_.Allocate(self_, ask.report, *limits_.LimitOf(team), now),
+                         now);
       continue;
     }
     const json params = {{"entry", self_.value},
                          {"team", team.value},
                          {"wanted", ToJson(ask.report.wanted)},
                          {"admitted", ToJson(ask.report.admitted)}};
-    CallRpc(client_, ask.home.address, "share", params.dump(), TeamLimits::kReportPeriod,
+    CallRpc(client_, ask.owner.address, "share", params.dump(), TeamLimits::kReportPeriod,
             [this, team](const Result<std::string>& answer) {
               if (!IsOk(answer)) return;  // the share lapses to an equal one
               const json body = json::parse(ValueOf(answer), nullptr, false);
               if (!body.is_object()) return;
-              limits_.Granted(team, {body.value("requests", 0.0), body.value("tokens", 0.0)},
-                              Loop::Now());
+              limits_.ApplyShare(team, {body.value("requests", 0.0), body.value("tokens", 0.0)},
+                                 Loop::Now());
             });
   }
 }
@@ -54,7 +55,7 @@
 Result<std::string> LimitShares::OnShare(std::string_view params) {
   try {
     const json body = json::parse(params);
-    ShareReport report;
+    DemandReport report;
     report.team.value = body.at("team").get<std::string>();
     report.wanted = ParseRates(body.at("wanted"));
     report.admitted = ParseRates(body.at("admitted"));
@@ -63,7 +64,7 @@
       return Error{ErrorKind::kNotFound, "team '" + report.team.value + "' has no limit here"};
     }
     const NodeId entry{body.at("entry").get<std::string>()};
-    return ToJson(homes_.Report(entry, report, *limit, Loop::Now())).dump();
+    return ToJson(homes_.Allocate(entry, report, *limit, Loop::Now())).dump();
   } catch (const json::exception& failure) {
     return Error{ErrorKind::kBadRequest, failure.what()};
   }
--- a/src/figmilld/traffic/limit_shares.h
+++ b/src/figmilld/traffic/limit_shares.h
@@ -19,7 +19,7 @@
   HttpClient& client_;
   NodeId self_;
   TeamLimits& limits_;
-  TeamShares homes_;
+  TeamShareAllocator homes_;
   Timer timer_;
 };
 
--- a/src/figmilld/traffic/online_call.cc
+++ b/src/figmilld/traffic/online_call.cc
@@ -83,8 +83,8 @@
   std::visit(Overloaded{
                  [&](const action::Dispatch& dispatch) { Dispatch(dispatch); },
                  [&](const action::Revoke& revoke) { Revoke(revoke); },
-                 [&](const action::CallOver& over) { CallOver(over); },
-                 [&](const action::CancelAt& cancel) { CancelAt(cancel); },
+                 [&](const action::EndCall& over) { CallOver(over); },
+                 [&](const action::CancelWork& cancel) { CancelAt(cancel); },
                  [&](const action::SendHead& head) { sink_.head(head.status, head.content_type); },
                  [&](action::SendBytes& bytes) { SendBytes(std::move(bytes.bytes)); },
                  [&](const action::Finish& finish) { Finish(finish); },
@@ -95,7 +95,7 @@
 }
 
 void OnlineCall::Dispatch(const action::Dispatch& dispatch) {
-  parts_.router.Dispatched(dispatch.to.node, work_.plan.tokens);
+  parts_.router.RecordDispatch(dispatch.to.node, work_.plan.tokens);
   (dispatch.resume ? parts_.metrics.resumes : parts_.metrics.attempts).Add();
   Open open;
   open.span = parts_.tracer.Start(dispatch.resume ? "resume" : "dispatch", span_.context);
@@ -114,7 +114,8 @@
     const auto self = guard->call.lock();
     if (!self) return;
     self->claiming_ = false;
-    if (!stamp) return self->Step(event::Broke{dispatch.call, false, "the agent wasn't reached"});
+    if (!stamp)
+      return self->Step(event::CallFailed{dispatch.call, false, "the agent wasn't reached"});
     self->SendNow(dispatch, stamp);
     self->Step(event::Sent{dispatch.call});
   });
@@ -139,10 +140,10 @@
       });
 }
 
-void OnlineCall::OnDispatchEvent(CallNumber call, const Pick& to, DispatchEvent& event) {
+void OnlineCall::OnDispatchEvent(CallNumber call, const NodeEndpoint& to, DispatchEvent& event) {
   std::visit(Overloaded{
                  [&](const FrameHead& head) {
-                   parts_.router.HeadSeen(
+                   parts_.router.RecordLoad(
                        to.node, {head.online_running, head.batch_running, head.online_mark},
                        Loop::Now());
                    Step(event::Head{call, head.status, head.content_type, head.request});
@@ -160,7 +161,7 @@
                    Step(event::AgentRefused{call, refused.error});
                  },
                  [&](const DispatchBroke& broke) {
-                   Step(event::Broke{call, broke.sent, broke.why});
+                   Step(event::CallFailed{call, broke.sent, broke.why});
                  },
              },
              event);
@@ -173,7 +174,8 @@
   const json params = {{"request", revoke.request.value},
                        {"incarnation", revoke.to.incarnation},
                        {"age_ms", age.count()}};
-  CallRpc(parts_.client, revoke.to.address, "revoke", params.dump(), RequestRun::kRevokeTimeout,
+  CallRpc(parts_.client, revoke.to.address, "revoke", params.dump(),
+          RequestStateMachine::kRevokeTimeout,
           [weak = weak_from_this(), call = revoke.call](const Result<std::string>& answer) {
             if (const auto self = weak.lock()) {
               self->Step(event::RevokeAnswered{call, RevokeStateIn(answer)});
@@ -181,13 +183,13 @@
           });
 }
 
-void OnlineCall::CancelAt(const action::CancelAt& cancel) {
+void OnlineCall::CancelAt(const action::CancelWork& cancel) {
   const json params = {{"request", cancel.request.value}};
-  CallRpc(parts_.client, cancel.to.address, "cancel", params.dump(), RequestRun::kRevokeTimeout,
-          [](const Result<std::string>&) {});
+  CallRpc(parts_.client, cancel.to.address, "cancel", params.dump(),
+          RequestStateMachine::kRevokeTimeout, [](const Result<std::string>&) {});
 }
 
-void OnlineCall::CallOver(const action::CallOver& over) {
+void OnlineCall::CallOver(const action::EndCall& over) {
   const auto open = open_.find(over.call);
   if (open == open_.end()) return;
   if (open->second.cancel) open->second.cancel();
@@ -198,7 +200,7 @@
   parts_.tracer.Finish(std::move(open->second.span));
   open_.erase(open);
   const Time now = Loop::Now();
-  parts_.router.Ended(over.to.node, work_.plan.tokens, over.end, over.error, now);
+  parts_.router.RecordAttemptEnd(over.to.node, work_.plan.tokens, over.end, over.error, now);
   parts_.metrics.ejected.Set(static_cast<double>(parts_.router.ejected(now)));
 }
 
--- a/src/figmilld/traffic/online_call.h
+++ b/src/figmilld/traffic/online_call.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// One online request on its way: carries out what its RequestRun decides, over
+// One online request on its way: carries out what its RequestStateMachine decides, over
 // HTTP to the agents and into a sink.
 
 #include <deque>
@@ -32,7 +32,7 @@
 // that the attempt before never started, or that the item is repeatable.
 using ClaimGranted = std::function<void(std::optional<std::uint64_t> stamp)>;
 using ClaimAttempt =
-    std::function<void(const RequestId& request, const Pick& agent, ClaimGranted go)>;
+    std::function<void(const RequestId& request, const NodeEndpoint& agent, ClaimGranted go)>;
 
 // What calls share; outlives them.
 struct OnlineParts {
@@ -42,7 +42,7 @@
   RandomBits random;
   Router router;
   TeamLimits limits;
-  RequestRoutes routes;
+  AgentLookup routes;
   OnlineMetrics metrics;
   std::unordered_map<ServiceName, RetryBudget> budgets;
 };
@@ -54,7 +54,7 @@
              std::function<void()> over);
   void Start() { Step(event::Start{}); }
   // The caller hung up: stops the work.
-  void CallerGone() { Step(event::CallerGone{}); }
+  void CallerGone() { Step(event::CallerDisconnected{}); }
 
  private:
   struct Open {
@@ -67,10 +67,10 @@
   void Dispatch(const action::Dispatch& dispatch);
   void ClaimAndSend(const action::Dispatch& dispatch);
   void SendNow(const action::Dispatch& dispatch, std::optional<std::uint64_t> stamp);
-  void OnDispatchEvent(CallNumber call, const Pick& to, DispatchEvent& event);
+  void OnDispatchEvent(CallNumber call, const NodeEndpoint& to, DispatchEvent& event);
   void Revoke(const action::Revoke& revoke);
-  void CancelAt(const action::CancelAt& cancel);
-  void CallOver(const action::CallOver& over);
+  void CancelAt(const action::CancelWork& cancel);
+  void CallOver(const action::EndCall& over);
   void SendBytes(std::string bytes);
   void SetTimer(Time at);
   void OnTimer();
@@ -83,7 +83,7 @@
   OnlineSink sink_;
   ClaimAttempt claim_;
   std::function<void()> over_;
-  RequestRun run_;
+  RequestStateMachine run_;
   Span span_;
   std::map<CallNumber, Open> open_;
   std::deque<RequestEvent> queued_;
--- a/src/online/event_cutter.cc
+++ b/src/online/event_splitter.cc
@@ -20,8 +20,8 @@
 
 }  // namespace
 
-void EventCutter::Feed(std::string_view bytes,
-                       const std::function<void(std::string_view event)>& on_event) {
+void EventSplitter::Feed(std::string_view bytes,
+                         const std::function<void(std::string_view event)>& on_event) {
   incomplete_.append(bytes);
   std::string_view rest = incomplete_;
   std::size_t from = searched_to_;
@@ -38,12 +38,12 @@
   searched_to_ = incomplete_.size() - std::min(incomplete_.size(), kMaxSplitBlankLine);
 }
 
-std::string EventCutter::TakeIncompleteEvent() {
+std::string EventSplitter::TakeIncompleteEvent() {
   searched_to_ = 0;
   return std::exchange(incomplete_, {});
 }
 
-bool EventCutter::HasToken(std::string_view event) {
+bool EventSplitter::HasToken(std::string_view event) {
   constexpr std::string_view kData = "data:";
   std::size_t at = 0;
   while (at < event.size()) {
--- a/src/online/request_answer.cc
+++ b/src/online/request_answer.cc
@@ -1,5 +1,5 @@
-// Handling of the answer of a RequestRun: buffering, forwarding, and comparison of a rerun with
-// what was already sent.
+// Handling of the answer of a RequestStateMachine: buffering, forwarding, and comparison of a rerun
+// with what was already sent.
 
 #include <string>
 #include <utility>
@@ -32,7 +32,7 @@
 
 }  // namespace
 
-void RequestRun::OnHead(const event::Head& head, Time now) {
+void RequestStateMachine::OnHead(const event::Head& head, Time now) {
   if (!IsCurrent(head.call)) return;
   if (phase_ == Phase::kStreaming || head.request != attempt_.request) {
     // An answer to another request, or a second head in one call: nothing of it may reach the
@@ -56,7 +56,7 @@
   ArmSilenceTimer(kStreamTimeout, now);
 }
 
-void RequestRun::OnData(const event::Data& data, Time now) {
+void RequestStateMachine::OnData(const event::Data& data, Time now) {
   if (!IsCurrent(data.call)) return;
   if (phase_ != Phase::kStreaming) {
     return HandleBrokenCall(BrokenAnswerError("received data before the head of the answer"), now);
@@ -74,7 +74,7 @@
   ArmSilenceTimer(kStreamTimeout, now);
 }
 
-void RequestRun::OnEnd(const event::End& end, Time now) {
+void RequestStateMachine::OnEnd(const event::End& end, Time now) {
   if (!IsCurrent(end.call)) return;
   if (phase_ != Phase::kStreaming || end.bytes != call_bytes_) {
     return HandleBrokenCall(
@@ -86,23 +86,23 @@
   }
   // The remaining bytes don't end in a blank line, but the byte count confirms that they are
   // complete.
-  const std::string rest = cutter_.TakeIncompleteEvent();
+  const std::string rest = splitter_.TakeIncompleteEvent();
   SendToCaller(std::exchange(buffer_, {}) + rest);
   CloseCall(AttemptEnd::kAnswered);
-  budget_.Succeeded();
+  budget_.RecordSuccess();
   phase_ = Phase::kDone;
   out_.emplace_back(action::Finish{end.tokens, end.cached_tokens});
 }
 
-void RequestRun::Deliver(std::string_view bytes) {
+void RequestStateMachine::Deliver(std::string_view bytes) {
   if (event_stream_) {
-    return cutter_.Feed(bytes, [this](std::string_view event) { DeliverEvent(event); });
+    return splitter_.Feed(bytes, [this](std::string_view event) { DeliverEvent(event); });
   }
   buffer_.append(bytes);
 }
 
-void RequestRun::DeliverEvent(std::string_view event) {
-  if (!EventCutter::HasToken(event)) {
+void RequestStateMachine::DeliverEvent(std::string_view event) {
+  if (!EventSplitter::HasToken(event)) {
     // Buffered until the end or the next token: if a closing event were sent before a lost
     // connection, the caller would get it twice.
     buffer_.append(event);
@@ -121,7 +121,7 @@
   SendToCaller(std::exchange(buffer_, {}) + std::string(event));
 }
 
-void RequestRun::SendToCaller(std::string bytes) {
+void RequestStateMachine::SendToCaller(std::string bytes) {
   if (!head_sent_) {
     head_sent_ = true;
     out_.emplace_back(action::SendHead{status_, content_type_});
@@ -130,9 +130,9 @@
 }
 
 // Drops data that was received and not sent; a resume or a rerun delivers it again.
-void RequestRun::DropUnsent() {
+void RequestStateMachine::DropUnsent() {
   buffer_.clear();
-  static_cast<void>(cutter_.TakeIncompleteEvent());
+  static_cast<void>(splitter_.TakeIncompleteEvent());
 }
 
 }  // namespace figmill
--- a/src/online/request_run.cc
+++ b/src/online/request_state_machine.cc
@@ -6,11 +6,11 @@
 
 namespace figmill {
 
-RequestRun::RequestRun(RequestPlan plan, const RequestRoutes& routes, RetryBudget& budget,
-                       RandomBits random)
-    : plan_(std::move(plan)), routes_(routes), budget_(budget), random_(std::move(random)) {}
+RequestStateMachine::RequestStateMachine(RequestPlan plan, const AgentLookup& lookup,
+                                         RetryBudget& budget, RandomBits random)
+    : plan_(std::move(plan)), lookup_(lookup), budget_(budget), random_(std::move(random)) {}
 
-std::vector<RequestAction> RequestRun::On(const RequestEvent& event, Time now) {
+std::vector<RequestAction> RequestStateMachine::On(const RequestEvent& event, Time now) {
   out_.clear();
   if (done()) {
     if (!std::holds_alternative<event::TimerFired>(event)) ++late_events_;
@@ -23,52 +23,52 @@
                  [&](const event::Head& head) { OnHead(head, now); },
                  [&](const event::Data& data) { OnData(data, now); },
                  [&](const event::End& end) { OnEnd(end, now); },
-                 [&](const event::Broke& broke) { OnBroke(broke, now); },
+                 [&](const event::CallFailed& broke) { OnCallFailed(broke, now); },
                  [&](const event::RevokeAnswered& answered) { OnRevokeAnswered(answered, now); },
                  [&](const event::TimerFired&) { OnTimer(now); },
-                 [&](const event::CallerGone&) { OnCallerGone(); },
+                 [&](const event::CallerDisconnected&) { OnCallerDisconnected(); },
              },
              event);
   return std::exchange(out_, {});
 }
 
-void RequestRun::OnStart(Time now) {
+void RequestStateMachine::OnStart(Time now) {
   if (phase_ != Phase::kNew) return;
   if (now >= plan_.deadline) return FinishWithError(detail::DeadlineError());
-  const Result<Pick> pick = routes_.choose(plan_, tried_, now);
-  if (!IsOk(pick)) return FinishWithError(ErrorOf(pick));
-  DispatchTo(ValueOf(pick), false, now);
+  const Result<NodeEndpoint> endpoint = lookup_.choose(plan_, tried_, now);
+  if (!IsOk(endpoint)) return FinishWithError(ErrorOf(endpoint));
+  DispatchTo(ValueOf(endpoint), false, now);
 }
 
-void RequestRun::OnSent(const event::Sent& sent, Time now) {
+void RequestStateMachine::OnSent(const event::Sent& sent, Time now) {
   if (IsCurrent(sent.call)) ArmSilenceTimer(kHeadTimeout, now);
 }
 
-void RequestRun::DispatchTo(const Pick& pick, bool resume, Time now) {
+void RequestStateMachine::DispatchTo(const NodeEndpoint& endpoint, bool resume, Time now) {
   if (!resume) {
     ++attempts_;
-    tried_.push_back(pick.node);
-    attempt_ = Attempt{.dispatched_to = pick,
+    tried_.push_back(endpoint.node);
+    attempt_ = Attempt{.dispatched_to = endpoint,
                        .request = {plan_.request.value + "." + std::to_string(attempts_)},
                        .ran = Ran::kUnknown};
     rerun_events_left_ = tokens_sent_;
     rerun_hash_ = 0;
   }
-  attempt_.to = pick;
+  attempt_.to = endpoint;
   attempt_.resuming = resume;
   phase_ = Phase::kWaiting;
   ++call_;
   call_bytes_ = 0;
   out_.emplace_back(
       action::Dispatch{.call = call_,
-                       .to = pick,
+                       .to = endpoint,
                        .request = attempt_.request,
                        .resume = resume,
                        .resume_from = resume ? tokens_sent_ - rerun_events_left_ : 0});
   ArmSilenceTimer(kHeadTimeout, now);
 }
 
-void RequestRun::OnRefused(const event::AgentRefused& refused, Time now) {
+void RequestStateMachine::OnRefused(const event::AgentRefused& refused, Time now) {
   if (!IsCurrent(refused.call)) return;
   const Error& error = refused.error;
   last_error_ = error;
@@ -89,7 +89,7 @@
   if (!detail::MaySucceedAtOtherAgent(error.kind)) return FinishWithError(error);
   CloseCall(AttemptEnd::kRefused, error);
   // The agent was restarted: its new incarnation may be tried as well.
-  const std::optional<Pick> found = routes_.find(attempt_.to.node);
+  const std::optional<NodeEndpoint> found = lookup_.find(attempt_.to.node);
   if (error.kind == ErrorKind::kStaleOrders && found &&
       found->incarnation > attempt_.to.incarnation) {
     std::erase(tried_, attempt_.to.node);
@@ -97,7 +97,7 @@
   DispatchToNextAgent(now);
 }
 
-void RequestRun::OnBroke(const event::Broke& broke, Time now) {
+void RequestStateMachine::OnCallFailed(const event::CallFailed& broke, Time now) {
   if (!IsCurrent(broke.call)) return;
   last_error_ = Error{ErrorKind::kBackendFailed, "the call to the agent failed: " + broke.why};
   if (!broke.sent && !attempt_.resuming) {
@@ -110,7 +110,7 @@
 
 // The open call will not deliver a complete answer. An attempt that is known to have started is
 // resumed; otherwise the agent is asked first whether it started.
-void RequestRun::HandleBrokenCall(const Error& why, Time now) {
+void RequestStateMachine::HandleBrokenCall(const Error& why, Time now) {
   last_error_ = why;
   CloseCall(AttemptEnd::kFailed, why);
   DropUnsent();
@@ -123,7 +123,7 @@
 // request, which makes `never-started` final. Only the incarnation that got the request can
 // give this answer: a later one has no record of the request and would also report
 // `never-started` for work that ran.
-void RequestRun::SendRevoke(Time now) {
+void RequestStateMachine::SendRevoke(Time now) {
   phase_ = Phase::kRevoking;
   ++attempt_.revokes;
   out_.emplace_back(action::Revoke{call_, attempt_.dispatched_to, attempt_.request});
@@ -133,14 +133,14 @@
 
 // The open call has received no data within its silence timeout. The answer to a probe
 // distinguishes a slow agent from a paused one; the call stays open meanwhile.
-void RequestRun::SendProbe(Time now) {
+void RequestStateMachine::SendProbe(Time now) {
   probing_ = true;
   out_.emplace_back(action::Revoke{call_, attempt_.dispatched_to, attempt_.request});
   timer_due_ = now + kRevokeTimeout;
   ArmTimer(timer_due_);
 }
 
-void RequestRun::OnRevokeAnswered(const event::RevokeAnswered& answered, Time now) {
+void RequestStateMachine::OnRevokeAnswered(const event::RevokeAnswered& answered, Time now) {
   if (answered.call != call_) {
     ++late_events_;
     return;
@@ -163,7 +163,7 @@
   }
 }
 
-void RequestRun::OnProbeAnswered(event::RevokeState state, Time now) {
+void RequestStateMachine::OnProbeAnswered(event::RevokeState state, Time now) {
   probing_ = false;
   switch (state) {
     case event::RevokeState::kNeverStarted:
@@ -192,8 +192,8 @@
 
 // The agent gave no answer whether the work started. If it was restarted, its engine may still
 // have the stream; otherwise the outcome stays unknown.
-void RequestRun::OnRevokeUnanswered(Time now) {
-  const std::optional<Pick> found = routes_.find(attempt_.to.node);
+void RequestStateMachine::OnRevokeUnanswered(Time now) {
+  const std::optional<NodeEndpoint> found = lookup_.find(attempt_.to.node);
   if (plan_.can_resume && found && found->incarnation != attempt_.to.incarnation &&
       !attempt_.new_incarnation_tried) {
     attempt_.new_incarnation_tried = true;
@@ -203,7 +203,7 @@
   RerunOrFail(now);
 }
 
-void RequestRun::ScheduleResume(Time now) {
+void RequestStateMachine::ScheduleResume(Time now) {
   const int max_resumes = plan_.repeatable ? kMaxResumes : kMaxResumesOfUnrepeatable;
   if (attempt_.resumes_in_row >= max_resumes) return RerunOrFail(now);
   if (attempt_.resumes_in_row == 0) return Resume(now);
@@ -213,9 +213,9 @@
   ArmTimer(timer_due_);
 }
 
-void RequestRun::Resume(Time now) {
+void RequestStateMachine::Resume(Time now) {
   ++attempt_.resumes_in_row;
-  const std::optional<Pick> found = routes_.find(attempt_.to.node);
+  const std::optional<NodeEndpoint> found = lookup_.find(attempt_.to.node);
   if (!found) return plan_.repeatable ? RerunOrFail(now) : ScheduleResume(now);
   ++resumes_;
   DispatchTo(*found, true, now);
@@ -224,7 +224,7 @@
 // The answer of the attempt can't be recovered. Repeatable work may be run again; the events
 // that the caller already has must then be the same in the rerun, otherwise the answer fails as
 // broken.
-void RequestRun::RerunOrFail(Time now) {
+void RequestStateMachine::RerunOrFail(Time now) {
   if (plan_.repeatable) {
     CancelStarted();
     return DispatchToNextAgent(now);
@@ -237,26 +237,26 @@
 // The budget keeps retries from multiplying the load. A leaving agent refuses at no cost and
 // refuses all its requests at the same time: charged for that, the budget would be used up and
 // callers would be refused although other agents have capacity.
-bool RequestRun::IsFreeRetry() const {
+bool RequestStateMachine::IsFreeRetry() const {
   return ran_before_ == Ran::kNo &&
          (last_error_.kind == ErrorKind::kLeaving || last_error_.kind == ErrorKind::kStaleOrders);
 }
 
-void RequestRun::DispatchToNextAgent(Time now) {
+void RequestStateMachine::DispatchToNextAgent(Time now) {
   phase_ = Phase::kNew;
   ran_before_ = detail::CombineRan(ran_before_, std::exchange(attempt_.ran, Ran::kNo));
   if (now >= plan_.deadline) return FinishWithError(detail::DeadlineError());
-  const Result<Pick> pick = routes_.choose(plan_, tried_, now);
-  if (!IsOk(pick) || !(IsFreeRetry() || budget_.Spend())) {
+  const Result<NodeEndpoint> endpoint = lookup_.choose(plan_, tried_, now);
+  if (!IsOk(endpoint) || !(IsFreeRetry() || budget_.TrySpend())) {
     // Nothing ran, so the caller is only told that it may retry.
     const bool not_run = ran_before_ == Ran::kNo && last_error_.kind == ErrorKind::kBackendFailed;
     if (not_run) last_error_.kind = ErrorKind::kNoBackend;
     return FinishWithError(last_error_);
   }
-  DispatchTo(ValueOf(pick), false, now);
+  DispatchTo(ValueOf(endpoint), false, now);
 }
 
-void RequestRun::OnTimer(Time now) {
+void RequestStateMachine::OnTimer(Time now) {
   armed_at_.reset();
   if (now >= plan_.deadline) return FinishWithError(detail::DeadlineError());
   if (now < timer_due_) return ArmTimer(timer_due_);
@@ -274,25 +274,25 @@
   }
 }
 
-void RequestRun::OnCallerGone() {
+void RequestStateMachine::OnCallerDisconnected() {
   CancelStarted();
   CloseCall(AttemptEnd::kAbandoned);
   phase_ = Phase::kDone;
 }
 
-void RequestRun::CancelStarted() {
+void RequestStateMachine::CancelStarted() {
   if (attempt_.ran == Ran::kNo) return;
-  out_.emplace_back(action::CancelAt{attempt_.to, attempt_.request});
+  out_.emplace_back(action::CancelWork{attempt_.to, attempt_.request});
 }
 
-void RequestRun::CloseCall(AttemptEnd end, std::optional<Error> error) {
+void RequestStateMachine::CloseCall(AttemptEnd end, std::optional<Error> error) {
   if (!CallOpen()) return;
-  out_.emplace_back(action::CallOver{call_, attempt_.to, end, std::move(error)});
+  out_.emplace_back(action::EndCall{call_, attempt_.to, end, std::move(error)});
   probing_ = false;
   phase_ = Phase::kNew;
 }
 
-void RequestRun::FinishWithError(Error error) {
+void RequestStateMachine::FinishWithError(Error error) {
   error.ran = detail::CombineRan(ran_before_, attempt_.ran);
   if (RowOf(error.kind).retry_may_help) {
     // Random over [min_delay, 2 x min_delay), so that callers don't retry all at the same time.
@@ -307,7 +307,7 @@
   out_.emplace_back(action::Fail{std::move(error)});
 }
 
-void RequestRun::ArmSilenceTimer(Duration silence_timeout, Time now) {
+void RequestStateMachine::ArmSilenceTimer(Duration silence_timeout, Time now) {
   probing_ = false;
   silence_timeout_ = silence_timeout;
   timer_due_ = now + silence_timeout;
@@ -316,20 +316,20 @@
 
 // A timer that fires before the timeout is set again; extending the timeout for each piece of a
 // stream would otherwise cost a timer operation.
-void RequestRun::ArmTimer(Time at) {
+void RequestStateMachine::ArmTimer(Time at) {
   at = std::min(at, plan_.deadline);
   if (armed_at_ && *armed_at_ <= at) return;
   armed_at_ = at;
   out_.emplace_back(action::SetTimer{at});
 }
 
-bool RequestRun::IsCurrent(CallNumber call) {
+bool RequestStateMachine::IsCurrent(CallNumber call) {
   if (call == call_ && CallOpen()) return true;
   ++late_events_;
   return false;
 }
 
-bool RequestRun::CallOpen() const {
+bool RequestStateMachine::CallOpen() const {
   return phase_ == Phase::kWaiting || phase_ == Phase::kStreaming;
 }
 
--- a/src/online/router.cc
+++ b/src/online/router.cc
@@ -91,12 +91,12 @@
     const auto known = before.find(member.node);
     Agent agent;
     if (known != before.end()) agent = std::move(known->second);
-    const bool is_new = known == before.end() || agent.pick.incarnation != member.incarnation;
+    const bool is_new = known == before.end() || agent.endpoint.incarnation != member.incarnation;
     if (is_new) agent = Agent{};
     // A new agent has cold caches and may have to load weights. When this entry starts, it has
     // no information about any agent and treats all of them as warm.
     if (is_new && updated_once_) agent.slow_start_began_at = now;
-    agent.pick = Pick{member.node, member.http, member.incarnation};
+    agent.endpoint = NodeEndpoint{member.node, member.http, member.incarnation};
     agent.distance_cost_requests = DistanceCostRequests(here_, member.data_centre);
     agent.suspect = member.liveness == Liveness::kSuspect;
     const Ranked ranked{member.node, member.data_centre == here_,
@@ -120,7 +120,7 @@
 double Router::ReportWeight(const Agent& agent, Time now) {
   if (!agent.reported_at) return 0;
   const double age = static_cast<double>((now - *agent.reported_at).count());
-  return std::max(0.0, 1 - age / static_cast<double>(kReportLife.count()));
+  return std::max(0.0, 1 - age / static_cast<double>(kReportLifetime.count()));
 }
 
 // Estimate of other entries' requests at an agent without a recent report: the weighted mean of
@@ -235,7 +235,8 @@
     const bool near = candidate.agent->distance_cost_requests <= kDataCentreCostRequests;
     const bool over = candidate.cost > bound || candidate.agent->own_tokens > own_bound;
     if (!near || over) continue;
-    const std::uint64_t weight = RendezvousWeight(query.prefix, candidate.agent->pick.node.value);
+    const std::uint64_t weight =
+        RendezvousWeight(query.prefix, candidate.agent->endpoint.node.value);
     if (best != nullptr && weight <= best_weight) continue;
     best = &candidate;
     best_weight = weight;
@@ -266,7 +267,7 @@
                                                               : candidates[first];
 }
 
-Result<Pick> Router::Choose(const RouteQuery& query, Time now) {
+Result<NodeEndpoint> Router::Choose(const RouteQuery& query, Time now) {
   CollectCandidates(query, now, candidates_);
   if (candidates_.empty()) {
     return Error{ErrorKind::kNoBackend,
@@ -274,18 +275,18 @@
   }
   if (!query.prefix.empty()) {
     const Candidate* owner = PrefixOwner(query, candidates_);
-    if (owner != nullptr) return owner->agent->pick;
+    if (owner != nullptr) return owner->agent->endpoint;
   }
-  return PowerOfTwoChoices(candidates_).agent->pick;
+  return PowerOfTwoChoices(candidates_).agent->endpoint;
 }
 
-std::optional<Pick> Router::Find(const NodeId& node) const {
+std::optional<NodeEndpoint> Router::Find(const NodeId& node) const {
   const auto found = agents_.find(node);
   if (found == agents_.end()) return std::nullopt;
-  return found->second.pick;
+  return found->second.endpoint;
 }
 
-void Router::Dispatched(const NodeId& node, double tokens) {
+void Router::RecordDispatch(const NodeId& node, double tokens) {
   constexpr double kWeight = 0.01;
   mean_tokens_ += kWeight * (tokens - mean_tokens_);
   const auto found = agents_.find(node);
@@ -294,7 +295,7 @@
   ++found->second.own_running;
 }
 
-void Router::HeadSeen(const NodeId& node, const AgentLoad& load, Time now) {
+void Router::RecordLoad(const NodeId& node, const AgentLoad& load, Time now) {
   const auto found = agents_.find(node);
   if (found == agents_.end()) return;
   Agent& agent = found->second;
@@ -304,8 +305,8 @@
   agent.reported_at = now;
 }
 
-void Router::Ended(const NodeId& node, double tokens, AttemptEnd end,
-                   const std::optional<Error>& error, Time now) {
+void Router::RecordAttemptEnd(const NodeId& node, double tokens, AttemptEnd end,
+                              const std::optional<Error>& error, Time now) {
   const auto found = agents_.find(node);
   if (found == agents_.end()) return;
   Agent& agent = found->second;
--- a/src/online/team_limits.cc
+++ b/src/online/team_limits.cc
@@ -63,7 +63,7 @@
 TeamLimits::Team* TeamLimits::FindOrAdd(const TeamId& team, const TeamLimit& limit, Time now) {
   const auto found = teams_.find(team);
   if (found != teams_.end()) return &found->second;
-  if (teams_.size() >= kMaxTeams) Forget(now);
+  if (teams_.size() >= kMaxTeams) EvictIdle(now);
   if (teams_.size() >= kMaxTeams) return nullptr;
   Team& added = teams_[team];
   added.reported_at = now;
@@ -116,11 +116,11 @@
   found->second.demand.tokens += used - charged;
 }
 
-std::vector<ShareAsk> TeamLimits::Due(Time now) {
+std::vector<ShareRequest> TeamLimits::TakeDueReports(Time now) {
   constexpr double kSmoothing = 0.25;
   constexpr double kNegligible = 0.05;  // requests per second
-  Forget(now);
-  std::vector<ShareAsk> asks;
+  EvictIdle(now);
+  std::vector<ShareRequest> requests_due;
   for (auto& [id, team] : teams_) {
     const double seconds = static_cast<double>((now - team.reported_at).count()) / 1e6;
     if (seconds <= 0) continue;
@@ -137,19 +137,19 @@
       continue;
     }
     team.needs_larger_share = false;
-    const auto home = std::max_element(entries_.begin(), entries_.end(),
-                                       [&id = id](const Pick& a, const Pick& b) {
-                                         return RendezvousWeight(id.value, a.node.value) <
-                                                RendezvousWeight(id.value, b.node.value);
-                                       });
-    if (home == entries_.end()) continue;
+    const auto owner = std::max_element(entries_.begin(), entries_.end(),
+                                        [&id = id](const NodeEndpoint& a, const NodeEndpoint& b) {
+                                          return RendezvousWeight(id.value, a.node.value) <
+                                                 RendezvousWeight(id.value, b.node.value);
+                                        });
+    if (owner == entries_.end()) continue;
     if (!team.owner_asked_at) team.owner_asked_at = now;
-    asks.push_back({*home, {id, team.wanted, std::exchange(team.admitted, {})}});
+    requests_due.push_back({*owner, {id, team.wanted, std::exchange(team.admitted, {})}});
   }
-  return asks;
+  return requests_due;
 }
 
-void TeamLimits::Granted(const TeamId& id, const TeamRates& share, Time now) {
+void TeamLimits::ApplyShare(const TeamId& id, const TeamRates& share, Time now) {
   const auto found = teams_.find(id);
   const TeamLimit* limit = LimitOf(id);
   if (found == teams_.end() || limit == nullptr) return;
@@ -158,7 +158,7 @@
   SetRates(found->second, *limit, now);
 }
 
-void TeamLimits::Forget(Time now) {
+void TeamLimits::EvictIdle(Time now) {
   std::erase_if(teams_,
                 [now](const auto& entry) { return now > entry.second.used_at + kIdleTimeout; });
 }
--- a/src/online/team_shares.cc
+++ b/src/online/team_share_allocator.cc
@@ -7,8 +7,8 @@
 
 // The part of `limit` that may be divided while `excess` is recovered.
 double LimitDuringRecovery(double limit, double excess) {
-  const double part = 1 - excess / (limit * TeamShares::kRecoverySeconds);
-  return limit * std::clamp(part, TeamShares::kMinShare, 1.0);
+  const double part = 1 - excess / (limit * TeamShareAllocator::kRecoverySeconds);
+  return limit * std::clamp(part, TeamShareAllocator::kMinShare, 1.0);
 }
 
 // Divides the limit in proportion to demand when the demand exceeds it. Otherwise each entry
@@ -24,8 +24,8 @@
 
 }  // namespace
 
-TeamRates TeamShares::Report(const NodeId& entry, const ShareReport& report, const TeamLimit& limit,
-                             Time now) {
+TeamRates TeamShareAllocator::Allocate(const NodeId& entry, const DemandReport& report,
+                                       const TeamLimit& limit, Time now) {
   Team& team = teams_[report.team];
   const double seconds = team.at == Time{} ? 0 : static_cast<double>((now - team.at).count()) / 1e6;
   team.at = now;
@@ -40,7 +40,7 @@
 
   team.reporters[entry] = {report.wanted, now};
   std::erase_if(team.reporters,
-                [now](const auto& reporter) { return now > reporter.second.at + kReportLife; });
+                [now](const auto& reporter) { return now > reporter.second.at + kReportLifetime; });
   TeamRates all;
   for (const auto& [node, reporter] : team.reporters) {
     all.requests += reporter.wanted.requests;
@@ -52,7 +52,7 @@
       ShareByDemand(limit.tokens_per_second, team.excess.tokens, report.wanted.tokens, all.tokens)};
 }
 
-void TeamShares::Forget(Time now) {
+void TeamShareAllocator::EvictIdle(Time now) {
   std::erase_if(teams_, [now](const auto& entry) {
     return now > entry.second.at + TeamLimits::kIdleTimeout;
   });
--- a/test/online-limits-test.cc
+++ b/test/online-limits-test.cc
@@ -30,7 +30,7 @@
 }
 
 // Entries that serve one team. Their reports take one tick in each direction, and are lost
-// while `homes_up` is false.
+// while `owners_up` is false.
 class Fleet {
  public:
   Fleet(int n, double requests, double tokens) : snapshot_(Entries(n, requests, tokens)) {
@@ -56,7 +56,7 @@
     return admitted / (static_cast<double>(span.count()) / 1e6);
   }
   double admitted_share = 0;  // admitted fraction of the requests in the last run
-  bool homes_up = true;
+  bool owners_up = true;
   int reports = 0;
 
  private:
@@ -65,19 +65,19 @@
       // Entries report at different times.
       const Duration phase = kTick * static_cast<int>(i * 7 % 50);
       if ((now_ - kStart + phase) % TeamLimits::kReportPeriod != Duration{0}) continue;
-      for (const ShareAsk& ask : limits_[i].Due(now_)) {
+      for (const ShareRequest& request : limits_[i].TakeDueReports(now_)) {
         ++reports;
-        if (!homes_up) continue;
-        const TeamRates share = homes_[ask.home.node].Report(
-            snapshot_.members[i].node, ask.report, snapshot_.config->limits.at(kTeam), now_);
-        limits_[i].Granted(kTeam, share, now_ + kTick);
+        if (!owners_up) continue;
+        const TeamRates share = allocators_[request.owner.node].Allocate(
+            snapshot_.members[i].node, request.report, snapshot_.config->limits.at(kTeam), now_);
+        limits_[i].ApplyShare(kTeam, share, now_ + kTick);
       }
     }
   }
 
   Snapshot snapshot_;
   std::deque<TeamLimits> limits_;
-  std::map<NodeId, TeamShares> homes_;
+  std::map<NodeId, TeamShareAllocator> allocators_;
   std::mt19937 random_{1};
   Time now_ = kStart;
 };
@@ -131,7 +131,7 @@
   Fleet fleet(8, 40, 0);
   const std::vector<double> even(8, 1.0);
   fleet.Run(120, even, Duration{10'000'000});
-  fleet.homes_up = false;
+  fleet.owners_up = false;
   fleet.Run(120, even, Duration{5'000'000});
   CHECK(fleet.Run(120, even, Duration{60'000'000}) == doctest::Approx(40).epsilon(0.1));
 }
--- a/test/online-router-test.cc
+++ b/test/online-router-test.cc
@@ -44,10 +44,10 @@
   std::map<std::string, int> Send(int n, Time now, std::string_view prefix = {}) {
     std::map<std::string, int> to;
     for (int i = 0; i < n; ++i) {
-      const auto pick = router.Choose({kService, prefix, 256, {}}, now);
-      REQUIRE(IsOk(pick));
-      ++to[ValueOf(pick).node.value];
-      router.Dispatched(ValueOf(pick).node, 256);
+      const auto endpoint = router.Choose({kService, prefix, 256, {}}, now);
+      REQUIRE(IsOk(endpoint));
+      ++to[ValueOf(endpoint).node.value];
+      router.RecordDispatch(ValueOf(endpoint).node, 256);
     }
     return to;
   }
@@ -94,7 +94,7 @@
   constexpr std::string_view kPrefix = "you are an agronomist";
   const std::string owner = bench.Send(1, kStart, kPrefix).begin()->first;
   for (int i = 0; i < 20; ++i) {
-    bench.router.Ended({owner}, 256, AttemptEnd::kAnswered, std::nullopt, kStart);
+    bench.router.RecordAttemptEnd({owner}, 256, AttemptEnd::kAnswered, std::nullopt, kStart);
     CHECK(bench.Send(1, kStart, kPrefix).begin()->first == owner);
   }
   const auto many = bench.Send(79, kStart, kPrefix);
@@ -109,7 +109,7 @@
   // report an agent was taken for idle.
   Bench bench(Fleet(4));
   for (const char* node : {"a1", "a2", "a3"}) {
-    bench.router.HeadSeen({node}, {.online_running = 10}, kStart);
+    bench.router.RecordLoad({node}, {.online_running = 10}, kStart);
   }
   CHECK(bench.Send(40, kStart)["a0"] <= 15);
 }
@@ -139,7 +139,7 @@
 
   Bench failing(fleet);
   const auto fail = [&](const char* node, Time now) {
-    failing.router.Ended({node}, 0, AttemptEnd::kFailed, std::nullopt, now);
+    failing.router.RecordAttemptEnd({node}, 0, AttemptEnd::kFailed, std::nullopt, now);
   };
   for (int i = 0; i < Router::kFailuresToEject; ++i) fail("a0", kStart);
   CHECK(failing.Send(50, kStart).size() == 4);
@@ -165,7 +165,7 @@
     Bench bench(fleet, "e" + std::to_string(entry));
     RetryBudget budget;
     Time now = kStart;
-    const RequestRoutes routes{
+    const AgentLookup lookup{
         [&](const RequestPlan& plan, std::span<const NodeId> tried, Time at) {
           return bench.router.Choose({plan.service, {}, plan.tokens, tried}, at);
         },
@@ -176,20 +176,20 @@
       plan.request = {"r" + std::to_string(i)};
       plan.service = kService;
       plan.deadline = now + Duration{10'000'000};
-      RequestRun run(plan, routes, budget, [&] { return bench.random(); });
+      RequestStateMachine run(plan, lookup, budget, [&] { return bench.random(); });
       std::vector<RequestAction> actions = run.On(event::Start{}, now);
       while (!actions.empty()) {
         std::vector<RequestAction> next;
         for (const RequestAction& action : actions) {
-          if (const auto* over = std::get_if<action::CallOver>(&action)) {
-            bench.router.Ended(over->to.node, 1, over->end, over->error, now);
+          if (const auto* over = std::get_if<action::EndCall>(&action)) {
+            bench.router.RecordAttemptEnd(over->to.node, 1, over->end, over->error, now);
           }
           if (const auto* dispatch = std::get_if<action::Dispatch>(&action)) {
-            bench.router.Dispatched(dispatch->to.node, 1);
+            bench.router.RecordDispatch(dispatch->to.node, 1);
             const bool brown =
                 std::set<std::string>{"a0", "a1", "a2", "a3"}.contains(dispatch->to.node.value);
             if (brown) {
-              next = run.On(event::Broke{dispatch->call, false, "no connection"}, now);
+              next = run.On(event::CallFailed{dispatch->call, false, "no connection"}, now);
             } else {
               static_cast<void>(
                   run.On(event::Head{dispatch->call, 200, "", dispatch->request}, now));
@@ -223,7 +223,7 @@
   for (const char* self : {"e0", "e1", "e2"}) {
     Bench bench(fleet, self);
     for (int i = 0; i < 10; ++i) {
-      bench.router.HeadSeen(Agent(i).node, {.online_running = 0, .online_mark = 20}, kStart);
+      bench.router.RecordLoad(Agent(i).node, {.online_running = 0, .online_mark = 20}, kStart);
     }
     const auto to = bench.Send(30, kStart);
     CHECK(to.size() == 2);
--- a/test/online-run-test.cc
+++ b/test/online-run-test.cc
@@ -26,7 +26,7 @@
   return nullptr;
 }
 
-Pick AgentAt(int index, Incarnation incarnation) {
+NodeEndpoint AgentAt(int index, Incarnation incarnation) {
   return {NodeId{"a" + std::to_string(index)},
           {"127.0.0.1", static_cast<std::uint16_t>(9000 + index)},
           incarnation};
@@ -34,7 +34,7 @@
 
 // A request with agents that are always found and are tried in order.
 struct Bench {
-  explicit Bench(RequestPlan plan) : run(std::move(plan), routes, budget, [] { return 7U; }) {}
+  explicit Bench(RequestPlan plan) : run(std::move(plan), lookup, budget, [] { return 7U; }) {}
 
   std::vector<RequestAction> On(const RequestEvent& event, Duration at = Duration{0}) {
     auto actions = run.On(event, kStart + at);
@@ -50,15 +50,15 @@
   }
 
   std::vector<Incarnation> incarnations = {1, 1, 1};
-  RequestRoutes routes{
-      [this](const RequestPlan&, std::span<const NodeId> tried, Time) -> Result<Pick> {
+  AgentLookup lookup{
+      [this](const RequestPlan&, std::span<const NodeId> tried, Time) -> Result<NodeEndpoint> {
         for (int i = 0; i < static_cast<int>(incarnations.size()); ++i) {
-          const Pick pick = AgentAt(i, incarnations[static_cast<std::size_t>(i)]);
-          if (std::find(tried.begin(), tried.end(), pick.node) == tried.end()) return pick;
+          const NodeEndpoint endpoint = AgentAt(i, incarnations[static_cast<std::size_t>(i)]);
+          if (std::find(tried.begin(), tried.end(), endpoint.node) == tried.end()) return endpoint;
         }
         return Error{ErrorKind::kNoBackend, "none left"};
       },
-      [this](const NodeId& node) -> std::optional<Pick> {
+      [this](const NodeId& node) -> std::optional<NodeEndpoint> {
         const int index = node.value[1] - '0';
         return AgentAt(index, incarnations[static_cast<std::size_t>(index)]);
       }};
@@ -66,7 +66,7 @@
   std::string sent;
   action::Dispatch last;
   std::optional<Error> error;
-  RequestRun run;
+  RequestStateMachine run;
 };
 
 RequestPlan Plan(bool repeatable) {
@@ -88,7 +88,7 @@
   bench.On(event::Start{});
   bench.Head();
   bench.On(event::Data{bench.last.call, "data: one\n\ndata: tw"});
-  bench.On(event::Broke{bench.last.call, true, "reset"});
+  bench.On(event::CallFailed{bench.last.call, true, "reset"});
   CHECK(bench.last.resume);
   CHECK(bench.last.resume_from == 1);
   CHECK(bench.last.to.node == NodeId{"a0"});
@@ -109,7 +109,7 @@
   Bench bench(plan);
   bench.On(event::Start{});
   const CallNumber given_up = bench.last.call;
-  bench.On(event::Broke{given_up, false, "refused"});
+  bench.On(event::CallFailed{given_up, false, "refused"});
   CHECK(bench.last.to.node == NodeId{"a1"});
   bench.On(event::Head{given_up, 200, "text/plain", RequestId{"r.1"}});
   bench.On(event::Data{given_up, "late"});
@@ -136,12 +136,12 @@
   // the request and reports that it never started.
   Bench bench(Plan(false));
   bench.On(event::Start{});
-  auto actions = bench.On(event::Broke{bench.last.call, true, "reset"});
+  auto actions = bench.On(event::CallFailed{bench.last.call, true, "reset"});
   bench.incarnations[0] = 2;
   bench.On(event::TimerFired{}, 1000 * kMs);
   CHECK(bench.last.resume);
   CHECK(bench.last.to.incarnation == 2);
-  actions = bench.On(event::Broke{bench.last.call, true, "reset"}, 1000 * kMs);
+  actions = bench.On(event::CallFailed{bench.last.call, true, "reset"}, 1000 * kMs);
   REQUIRE(First<action::Revoke>(actions) != nullptr);
   CHECK(First<action::Revoke>(actions)->to.incarnation == 1);
 }
@@ -152,14 +152,14 @@
   // show that the agent is running.
   Bench bench(Plan(true));
   bench.On(event::Start{});
-  auto actions = bench.On(event::TimerFired{}, RequestRun::kHeadTimeout);
+  auto actions = bench.On(event::TimerFired{}, RequestStateMachine::kHeadTimeout);
   REQUIRE(First<action::Revoke>(actions) != nullptr);
   bench.On(event::RevokeAnswered{bench.last.call, event::RevokeState::kRunning},
-           RequestRun::kHeadTimeout);
+           RequestStateMachine::kHeadTimeout);
   CHECK(bench.run.attempts() == 1);  // the agent is slow but not paused, so the call stays open
-  bench.On(event::TimerFired{}, 3 * RequestRun::kHeadTimeout);
-  actions = bench.On(event::TimerFired{}, 3 * RequestRun::kHeadTimeout + 1000 * kMs);
-  CHECK(First<action::CancelAt>(actions) != nullptr);
+  bench.On(event::TimerFired{}, 3 * RequestStateMachine::kHeadTimeout);
+  actions = bench.On(event::TimerFired{}, 3 * RequestStateMachine::kHeadTimeout + 1000 * kMs);
+  CHECK(First<action::CancelWork>(actions) != nullptr);
   CHECK(bench.last.to.node == NodeId{"a1"});
 }
 
@@ -181,7 +181,7 @@
   // agent starts to leave, and more requests that are already in transit to it are refused than
   // the retry budget allows. These refusals cost nothing and must not be charged.
   Bench bench(Plan(true));
-  while (bench.budget.Spend()) {
+  while (bench.budget.TrySpend()) {
   }
   bench.On(event::Start{});
   bench.On(event::AgentRefused{bench.last.call, {ErrorKind::kLeaving, "leaving", Ran::kNo}});
@@ -254,7 +254,7 @@
                        ++open_;
                        calls_.push_back({.dispatch = dispatch});
                      },
-                     [&](const action::CallOver& over) {
+                     [&](const action::EndCall& over) {
                        --open_;
                        for (Call& call : calls_) {
                          if (call.dispatch.call == over.call) call.open = false;
@@ -306,7 +306,7 @@
     const bool sent = !call.on_its_way || Random(2) == 0;
     if (!sent) call.on_its_way = false;
     if (Random(2) == 0) call.answer.clear();
-    Step(event::Broke{call.dispatch.call, sent, "reset"});
+    Step(event::CallFailed{call.dispatch.call, sent, "reset"});
   }
 
   // The answer of one run; runs differ unless the model is deterministic.
--- a/test/quota-ways.h
+++ b/test/quota-ways.h
@@ -81,14 +81,16 @@
  private:
   void Report(int entry) {
     if (!world_.Runs(entry)) return;
-    for (const ShareAsk& ask : limits_[static_cast<std::size_t>(entry)].Due(world_.now())) {
+    for (const ShareRequest& ask :
+         limits_[static_cast<std::size_t>(entry)].TakeDueReports(world_.now())) {
       const int home = world_.OwnerSeenBy(entry);
       world_.Send(entry, home, [this, entry, home, report = ask.report] {
         const TeamRates share =
-            homes_[home].Report(world_.node(entry), report,
-                                snapshot_.config->limits.at(world_.team().name), world_.now());
+            homes_[home].Allocate(world_.node(entry), report,
+                                  snapshot_.config->limits.at(world_.team().name), world_.now());
         world_.Send(home, entry, [this, entry, share] {
-          limits_[static_cast<std::size_t>(entry)].Granted(world_.team().name, share, world_.now());
+          limits_[static_cast<std::size_t>(entry)].ApplyShare(world_.team().name, share,
+                                                              world_.now());
         });
       });
     }
@@ -97,7 +99,7 @@
   QuotaWorld& world_;
   Snapshot snapshot_;
   std::deque<TeamLimits> limits_;
-  std::map<int, TeamShares> homes_;
+  std::map<int, TeamShareAllocator> homes_;
 };
 
 // The owner grants credits that are valid for a short time.
