--- a/include/figmill/items.h
+++ b/include/figmill/items.h
@@ -35,9 +35,9 @@
   // Bytes of an event stream.
   void Feed(std::string_view bytes);
   // The run broke off: an event that was begun comes again.
-  void BreakOff() { pieces_.DropTail(); }
+  void BreakOff() { pieces_.DropIncomplete(); }
   // The run sends what other runs have given already.
-  [[nodiscard]] bool repeats() const { return pieces_.repeats(); }
+  [[nodiscard]] bool repeats() const { return pieces_.has_duplicate(); }
   // Whether the run ended between events.
   [[nodiscard]] bool at_event_end() const { return !pieces_.in_event(); }
   [[nodiscard]] const std::optional<std::string>& last_id() const { return pieces_.last_id(); }
@@ -51,7 +51,7 @@
   void Restore(const ledger::ProgressPiece& piece);
 
  private:
-  EventPieces pieces_;
+  OrderedEventSplitter pieces_;
   std::string text_;
   std::size_t kept_ = 0;  // bytes of the text in pieces
   std::uint32_t next_piece_ = 0;
@@ -63,7 +63,7 @@
 struct ItemAnswerHead {
   int status = 0;
   bool not_run = false;  // it says so
-  AnsweredId id = AnsweredId::kNone;
+  AnswerIdMatch id = AnswerIdMatch::kMissing;
 };
 
 namespace item_answer {
--- a/include/figmill/relay.h
+++ b/include/figmill/relay.h
@@ -58,11 +58,11 @@
   bool stream = false;      // the answer is forwarded event by event
   bool resumable = false;   // a stream can be resumed after an event id
   int max_backends = 1;     // on how many backend servers it may run
-  Time limit{};             // the final answer is due by then
+  Time deadline{};          // the final answer is due by then
   // Time without data after which an idempotent request is sent to another backend server. 0:
   // never.
-  Duration first_byte_patience{0};
-  Duration next_byte_patience{0};
+  Duration first_byte_timeout{0};
+  Duration next_byte_timeout{0};
   // The event id after which the caller resumes a stream.
   std::optional<std::string> after_event = {};
 };
@@ -71,14 +71,14 @@
 inline constexpr int kMisdirected = 421;
 
 // How the request id in an answer compares to the id of the request that was sent.
-enum class AnsweredId : std::uint8_t { kOurs, kNone, kAnothers };
-[[nodiscard]] AnsweredId AnsweredIdOf(std::string_view echoed, std::string_view ours);
+enum class AnswerIdMatch : std::uint8_t { kSame, kMissing, kOther };
+[[nodiscard]] AnswerIdMatch MatchAnswerId(std::string_view echoed, std::string_view ours);
 // Whether an answer belongs to our request. A duplicate answer to an earlier request may arrive
 // on a reused connection in place of the expected one; if its "not run" were taken for ours, a
 // request that is not idempotent would run twice. Backend servers may reject a request without
 // a request id; a late answer always has one.
-[[nodiscard]] inline bool IsOurs(AnsweredId id, bool not_run) {
-  return id == AnsweredId::kOurs || (id == AnsweredId::kNone && not_run);
+[[nodiscard]] inline bool BelongsToRequest(AnswerIdMatch id, bool not_run) {
+  return id == AnswerIdMatch::kSame || (id == AnswerIdMatch::kMissing && not_run);
 }
 
 namespace relay {
@@ -86,11 +86,11 @@
 // --- Events ----------------------------------------------------------------------
 
 struct Start {};
-// The result of AskPlace.
-struct Placed {
+// The result of ChooseBackend.
+struct BackendChosen {
   BackendAddress backend;
 };
-struct NoPlace {
+struct NoBackend {
   Error error;
 };
 // The head of an answer. `not_run`: the backend server states that it did not run the request.
@@ -98,7 +98,7 @@
   SendNumber send = 0;
   HttpHead head;
   bool not_run = false;
-  AnsweredId id = AnsweredId::kOurs;
+  AnswerIdMatch id = AnswerIdMatch::kSame;
 };
 struct Bytes {
   SendNumber send = 0;
@@ -109,7 +109,7 @@
 };
 // The send failed: its connection was lost or the answer was malformed. `sent` is false only
 // when no connection was established.
-struct Broke {
+struct SendFailed {
   SendNumber send = 0;
   bool sent = true;
   std::string why;
@@ -119,15 +119,15 @@
   SendNumber send = 0;
 };
 struct TimerFired {};
-struct CallerGone {};
+struct CallerDisconnected {};
 
-using Event = std::variant<Start, Placed, NoPlace, Head, Bytes, End, Broke, BackendRestarted,
-                           TimerFired, CallerGone>;
+using Event = std::variant<Start, BackendChosen, NoBackend, Head, Bytes, End, SendFailed,
+                           BackendRestarted, TimerFired, CallerDisconnected>;
 
 // --- Actions -----------------------------------------------------------------------
 
-// Chooses a backend server; the result is Placed or NoPlace, possibly at once.
-struct AskPlace {
+// Chooses a backend server; the result is BackendChosen or NoBackend, possibly at once.
+struct ChooseBackend {
   std::vector<BackendId> tried;  // excluded from the choice
   bool resumes = false;          // part of the answer was already delivered
 };
@@ -151,30 +151,30 @@
 [[nodiscard]] std::string_view ToString(SendEnd end);
 // The request no longer uses the send: close its connection if it is still open and release its
 // slot at the backend server.
-struct SendOver {
+struct CloseSend {
   SendNumber send = 0;
   BackendAddress backend;
   SendEnd end = SendEnd::kAbandoned;
   std::string why;
 };
-struct PassHead {
+struct ForwardHead {
   HttpHead head;
 };
-struct PassBytes {
+struct ForwardBytes {
   std::string bytes;
 };
 // Forwards a complete answer.
-struct PassAnswer {
+struct ForwardAnswer {
   HttpHead head;
   std::string body;
 };
 struct Finish {};
 // The final answer is an error of this entry.
-struct Refuse {
+struct SendError {
   Error error;
 };
 // The answer can't be completed: close the caller's connection.
-struct BreakOff {
+struct AbortAnswer {
   Error error;
 };
 // Sets the only timer of the request, replacing an earlier one.
@@ -182,30 +182,30 @@
   Time at{};
 };
 
-using Action = std::variant<AskPlace, Send, SendOver, PassHead, PassBytes, PassAnswer, Finish,
-                            Refuse, BreakOff, SetTimer>;
+using Action = std::variant<ChooseBackend, Send, CloseSend, ForwardHead, ForwardBytes,
+                            ForwardAnswer, Finish, SendError, AbortAnswer, SetTimer>;
 
 }  // namespace relay
 
 // Splits an event stream into complete events, records the id of the last one and detects
 // duplicates. Ids increase: an event whose id is not after the last one is a duplicate.
-class EventPieces {
+class OrderedEventSplitter {
  public:
   // Returns the events that `bytes` completes, unchanged.
   [[nodiscard]] std::string Feed(std::string_view bytes);
   // Drops an incomplete event.
-  void DropTail() {
+  void DropIncomplete() {
     incomplete_.clear();
-    repeats_ = false;
+    has_duplicate_ = false;
   }
   // A duplicate event arrived, so the data is not the continuation of the stream. Further data
-  // is ignored until DropTail; forwarded, it would appear twice in the output.
-  [[nodiscard]] bool repeats() const { return repeats_; }
+  // is ignored until DropIncomplete; forwarded, it would appear twice in the output.
+  [[nodiscard]] bool has_duplicate() const { return has_duplicate_; }
   [[nodiscard]] bool in_event() const { return !incomplete_.empty(); }
   [[nodiscard]] const std::optional<std::string>& last_id() const { return last_id_; }
   [[nodiscard]] std::uint64_t count() const { return count_; }
   // Sets the position of a stream whose earlier events were received elsewhere.
-  void GoOnAfter(std::string last_id, std::uint64_t count) {
+  void ResumeAfter(std::string last_id, std::uint64_t count) {
     last_id_ = std::move(last_id);
     count_ = count;
   }
@@ -214,10 +214,10 @@
   std::string incomplete_;
   std::optional<std::string> last_id_;
   std::uint64_t count_ = 0;
-  bool repeats_ = false;
+  bool has_duplicate_ = false;
 };
 
-class RelayRun {
+class RelayStateMachine {
  public:
   // Answers that are not event streams are buffered up to this size; a longer one is forwarded
   // as it arrives. Unit: bytes. While an answer is buffered, a lost connection can still be
@@ -230,28 +230,28 @@
   // backend server sent meanwhile has not been read yet, so the server is not silent.
   static constexpr Duration kSuspendedTimerDelay{100'000};
 
-  explicit RelayRun(RelayPlan plan);
+  explicit RelayStateMachine(RelayPlan plan);
 
   [[nodiscard]] std::vector<relay::Action> Step(Time now, const relay::Event& event);
 
   [[nodiscard]] bool finished() const { return state_ == State::kFinished; }
   [[nodiscard]] const RelayPlan& plan() const { return plan_; }
   [[nodiscard]] int backends_used() const { return backends_used_; }
-  [[nodiscard]] std::uint64_t events_passed() const { return pieces_.count(); }
+  [[nodiscard]] std::uint64_t events_forwarded() const { return splitter_.count(); }
 
  private:
   enum class State : std::uint8_t { kIdle, kChoosingBackend, kSent, kAnswering, kFinished };
 
   void On(Time now, const relay::Start& event);
-  void On(Time now, const relay::Placed& event);
-  void On(Time now, const relay::NoPlace& event);
+  void On(Time now, const relay::BackendChosen& event);
+  void On(Time now, const relay::NoBackend& event);
   void On(Time now, const relay::Head& event);
   void On(Time now, const relay::Bytes& event);
   void On(Time now, const relay::End& event);
-  void On(Time now, const relay::Broke& event);
+  void On(Time now, const relay::SendFailed& event);
   void On(Time now, const relay::BackendRestarted& event);
   void On(Time now, const relay::TimerFired& event);
-  void On(Time now, const relay::CallerGone& event);
+  void On(Time now, const relay::CallerDisconnected& event);
 
   void ChooseNextBackend(Time now);
   void EndSend(relay::SendEnd end, std::string why);
@@ -272,10 +272,10 @@
   std::size_t rejections_ = 0;
   int backends_used_ = 0;  // backend servers on which the request ran, or may have run
   Ran ran_ = Ran::kNo;
-  bool head_passed_ = false;
+  bool head_forwarded_ = false;
   HttpHead head_;
   std::string buffer_;
-  EventPieces pieces_;
+  OrderedEventSplitter splitter_;
   Time last_data_at_{};
   Time timer_at_{};
 };
--- a/src/gateway/batch_runner.cc
+++ b/src/gateway/batch_runner.cc
@@ -240,7 +240,8 @@
   const OwnedJob* job = jobs_.Owned(key.job);
   if (job == nullptr) return EndRun(key, relay::SendEnd::kAbandoned);
   const WireNames& names = tools_.names;
-  const AnsweredId id = AnsweredIdOf(head.HeaderOr(names.request_id), job->items()[key.item].id);
+  const AnswerIdMatch id =
+      MatchAnswerId(head.HeaderOr(names.request_id), job->items()[key.item].id);
   const bool not_run = !head.HeaderOr(names.not_run).empty();
   const std::string why = "status " + std::to_string(head.status);
   std::visit(Overloaded{
--- a/src/gateway/caller_door.cc
+++ b/src/gateway/caller_door.cc
@@ -115,9 +115,9 @@
   if (const auto deadline = DeadlineOf(request.HeaderOr(tools_.names.deadline_ms))) {
     patience = std::min(patience, *deadline);
   }
-  plan.limit = Loop::Now() + patience;
-  plan.first_byte_patience = route.goal * kSilentGoals;
-  plan.next_byte_patience = route.event_gap * kSilentGaps;
+  plan.deadline = Loop::Now() + patience;
+  plan.first_byte_timeout = route.goal * kSilentGoals;
+  plan.next_byte_timeout = route.event_gap * kSilentGaps;
   const std::string_view after = request.HeaderOr(tools_.names.last_event_id);
   if (!after.empty()) plan.after_event = std::string(after);
   return plan;
@@ -143,7 +143,7 @@
   if (!request.query.empty()) relayed.target += "?" + request.query;
   relayed.goal_at = Loop::Now() + route.goal;
   const Time now = Loop::Now();
-  relayed.last_chance = first_tries_.IsSecond(route.name, plan.limit - now, now);
+  relayed.last_chance = first_tries_.IsSecond(route.name, plan.deadline - now, now);
   relayed.service = ChooseShare(route, random_());
   relayed.route = route.name;
   relayed.config_version = view_->routes->version();
--- a/src/gateway/relay_call.cc
+++ b/src/gateway/relay_call.cc
@@ -50,11 +50,11 @@
 
 void RelayCall::Start() {
   reply_->OnClosed([self = shared_from_this()] {
-    self->Step(relay::CallerGone{});
+    self->Step(relay::CallerDisconnected{});
     self->Finished("caller_left", "");
   });
   if (!request_.team) return Step(relay::Start{});
-  tools_.teams.Admit(*request_.team, run_.plan().limit - started_at_,
+  tools_.teams.Admit(*request_.team, run_.plan().deadline - started_at_,
                      [self = shared_from_this()](const Result<quota::Admitted>& verdict) {
                        self->OnQuota(verdict);
                      });
@@ -63,7 +63,7 @@
 void RelayCall::OnQuota(const Result<quota::Admitted>& verdict) {
   const bool caller_left = !finished_;
   if (!IsOk(verdict)) {
-    if (!caller_left) Do(relay::Refuse{ErrorOf(verdict)});
+    if (!caller_left) Do(relay::SendError{ErrorOf(verdict)});
     return;
   }
   const auto& admitted = std::get<quota::Admitted>(verdict);
@@ -80,13 +80,13 @@
   }
 }
 
-void RelayCall::Do(const relay::AskPlace& action) {
-  if (const std::optional<Error> why = Quarantined()) return Step(relay::NoPlace{*why});
+void RelayCall::Do(const relay::ChooseBackend& action) {
+  if (const std::optional<Error> why = Quarantined()) return Step(relay::NoBackend{*why});
   const Time now = Loop::Now();
   PlaceFinder::Need need;
   need.query.service = request_.service;
   need.query.tried = action.tried;
-  need.time_left = run_.plan().limit - now;
+  need.time_left = run_.plan().deadline - now;
   need.goal_left = std::max(request_.goal_at - now, Duration{0});
   need.last_chance = request_.last_chance || action.resumes;
   search_ = tools_.finder.Find(need, [weak = weak_from_this()](Result<BackendAddress> place) {
@@ -95,10 +95,10 @@
 }
 
 void RelayCall::OnPlace(Result<BackendAddress> place) {
-  if (!IsOk(place)) return Step(relay::NoPlace{ErrorOf(place)});
+  if (!IsOk(place)) return Step(relay::NoBackend{ErrorOf(place)});
   // It may have waited for the place while others of its kind crashed backend servers.
-  if (const std::optional<Error> why = Quarantined()) return Step(relay::NoPlace{*why});
-  Step(relay::Placed{ValueOf(place)});
+  if (const std::optional<Error> why = Quarantined()) return Step(relay::NoBackend{*why});
+  Step(relay::BackendChosen{ValueOf(place)});
 }
 
 std::optional<Error> RelayCall::Quarantined() {
@@ -174,7 +174,7 @@
                    const bool not_run =
                        !head.HeaderOr(names.not_run).empty() || head.status == kMisdirected;
                    const std::string_view id = head.HeaderOr(names.request_id);
-                   const AnsweredId answered = AnsweredIdOf(id, run_.plan().request.value);
+                   const AnswerIdMatch answered = MatchAnswerId(id, run_.plan().request.value);
                    Step(relay::Head{send, std::move(head), not_run, answered});
                  },
                  [&](const HttpBytes& bytes) {
@@ -184,7 +184,7 @@
                  [&](const HttpEnd&) { Step(relay::End{send}); },
                  [&](const HttpFailure& failure) {
                    if (failure.sent) return OnConnectionLost(send, failure.why);
-                   Step(relay::Broke{send, false, failure.why});
+                   Step(relay::SendFailed{send, false, failure.why});
                  },
              },
              event);
@@ -192,7 +192,7 @@
 
 void RelayCall::OnConnectionLost(SendNumber send, std::string why) {
   tools_.crashes.Check(LostSend(), [weak = weak_from_this(), send, why = std::move(why)] {
-    if (const auto self = weak.lock()) self->Step(relay::Broke{send, true, why});
+    if (const auto self = weak.lock()) self->Step(relay::SendFailed{send, true, why});
   });
 }
 
@@ -205,7 +205,7 @@
   if (success && tools_.crashes.has_reports()) tools_.crashes.Completed(Fingerprint());
 }
 
-void RelayCall::Do(const relay::SendOver& action) {
+void RelayCall::Do(const relay::CloseSend& action) {
   if (const CancelCall cancel = std::exchange(cancel_, nullptr)) cancel();
   const Time now = Loop::Now();
   tools_.sends.Remove(open_send_);
@@ -232,16 +232,16 @@
   return response;
 }
 
-void RelayCall::Do(const relay::PassHead& action) {
+void RelayCall::Do(const relay::ForwardHead& action) {
   status_ = action.head.status;
   reply_->Begin(ResponseOf(action.head, {}));
 }
 
-void RelayCall::Do(relay::PassBytes& action) {
+void RelayCall::Do(relay::ForwardBytes& action) {
   reply_->Write(std::move(action.bytes));
 }
 
-void RelayCall::Do(relay::PassAnswer& action) {
+void RelayCall::Do(relay::ForwardAnswer& action) {
   status_ = action.head.status;
   reply_->Send(ResponseOf(std::move(action.head), std::move(action.body)));
   OnWholeAnswer(status_);
@@ -254,7 +254,7 @@
   Finished("answered", "");
 }
 
-void RelayCall::Do(const relay::Refuse& action) {
+void RelayCall::Do(const relay::SendError& action) {
   if (charged_ && action.error.ran == Ran::kNo) tools_.teams.GiveBack(*request_.team, *charged_);
   HttpResponse response = RefusalOf(action.error);
   response.close = tools_.leaving;
@@ -266,7 +266,7 @@
   Finished("refused", action.error.detail);
 }
 
-void RelayCall::Do(const relay::BreakOff& action) {
+void RelayCall::Do(const relay::AbortAnswer& action) {
   reply_->Abort();
   Finished("broken_off", action.error.detail);
 }
@@ -307,7 +307,7 @@
        {"status", std::to_string(status_)},
        {"backend", sent_to_.id.value},
        {"backends", std::to_string(run_.backends_used())},
-       {"events", std::to_string(run_.events_passed())},
+       {"events", std::to_string(run_.events_forwarded())},
        {"first_ms", first.count() == 0 ? "" : Milliseconds(first)},
        {"ms", Milliseconds(now - started_at_)},
        {"retry_after_ms", retry_after_.count() == 0 ? "" : Milliseconds(retry_after_)},
--- a/src/gateway/relay_call.h
+++ b/src/gateway/relay_call.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Carries out what a RelayRun decides: calls the backend server, answers the caller.
+// Carries out what a RelayStateMachine decides: calls the backend server, answers the caller.
 
 #include <functional>
 #include <memory>
@@ -64,15 +64,15 @@
   void Step(const relay::Event& event);
   // Its team has a request left, or none.
   void OnQuota(const Result<quota::Admitted>& verdict);
-  void Do(const relay::AskPlace& action);
+  void Do(const relay::ChooseBackend& action);
   void Do(const relay::Send& action);
-  void Do(const relay::SendOver& action);
-  void Do(const relay::PassHead& action);
-  void Do(relay::PassBytes& action);
-  void Do(relay::PassAnswer& action);
+  void Do(const relay::CloseSend& action);
+  void Do(const relay::ForwardHead& action);
+  void Do(relay::ForwardBytes& action);
+  void Do(relay::ForwardAnswer& action);
   void Do(const relay::Finish& action);
-  void Do(const relay::Refuse& action);
-  void Do(const relay::BreakOff& action);
+  void Do(const relay::SendError& action);
+  void Do(const relay::AbortAnswer& action);
   void Do(const relay::SetTimer& action);
   void OnHttp(SendNumber send, HttpEvent event);
   void BeginSend(const relay::Send& action);
@@ -91,7 +91,7 @@
   void ArmTimer();
 
   RelayTools& tools_;
-  RelayRun run_;
+  RelayStateMachine run_;
   RelayedRequest request_;
   std::shared_ptr<HttpReply> reply_;
   std::function<void()> finished_;
--- a/src/items/answers.cc
+++ b/src/items/answers.cc
@@ -11,7 +11,7 @@
 
 ItemAnswer ItemAnswerOf(const ItemAnswerHead& head) {
   const bool not_run = head.not_run || head.status == kMisdirected;
-  if (!IsOurs(head.id, not_run)) return item_answer::Stray{};
+  if (!BelongsToRequest(head.id, not_run)) return item_answer::Stray{};
   if (not_run) return item_answer::NotRun{head.status == kMisdirected};
   if (head.status == kOk) return item_answer::Output{};
   if (head.status == kUnprocessable) return item_answer::Impossible{};
--- a/src/items/item_text.cc
+++ b/src/items/item_text.cc
@@ -42,7 +42,7 @@
   ++next_piece_;
   text_ += piece.text;
   kept_ = text_.size();
-  pieces_.GoOnAfter(piece.last_id, piece.events);
+  pieces_.ResumeAfter(piece.last_id, piece.events);
 }
 
 void ItemText::Feed(std::string_view bytes) {
--- a/src/relay/event_pieces.cc
+++ b/src/relay/ordered_event_splitter.cc
@@ -54,15 +54,15 @@
 
 }  // namespace
 
-std::string EventPieces::Feed(std::string_view bytes) {
-  if (repeats_) return {};
+std::string OrderedEventSplitter::Feed(std::string_view bytes) {
+  if (has_duplicate_) return {};
   incomplete_.append(bytes);
   std::size_t whole = 0;
   for (std::size_t end = EndOfEvent(incomplete_, 0); end != std::string_view::npos;
        end = EndOfEvent(incomplete_, whole)) {
     auto id = IdOf(std::string_view(incomplete_).substr(whole, end - whole));
     if (id && last_id_ && !IsAfter(*id, *last_id_)) {
-      repeats_ = true;
+      has_duplicate_ = true;
       break;
     }
     if (id) last_id_ = std::move(id);
--- a/src/relay/relay_run.cc
+++ b/src/relay/relay_state_machine.cc
@@ -14,9 +14,9 @@
 
 }  // namespace
 
-AnsweredId AnsweredIdOf(std::string_view echoed, std::string_view ours) {
-  if (echoed == ours) return AnsweredId::kOurs;
-  return echoed.empty() ? AnsweredId::kNone : AnsweredId::kAnothers;
+AnswerIdMatch MatchAnswerId(std::string_view echoed, std::string_view ours) {
+  if (echoed == ours) return AnswerIdMatch::kSame;
+  return echoed.empty() ? AnswerIdMatch::kMissing : AnswerIdMatch::kOther;
 }
 
 std::string_view relay::ToString(SendEnd end) {
@@ -41,45 +41,45 @@
   return "unknown";
 }
 
-RelayRun::RelayRun(RelayPlan plan) : plan_(std::move(plan)) {
-  if (plan_.resumable && plan_.after_event) pieces_.GoOnAfter(*plan_.after_event, 0);
+RelayStateMachine::RelayStateMachine(RelayPlan plan) : plan_(std::move(plan)) {
+  if (plan_.resumable && plan_.after_event) splitter_.ResumeAfter(*plan_.after_event, 0);
 }
 
-std::vector<relay::Action> RelayRun::Step(Time now, const relay::Event& event) {
+std::vector<relay::Action> RelayStateMachine::Step(Time now, const relay::Event& event) {
   if (finished()) return {};
   std::visit([this, now](const auto& e) { On(now, e); }, event);
   return std::exchange(actions_, {});
 }
 
-bool RelayRun::IsCurrent(SendNumber send) const {
+bool RelayStateMachine::IsCurrent(SendNumber send) const {
   return send == send_ && (state_ == State::kSent || state_ == State::kAnswering);
 }
 
-void RelayRun::On(Time now, const relay::Start& /*event*/) {
+void RelayStateMachine::On(Time now, const relay::Start& /*event*/) {
   assert(state_ == State::kIdle);
   ChooseNextBackend(now);
 }
 
-void RelayRun::ChooseNextBackend(Time now) {
+void RelayStateMachine::ChooseNextBackend(Time now) {
   state_ = State::kChoosingBackend;
   ArmTimer(now);
-  actions_.emplace_back(relay::AskPlace{tried_, head_passed_});
+  actions_.emplace_back(relay::ChooseBackend{tried_, head_forwarded_});
 }
 
-void RelayRun::On(Time now, const relay::Placed& event) {
+void RelayStateMachine::On(Time now, const relay::BackendChosen& event) {
   if (state_ != State::kChoosingBackend) return;
   backend_ = event.backend;
   tried_.push_back(backend_.id);
   state_ = State::kSent;
   last_data_at_ = now;
-  std::optional<std::string> after = pieces_.last_id();
+  std::optional<std::string> after = splitter_.last_id();
   if (!after) after = plan_.after_event;
-  const Duration left = std::max(plan_.limit - now, Duration{0});
+  const Duration left = std::max(plan_.deadline - now, Duration{0});
   actions_.emplace_back(relay::Send{++send_, backend_, std::move(after), left});
   ArmTimer(now);
 }
 
-void RelayRun::On(Time /*now*/, const relay::NoPlace& event) {
+void RelayStateMachine::On(Time /*now*/, const relay::NoBackend& event) {
   if (state_ != State::kChoosingBackend) return;
   Error error = event.error;
   error.ran = ran_;
@@ -87,9 +87,9 @@
   FinishWithError(std::move(error));
 }
 
-void RelayRun::On(Time now, const relay::Head& event) {
+void RelayStateMachine::On(Time now, const relay::Head& event) {
   if (!IsCurrent(event.send) || state_ != State::kSent) return;
-  if (!IsOurs(event.id, event.not_run)) {
+  if (!BelongsToRequest(event.id, event.not_run)) {
     return SendToNextBackend(now, relay::SendEnd::kBroken, "received an answer to another request",
                              Ran::kUnknown);
   }
@@ -105,16 +105,16 @@
   state_ = State::kAnswering;
   ran_ = Ran::kYes;
   head_ = event.head;
-  if (plan_.stream && IsSuccess(head_.status) && !head_passed_) {
-    head_passed_ = true;
-    actions_.emplace_back(relay::PassHead{head_});
+  if (plan_.stream && IsSuccess(head_.status) && !head_forwarded_) {
+    head_forwarded_ = true;
+    actions_.emplace_back(relay::ForwardHead{head_});
   }
   ArmTimer(now);
 }
 
 // The backend server failed after it started the request. Another one may succeed.
-void RelayRun::OnFailedAnswer(Time now, const relay::Head& event) {
-  if (MayResend(Ran::kYes) || head_passed_) {
+void RelayStateMachine::OnFailedAnswer(Time now, const relay::Head& event) {
+  if (MayResend(Ran::kYes) || head_forwarded_) {
     return SendToNextBackend(now, relay::SendEnd::kFailed,
                              "status " + std::to_string(event.head.status), Ran::kYes);
   }
@@ -123,45 +123,45 @@
   head_ = event.head;
 }
 
-void RelayRun::On(Time now, const relay::Bytes& event) {
+void RelayStateMachine::On(Time now, const relay::Bytes& event) {
   if (!IsCurrent(event.send) || state_ != State::kAnswering) return;
   last_data_at_ = now;  // the timer compares against this when it fires, which is cheaper than a
                         // new timer for each read
   if (plan_.stream && IsSuccess(head_.status)) {
-    std::string events = pieces_.Feed(event.bytes);
-    if (!events.empty()) actions_.emplace_back(relay::PassBytes{std::move(events)});
-    if (!pieces_.repeats()) return;
+    std::string events = splitter_.Feed(event.bytes);
+    if (!events.empty()) actions_.emplace_back(relay::ForwardBytes{std::move(events)});
+    if (!splitter_.has_duplicate()) return;
     return SendToNextBackend(now, relay::SendEnd::kBroken, "received a duplicate event",
                              Ran::kUnknown);
   }
-  if (head_passed_) {
-    actions_.emplace_back(relay::PassBytes{std::string(event.bytes)});
+  if (head_forwarded_) {
+    actions_.emplace_back(relay::ForwardBytes{std::string(event.bytes)});
     return;
   }
   buffer_.append(event.bytes);
   if (buffer_.size() <= kMaxBufferedBytes) return;
-  head_passed_ = true;
-  actions_.emplace_back(relay::PassHead{head_});
-  actions_.emplace_back(relay::PassBytes{std::exchange(buffer_, {})});
+  head_forwarded_ = true;
+  actions_.emplace_back(relay::ForwardHead{head_});
+  actions_.emplace_back(relay::ForwardBytes{std::exchange(buffer_, {})});
 }
 
-void RelayRun::On(Time now, const relay::End& event) {
+void RelayStateMachine::On(Time now, const relay::End& event) {
   if (!IsCurrent(event.send)) return;
-  if (state_ != State::kAnswering || pieces_.in_event()) {
+  if (state_ != State::kAnswering || splitter_.in_event()) {
     return SendToNextBackend(now, relay::SendEnd::kBroken, "the answer ended early", Ran::kUnknown);
   }
   const bool failed = head_.status >= kFirstErrorStatus;
   EndSend(failed ? relay::SendEnd::kFailed : relay::SendEnd::kAnswered,
           "status " + std::to_string(head_.status));
   state_ = State::kFinished;
-  if (head_passed_) {
+  if (head_forwarded_) {
     actions_.emplace_back(relay::Finish{});
   } else {
-    actions_.emplace_back(relay::PassAnswer{std::move(head_), std::move(buffer_)});
+    actions_.emplace_back(relay::ForwardAnswer{std::move(head_), std::move(buffer_)});
   }
 }
 
-void RelayRun::On(Time now, const relay::Broke& event) {
+void RelayStateMachine::On(Time now, const relay::SendFailed& event) {
   if (!IsCurrent(event.send)) return;
   if (!event.sent) return SendToNextBackend(now, relay::SendEnd::kUnreachable, event.why, Ran::kNo);
   SendToNextBackend(now, relay::SendEnd::kBroken, event.why, Ran::kUnknown);
@@ -170,19 +170,19 @@
 // Whether the request ran is unknown: it may have run in the incarnation that has ended, or in
 // the new one with the same id if it arrived after the restart. The new incarnation may be
 // tried like any other backend server.
-void RelayRun::On(Time now, const relay::BackendRestarted& event) {
+void RelayStateMachine::On(Time now, const relay::BackendRestarted& event) {
   if (!IsCurrent(event.send)) return;
   std::erase(tried_, backend_.id);
   SendToNextBackend(now, relay::SendEnd::kBroken, "the backend server has started again",
                     Ran::kUnknown);
 }
 
-void RelayRun::On(Time now, const relay::TimerFired& /*event*/) {
-  if (now >= plan_.limit) return OnDeadline();
+void RelayStateMachine::On(Time now, const relay::TimerFired& /*event*/) {
+  if (now >= plan_.deadline) return OnDeadline();
   if (state_ != State::kSent && state_ != State::kAnswering) return;
   if (now - timer_at_ >= kSuspendedTimerDelay) last_data_at_ = now;
   const Duration silence_timeout =
-      state_ == State::kSent ? plan_.first_byte_patience : plan_.next_byte_patience;
+      state_ == State::kSent ? plan_.first_byte_timeout : plan_.next_byte_timeout;
   const bool silent = silence_timeout.count() > 0 && now - last_data_at_ >= silence_timeout;
   if (silent && MayResend(Ran::kUnknown)) {
     return SendToNextBackend(now, relay::SendEnd::kSilent, "no data within the silence timeout",
@@ -191,7 +191,7 @@
   ArmTimer(now);
 }
 
-void RelayRun::OnDeadline() {
+void RelayStateMachine::OnDeadline() {
   const bool send_open = state_ == State::kSent || state_ == State::kAnswering;
   if (send_open) {
     EndSend(relay::SendEnd::kAbandoned, "the deadline passed");
@@ -204,29 +204,29 @@
   FinishWithError({ErrorKind::kDeadlineExceeded, "no complete answer before the deadline", ran_});
 }
 
-void RelayRun::On(Time /*now*/, const relay::CallerGone& /*event*/) {
+void RelayStateMachine::On(Time /*now*/, const relay::CallerDisconnected& /*event*/) {
   if (state_ == State::kSent || state_ == State::kAnswering) {
     EndSend(relay::SendEnd::kAbandoned, "the caller disconnected");
   }
   state_ = State::kFinished;
 }
 
-void RelayRun::EndSend(relay::SendEnd end, std::string why) {
-  actions_.emplace_back(relay::SendOver{send_, backend_, end, std::move(why)});
+void RelayStateMachine::EndSend(relay::SendEnd end, std::string why) {
+  actions_.emplace_back(relay::CloseSend{send_, backend_, end, std::move(why)});
 }
 
 // `ran`: whether the request ran, as shown by the end of the last send.
-bool RelayRun::MayResend(Ran ran) const {
+bool RelayStateMachine::MayResend(Ran ran) const {
   if (ran == Ran::kNo) return rejections_ < kMaxRejections;
   if (!plan_.idempotent) return false;
-  if (head_passed_ && !(plan_.stream && plan_.resumable)) return false;
+  if (head_forwarded_ && !(plan_.stream && plan_.resumable)) return false;
   return backends_used_ + 1 < plan_.max_backends;
 }
 
-void RelayRun::SendToNextBackend(Time now, relay::SendEnd end, std::string why, Ran ran) {
-  const bool again = MayResend(ran) && now < plan_.limit;
+void RelayStateMachine::SendToNextBackend(Time now, relay::SendEnd end, std::string why, Ran ran) {
+  const bool again = MayResend(ran) && now < plan_.deadline;
   EndSend(end, why);
-  pieces_.DropTail();
+  splitter_.DropIncomplete();
   buffer_.clear();
   if (ran != Ran::kNo) {
     ++backends_used_;
@@ -243,20 +243,20 @@
        std::move(why), ran_});
 }
 
-void RelayRun::FinishWithError(Error error) {
+void RelayStateMachine::FinishWithError(Error error) {
   state_ = State::kFinished;
-  if (head_passed_) {
-    actions_.emplace_back(relay::BreakOff{std::move(error)});
+  if (head_forwarded_) {
+    actions_.emplace_back(relay::AbortAnswer{std::move(error)});
   } else {
-    actions_.emplace_back(relay::Refuse{std::move(error)});
+    actions_.emplace_back(relay::SendError{std::move(error)});
   }
 }
 
-void RelayRun::ArmTimer(Time now) {
-  Time at = plan_.limit;
+void RelayStateMachine::ArmTimer(Time now) {
+  Time at = plan_.deadline;
   Duration silence_timeout{0};
-  if (state_ == State::kSent) silence_timeout = plan_.first_byte_patience;
-  if (state_ == State::kAnswering) silence_timeout = plan_.next_byte_patience;
+  if (state_ == State::kSent) silence_timeout = plan_.first_byte_timeout;
+  if (state_ == State::kAnswering) silence_timeout = plan_.next_byte_timeout;
   if (silence_timeout.count() > 0 && MayResend(Ran::kUnknown))
     at = std::min(at, last_data_at_ + silence_timeout);
   timer_at_ = std::max(at, now);
--- a/test/items-test.cc
+++ b/test/items-test.cc
@@ -127,7 +127,7 @@
 
 TEST_CASE("what an answer says of an item") {
   const auto says = [](int status, bool not_run = false) {
-    return ItemAnswerOf({status, not_run, AnsweredId::kOurs});
+    return ItemAnswerOf({status, not_run, AnswerIdMatch::kSame});
   };
   CHECK(Is<item_answer::Output>(says(200)));
   CHECK(Is<item_answer::NotRun>(says(503, /*not_run=*/true)));
@@ -136,19 +136,19 @@
   CHECK(std::get<item_answer::Failed>(says(500)).counts);
   CHECK_FALSE(std::get<item_answer::Failed>(says(504)).counts);
   // Refusals need not name the request.
-  CHECK(Is<item_answer::NotRun>(ItemAnswerOf({503, true, AnsweredId::kNone})));
-  CHECK(Is<item_answer::NotRun>(ItemAnswerOf({421, false, AnsweredId::kNone})));
+  CHECK(Is<item_answer::NotRun>(ItemAnswerOf({503, true, AnswerIdMatch::kMissing})));
+  CHECK(Is<item_answer::NotRun>(ItemAnswerOf({421, false, AnswerIdMatch::kMissing})));
 }
 
 // Symptom: an item ends as impossible that could have been done.
 // Sequence: a backend server answers twice, and its second answer, to another item, comes
 // where this item's answer is due. One that says "not run" would have the item run twice.
 TEST_CASE("an answer to another request says nothing of the item") {
-  CHECK(Is<item_answer::Stray>(ItemAnswerOf({503, true, AnsweredId::kAnothers})));
-  CHECK(Is<item_answer::Stray>(ItemAnswerOf({421, false, AnsweredId::kAnothers})));
+  CHECK(Is<item_answer::Stray>(ItemAnswerOf({503, true, AnswerIdMatch::kOther})));
+  CHECK(Is<item_answer::Stray>(ItemAnswerOf({421, false, AnswerIdMatch::kOther})));
   for (const int status : {200, 422, 500}) {
-    CHECK(Is<item_answer::Stray>(ItemAnswerOf({status, false, AnsweredId::kNone})));
-    CHECK(Is<item_answer::Stray>(ItemAnswerOf({status, false, AnsweredId::kAnothers})));
+    CHECK(Is<item_answer::Stray>(ItemAnswerOf({status, false, AnswerIdMatch::kMissing})));
+    CHECK(Is<item_answer::Stray>(ItemAnswerOf({status, false, AnswerIdMatch::kOther})));
   }
 }
 
--- a/test/place-sim.h
+++ b/test/place-sim.h
@@ -366,7 +366,8 @@
       if (engine.gone) {
         entries_[e]->book.Ended(place, relay::SendEnd::kUnreachable, {}, now_);
         Report(e, keeper_of_.at(id));
-        if (tried.size() >= RelayRun::kMaxRejections) return OnRefused(e, attempt, Duration{0});
+        if (tried.size() >= RelayStateMachine::kMaxRejections)
+          return OnRefused(e, attempt, Duration{0});
         return Place(e, attempt, tried);
       }
       engine.waiting.push_back({e, attempt, place});
--- a/test/relay-run-test.cc
+++ b/test/relay-run-test.cc
@@ -32,20 +32,20 @@
 struct Sent {
   explicit Sent(RelayPlan plan) : run(std::move(plan)) {
     (void)run.Step(kStart, relay::Start{});
-    actions = run.Step(kStart, relay::Placed{Backend("a")});
+    actions = run.Step(kStart, relay::BackendChosen{Backend("a")});
   }
   std::vector<relay::Action>& Step(const relay::Event& event, Time now = kStart) {
     actions = run.Step(now, event);
     return actions;
   }
-  RelayRun run;
+  RelayStateMachine run;
   std::vector<relay::Action> actions;
 };
 
 RelayPlan Plan() {
   RelayPlan plan;
   plan.request = RequestId{"r"};
-  plan.limit = kStart + Duration{5'000'000};
+  plan.deadline = kStart + Duration{5'000'000};
   plan.max_backends = 2;
   return plan;
 }
@@ -71,7 +71,7 @@
   sent.Step(relay::Bytes{1, "ab"});
   sent.Step(relay::Bytes{1, "c"});
   sent.Step(relay::End{1});
-  const auto* answer = Last<relay::PassAnswer>(sent.actions);
+  const auto* answer = Last<relay::ForwardAnswer>(sent.actions);
   REQUIRE(answer != nullptr);
   CHECK(answer->body == "abc");
   CHECK(answer->head.HeaderOr("Stamp") == "s");
@@ -83,8 +83,8 @@
 // proves that it did not run.
 TEST_CASE("a request that is not idempotent is not resent after its connection is lost") {
   Sent sent(Plan());
-  sent.Step(relay::Broke{1, true, "reset"});
-  const auto* refusal = Last<relay::Refuse>(sent.actions);
+  sent.Step(relay::SendFailed{1, true, "reset"});
+  const auto* refusal = Last<relay::SendError>(sent.actions);
   REQUIRE(refusal != nullptr);
   CHECK(refusal->error.ran == Ran::kUnknown);
   CHECK(RowOf(refusal->error.kind).http_status == 502);
@@ -94,23 +94,23 @@
   SUBCASE("the backend server answers that it did not run it") {
     Sent sent(Plan());
     sent.Step(relay::Head{1, Answer(503), /*not_run=*/true});
-    REQUIRE(Last<relay::AskPlace>(sent.actions) != nullptr);
-    CHECK(Last<relay::AskPlace>(sent.actions)->tried.front().value == "a");
+    REQUIRE(Last<relay::ChooseBackend>(sent.actions) != nullptr);
+    CHECK(Last<relay::ChooseBackend>(sent.actions)->tried.front().value == "a");
   }
   SUBCASE("no connection was established") {
     Sent sent(Plan());
-    sent.Step(relay::Broke{1, false, "refused"});
-    CHECK(Last<relay::AskPlace>(sent.actions) != nullptr);
+    sent.Step(relay::SendFailed{1, false, "refused"});
+    CHECK(Last<relay::ChooseBackend>(sent.actions) != nullptr);
     CHECK(sent.run.backends_used() == 0);
   }
 }
 
 TEST_CASE("the error says \"not run\" only when no send can have run") {
   Sent sent(IdempotentPlan());
-  sent.Step(relay::Broke{1, true, "reset"});
-  REQUIRE(Last<relay::AskPlace>(sent.actions) != nullptr);
-  sent.Step(relay::NoPlace{{ErrorKind::kOverloaded, "full", Ran::kNo}});
-  const auto* refusal = Last<relay::Refuse>(sent.actions);
+  sent.Step(relay::SendFailed{1, true, "reset"});
+  REQUIRE(Last<relay::ChooseBackend>(sent.actions) != nullptr);
+  sent.Step(relay::NoBackend{{ErrorKind::kOverloaded, "full", Ran::kNo}});
+  const auto* refusal = Last<relay::SendError>(sent.actions);
   REQUIRE(refusal != nullptr);
   CHECK(refusal->error.ran != Ran::kNo);
   CHECK_FALSE(RowOf(refusal->error.kind).retry_may_help);
@@ -118,10 +118,10 @@
 
 TEST_CASE("an idempotent request runs on no more backend servers than its route allows") {
   Sent sent(IdempotentPlan());
-  sent.Step(relay::Broke{1, true, "reset"});
-  sent.Step(relay::Placed{Backend("b")});
-  sent.Step(relay::Broke{2, true, "reset"});
-  CHECK(Last<relay::Refuse>(sent.actions) != nullptr);
+  sent.Step(relay::SendFailed{1, true, "reset"});
+  sent.Step(relay::BackendChosen{Backend("b")});
+  sent.Step(relay::SendFailed{2, true, "reset"});
+  CHECK(Last<relay::SendError>(sent.actions) != nullptr);
 }
 
 // Guards against a caller that gets another caller's answer: the answer to an earlier request
@@ -129,9 +129,9 @@
 // answer.
 TEST_CASE("an answer to another request is not forwarded") {
   Sent sent(IdempotentPlan());
-  sent.Step(relay::Head{1, Answer(200), false, AnsweredId::kAnothers});
-  CHECK(Last<relay::PassHead>(sent.actions) == nullptr);
-  CHECK(Last<relay::AskPlace>(sent.actions) != nullptr);
+  sent.Step(relay::Head{1, Answer(200), false, AnswerIdMatch::kOther});
+  CHECK(Last<relay::ForwardHead>(sent.actions) == nullptr);
+  CHECK(Last<relay::ChooseBackend>(sent.actions) != nullptr);
 }
 
 // Guards against a request that is not idempotent and runs at two backend servers: a late
@@ -139,20 +139,20 @@
 // although it names the earlier request.
 TEST_CASE("\"not run\" in an answer to another request is not applied to this one") {
   Sent sent(Plan());
-  sent.Step(relay::Head{1, Answer(503), /*not_run=*/true, AnsweredIdOf("earlier", "r")});
-  CHECK(Last<relay::AskPlace>(sent.actions) == nullptr);
-  REQUIRE(Last<relay::Refuse>(sent.actions) != nullptr);
-  CHECK(Last<relay::Refuse>(sent.actions)->error.ran == Ran::kUnknown);
+  sent.Step(relay::Head{1, Answer(503), /*not_run=*/true, MatchAnswerId("earlier", "r")});
+  CHECK(Last<relay::ChooseBackend>(sent.actions) == nullptr);
+  REQUIRE(Last<relay::SendError>(sent.actions) != nullptr);
+  CHECK(Last<relay::SendError>(sent.actions)->error.ran == Ran::kUnknown);
 }
 
 TEST_CASE("a rejection without a request id is accepted, any other answer without one is not") {
   Sent refused(Plan());
-  refused.Step(relay::Head{1, Answer(503), /*not_run=*/true, AnsweredIdOf("", "r")});
-  CHECK(Last<relay::AskPlace>(refused.actions) != nullptr);
+  refused.Step(relay::Head{1, Answer(503), /*not_run=*/true, MatchAnswerId("", "r")});
+  CHECK(Last<relay::ChooseBackend>(refused.actions) != nullptr);
   Sent answered(Plan());
-  answered.Step(relay::Head{1, Answer(200), /*not_run=*/false, AnsweredIdOf("", "r")});
-  CHECK(Last<relay::Refuse>(answered.actions) != nullptr);
-  CHECK(AnsweredIdOf("r", "r") == AnsweredId::kOurs);
+  answered.Step(relay::Head{1, Answer(200), /*not_run=*/false, MatchAnswerId("", "r")});
+  CHECK(Last<relay::SendError>(answered.actions) != nullptr);
+  CHECK(MatchAnswerId("r", "r") == AnswerIdMatch::kSame);
 }
 
 // Guards against a duplicate or incomplete event in a stream: the first backend server's
@@ -161,15 +161,15 @@
   Sent sent(ResumablePlan());
   sent.Step(relay::Head{1, Answer(200)});
   sent.Step(relay::Bytes{1, "id: 1\ndata: x\n\nid: 2\nda"});
-  CHECK(Last<relay::PassBytes>(sent.actions)->bytes == "id: 1\ndata: x\n\n");
-  sent.Step(relay::Broke{1, true, "reset"});
-  REQUIRE(Last<relay::AskPlace>(sent.actions) != nullptr);
-  sent.Step(relay::Placed{Backend("b")});
+  CHECK(Last<relay::ForwardBytes>(sent.actions)->bytes == "id: 1\ndata: x\n\n");
+  sent.Step(relay::SendFailed{1, true, "reset"});
+  REQUIRE(Last<relay::ChooseBackend>(sent.actions) != nullptr);
+  sent.Step(relay::BackendChosen{Backend("b")});
   CHECK(Last<relay::Send>(sent.actions)->after_event == "1");
   sent.Step(relay::Head{2, Answer(200)});
-  CHECK(Last<relay::PassHead>(sent.actions) == nullptr);
+  CHECK(Last<relay::ForwardHead>(sent.actions) == nullptr);
   sent.Step(relay::Bytes{2, "id: 2\ndata: y\n\n"});
-  CHECK(Last<relay::PassBytes>(sent.actions)->bytes == "id: 2\ndata: y\n\n");
+  CHECK(Last<relay::ForwardBytes>(sent.actions)->bytes == "id: 2\ndata: y\n\n");
   sent.Step(relay::End{2});
   CHECK(Last<relay::Finish>(sent.actions) != nullptr);
 }
@@ -182,8 +182,8 @@
   Sent sent(ResumablePlan());
   sent.Step(relay::Head{1, Answer(200)});
   sent.Step(relay::Bytes{1, "id: 9\ndata: x\n\nid: 10\ndata: y\n\nid: 11\nda"});
-  sent.Step(relay::Broke{1, true, "reset"});
-  sent.Step(relay::Placed{Backend("b")});
+  sent.Step(relay::SendFailed{1, true, "reset"});
+  sent.Step(relay::BackendChosen{Backend("b")});
   sent.Step(relay::Head{2, Answer(200)});
   std::string passed;
   SUBCASE("from the first event on") {
@@ -193,12 +193,12 @@
     sent.Step(relay::Bytes{2, "id: 11\ndata: z\n\nid: 2\ndata: x\n\nid: 12\ndata: y\n\n"});
     passed = "id: 11\ndata: z\n\n";
   }
-  const auto* bytes = Last<relay::PassBytes>(sent.actions);
+  const auto* bytes = Last<relay::ForwardBytes>(sent.actions);
   CHECK((bytes == nullptr ? "" : bytes->bytes) == passed);
-  REQUIRE(Last<relay::SendOver>(sent.actions) != nullptr);
-  CHECK(Last<relay::SendOver>(sent.actions)->end == relay::SendEnd::kBroken);
+  REQUIRE(Last<relay::CloseSend>(sent.actions) != nullptr);
+  CHECK(Last<relay::CloseSend>(sent.actions)->end == relay::SendEnd::kBroken);
   // It has run at two backend servers, which is the maximum.
-  CHECK(Last<relay::BreakOff>(sent.actions) != nullptr);
+  CHECK(Last<relay::AbortAnswer>(sent.actions) != nullptr);
 }
 
 TEST_CASE("a caller that resumes a stream gets no event again") {
@@ -208,21 +208,21 @@
   CHECK(Last<relay::Send>(sent.actions)->after_event == "3");
   sent.Step(relay::Head{1, Answer(200)});
   sent.Step(relay::Bytes{1, "id: 3\ndata: x\n\n"});
-  CHECK(Last<relay::PassBytes>(sent.actions) == nullptr);
-  CHECK(Last<relay::AskPlace>(sent.actions) != nullptr);
+  CHECK(Last<relay::ForwardBytes>(sent.actions) == nullptr);
+  CHECK(Last<relay::ChooseBackend>(sent.actions) != nullptr);
 }
 
 TEST_CASE(
     "event ids that are not numbers are compared for equality, and events without an id are "
     "accepted") {
-  EventPieces pieces;
+  OrderedEventSplitter splitter;
   const std::string fresh = "id: b\ndata: x\n\ndata: y\n\nid: a\ndata: z\n\n";
-  CHECK(pieces.Feed(fresh) == fresh);
-  CHECK(pieces.Feed("id: a\ndata: z\n\n").empty());
-  CHECK(pieces.repeats());
-  pieces.DropTail();
-  CHECK_FALSE(pieces.repeats());
-  CHECK(pieces.last_id() == "a");
+  CHECK(splitter.Feed(fresh) == fresh);
+  CHECK(splitter.Feed("id: a\ndata: z\n\n").empty());
+  CHECK(splitter.has_duplicate());
+  splitter.DropIncomplete();
+  CHECK_FALSE(splitter.has_duplicate());
+  CHECK(splitter.last_id() == "a");
 }
 
 TEST_CASE("a stream that can't be resumed is aborted, not ended normally") {
@@ -231,8 +231,8 @@
   Sent sent(plan);
   sent.Step(relay::Head{1, Answer(200)});
   sent.Step(relay::Bytes{1, "id: 1\ndata: x\n\n"});
-  sent.Step(relay::Broke{1, true, "reset"});
-  CHECK(Last<relay::BreakOff>(sent.actions) != nullptr);
+  sent.Step(relay::SendFailed{1, true, "reset"});
+  CHECK(Last<relay::AbortAnswer>(sent.actions) != nullptr);
   CHECK(Last<relay::Finish>(sent.actions) == nullptr);
 }
 
@@ -243,45 +243,45 @@
   sent.Step(relay::Head{1, Answer(200)});
   sent.Step(relay::Bytes{1, "id: 1\nda"});
   sent.Step(relay::End{1});
-  CHECK(Last<relay::BreakOff>(sent.actions) != nullptr);
+  CHECK(Last<relay::AbortAnswer>(sent.actions) != nullptr);
 }
 
 TEST_CASE("the final answer comes at the deadline with the known run state") {
   SUBCASE("never sent") {
-    RelayRun run(Plan());
+    RelayStateMachine run(Plan());
     (void)run.Step(kStart, relay::Start{});
-    const auto actions = run.Step(Plan().limit, relay::TimerFired{});
-    REQUIRE(Last<relay::Refuse>(actions) != nullptr);
-    CHECK(Last<relay::Refuse>(actions)->error.ran == Ran::kNo);
+    const auto actions = run.Step(Plan().deadline, relay::TimerFired{});
+    REQUIRE(Last<relay::SendError>(actions) != nullptr);
+    CHECK(Last<relay::SendError>(actions)->error.ran == Ran::kNo);
   }
   SUBCASE("sent") {
     Sent sent(Plan());
-    sent.Step(relay::TimerFired{}, Plan().limit);
-    REQUIRE(Last<relay::Refuse>(sent.actions) != nullptr);
-    CHECK(Last<relay::Refuse>(sent.actions)->error.ran == Ran::kUnknown);
-    CHECK(Last<relay::SendOver>(sent.actions) != nullptr);
+    sent.Step(relay::TimerFired{}, Plan().deadline);
+    REQUIRE(Last<relay::SendError>(sent.actions) != nullptr);
+    CHECK(Last<relay::SendError>(sent.actions)->error.ran == Ran::kUnknown);
+    CHECK(Last<relay::CloseSend>(sent.actions) != nullptr);
   }
 }
 
 TEST_CASE("a caller that disconnects ends the send at once") {
   Sent sent(Plan());
-  sent.Step(relay::CallerGone{});
-  CHECK(Last<relay::SendOver>(sent.actions)->end == relay::SendEnd::kAbandoned);
+  sent.Step(relay::CallerDisconnected{});
+  CHECK(Last<relay::CloseSend>(sent.actions)->end == relay::SendEnd::kAbandoned);
   CHECK(sent.run.finished());
   CHECK(sent.Step(relay::Head{1, Answer(200)}).empty());
 }
 
 TEST_CASE("a silent backend server is replaced only for idempotent requests") {
   RelayPlan plan = ResumablePlan();
-  plan.first_byte_patience = Duration{200'000};
+  plan.first_byte_timeout = Duration{200'000};
   Sent sent(plan);
   sent.Step(relay::TimerFired{}, kStart + Duration{200'000});
-  CHECK(Last<relay::SendOver>(sent.actions)->end == relay::SendEnd::kSilent);
-  CHECK(Last<relay::AskPlace>(sent.actions) != nullptr);
+  CHECK(Last<relay::CloseSend>(sent.actions)->end == relay::SendEnd::kSilent);
+  CHECK(Last<relay::ChooseBackend>(sent.actions) != nullptr);
   plan.idempotent = false;
   Sent once(plan);
   once.Step(relay::TimerFired{}, kStart + Duration{200'000});
-  CHECK(Last<relay::SendOver>(once.actions) == nullptr);
+  CHECK(Last<relay::CloseSend>(once.actions) == nullptr);
 }
 
 TEST_CASE("an error answer of the last backend server is forwarded unchanged") {
@@ -289,8 +289,8 @@
   sent.Step(relay::Head{1, Answer(500)});
   sent.Step(relay::Bytes{1, "no"});
   sent.Step(relay::End{1});
-  REQUIRE(Last<relay::PassAnswer>(sent.actions) != nullptr);
-  CHECK(Last<relay::PassAnswer>(sent.actions)->head.status == 500);
+  REQUIRE(Last<relay::ForwardAnswer>(sent.actions) != nullptr);
+  CHECK(Last<relay::ForwardAnswer>(sent.actions)->head.status == 500);
 }
 
 // Guards against resending all streams that a host relays after the host was paused: it is
@@ -298,24 +298,24 @@
 // backend servers sent meanwhile.
 TEST_CASE("a suspended host does not treat its backend servers as silent") {
   RelayPlan plan = IdempotentPlan();
-  plan.first_byte_patience = Duration{300'000};
+  plan.first_byte_timeout = Duration{300'000};
   Sent sent(plan);
   sent.Step(relay::TimerFired{}, kStart + Duration{1'300'000});
-  CHECK(Last<relay::SendOver>(sent.actions) == nullptr);
+  CHECK(Last<relay::CloseSend>(sent.actions) == nullptr);
   // From then on the silence timeout applies again.
   sent.Step(relay::TimerFired{}, kStart + Duration{1'600'000});
-  REQUIRE(Last<relay::SendOver>(sent.actions) != nullptr);
-  CHECK(Last<relay::SendOver>(sent.actions)->end == relay::SendEnd::kSilent);
-  CHECK(Last<relay::AskPlace>(sent.actions) != nullptr);
+  REQUIRE(Last<relay::CloseSend>(sent.actions) != nullptr);
+  CHECK(Last<relay::CloseSend>(sent.actions)->end == relay::SendEnd::kSilent);
+  CHECK(Last<relay::ChooseBackend>(sent.actions) != nullptr);
 }
 
 TEST_CASE("a silence timeout does not resend a request that is not idempotent") {
   RelayPlan plan = Plan();
-  plan.first_byte_patience = Duration{300'000};
+  plan.first_byte_timeout = Duration{300'000};
   Sent sent(plan);
   sent.Step(relay::TimerFired{}, kStart + Duration{300'000});
-  CHECK(Last<relay::SendOver>(sent.actions) == nullptr);
-  CHECK(Last<relay::AskPlace>(sent.actions) == nullptr);
+  CHECK(Last<relay::CloseSend>(sent.actions) == nullptr);
+  CHECK(Last<relay::ChooseBackend>(sent.actions) == nullptr);
 }
 
 // Guards against a second run of a request that is not idempotent: it is in transit while its
@@ -324,10 +324,10 @@
 TEST_CASE("a request that is not idempotent is not resent when its backend server restarted") {
   Sent sent(Plan());
   sent.Step(relay::BackendRestarted{1});
-  const auto* refusal = Last<relay::Refuse>(sent.actions);
+  const auto* refusal = Last<relay::SendError>(sent.actions);
   REQUIRE(refusal != nullptr);
   CHECK(refusal->error.ran == Ran::kUnknown);
-  CHECK(Last<relay::AskPlace>(sent.actions) == nullptr);
+  CHECK(Last<relay::ChooseBackend>(sent.actions) == nullptr);
 }
 
 TEST_CASE("a stream is resumed when its backend server restarted, also at that server") {
@@ -337,9 +337,9 @@
   sent.Step(relay::BackendRestarted{2});
   CHECK(sent.actions.empty());  // the event names a send that is not open
   sent.Step(relay::BackendRestarted{1});
-  const auto* ask = Last<relay::AskPlace>(sent.actions);
+  const auto* ask = Last<relay::ChooseBackend>(sent.actions);
   REQUIRE(ask != nullptr);
   CHECK(ask->tried.empty());
-  sent.Step(relay::Placed{Backend("a")});
+  sent.Step(relay::BackendChosen{Backend("a")});
   CHECK(Last<relay::Send>(sent.actions)->after_event == "1");
 }
