--- a/include/figmill/routes.h
+++ b/include/figmill/routes.h
@@ -35,17 +35,17 @@
   std::string host;    // lower case, without a port
   std::string prefix;  // begins and ends with a slash
   RouteKind kind = RouteKind::kOnce;
-  std::vector<ServiceShare> split;  // at least one
-  Duration timeout{30'000'000};     // maximum time until the final answer
-  Duration goal{1'000'000};         // latency target of an answer; streams: of the first event
-  Duration event_gap{0};            // streams: target for the longest pause between events; 0: none
-  int rank = 0;                     // priority; 0 is served first
-  int max_backends = 1;             // maximum number of backend servers that may run one request
-  bool shares_prompts = false;      // requests name the prompt parts that they share with others
-  bool resumable = false;           // a stream can be resumed at another backend server
-  bool open = false;                // accepts requests without a key
-  Duration job_due{0};              // batch: time from submission until all results are due
-  Duration job_life{
+  std::vector<ServiceShare> split;   // at least one
+  Duration timeout{30'000'000};      // maximum time until the final answer
+  Duration latency_goal{1'000'000};  // latency target of an answer; streams: of the first event
+  Duration event_gap{0};        // streams: target for the longest pause between events; 0: none
+  int rank = 0;                 // priority; 0 is served first
+  int max_backends = 1;         // maximum number of backend servers that may run one request
+  bool shares_prompts = false;  // requests name the prompt parts that they share with others
+  bool resumable = false;       // a stream can be resumed at another backend server
+  bool open = false;            // accepts requests without a key
+  Duration job_due{0};          // batch: time from submission until all results are due
+  Duration job_expiry{
       0};  // batch: time from submission after which an unfinished item may be dropped
 };
 
@@ -54,7 +54,7 @@
 
 // Properties of the engines of a model service.
 struct EngineTraits {
-  int places = 1;              // requests that one engine runs concurrently
+  int slots = 1;               // requests that one engine runs concurrently
   std::int64_t kv_tokens = 0;  // KV cache capacity in tokens; 0: unknown
 };
 
@@ -96,8 +96,8 @@
   // The route of this host with the longest prefix that matches the path, or nullptr. `host`
   // may include a port, in any case.
   [[nodiscard]] const Route* Find(std::string_view host, std::string_view path) const;
-  [[nodiscard]] const Route* Named(std::string_view name) const;
-  [[nodiscard]] const RoutedService* Service(const ServiceName& name) const;
+  [[nodiscard]] const Route* FindByName(std::string_view name) const;
+  [[nodiscard]] const RoutedService* FindService(const ServiceName& name) const;
   // Null when callers need no keys.
   [[nodiscard]] const TeamDirectory* teams() const { return teams_ ? &*teams_ : nullptr; }
   [[nodiscard]] const RoutingConfig& config() const { return config_; }
@@ -111,6 +111,6 @@
 };
 
 // Chooses the service of one request by the route's weights; `draw` is uniformly distributed.
-[[nodiscard]] const ServiceName& ChooseShare(const Route& route, std::uint64_t draw);
+[[nodiscard]] const ServiceName& ChooseService(const Route& route, std::uint64_t draw);
 
 }  // namespace figmill
--- a/src/gateway/caller_door.cc
+++ b/src/gateway/caller_door.cc
@@ -116,7 +116,7 @@
     patience = std::min(patience, *deadline);
   }
   plan.deadline = Loop::Now() + patience;
-  plan.first_byte_timeout = route.goal * kSilentGoals;
+  plan.first_byte_timeout = route.latency_goal * kSilentGoals;
   plan.next_byte_timeout = route.event_gap * kSilentGaps;
   const std::string_view after = request.HeaderOr(tools_.names.last_event_id);
   if (!after.empty()) plan.after_event = std::string(after);
@@ -141,10 +141,10 @@
   relayed.method = std::move(request.method);
   relayed.target = request.path;
   if (!request.query.empty()) relayed.target += "?" + request.query;
-  relayed.goal_at = Loop::Now() + route.goal;
+  relayed.goal_at = Loop::Now() + route.latency_goal;
   const Time now = Loop::Now();
   relayed.last_chance = first_tries_.IsSecond(route.name, plan.deadline - now, now);
-  relayed.service = ChooseShare(route, random_());
+  relayed.service = ChooseService(route, random_());
   relayed.route = route.name;
   relayed.config_version = view_->routes->version();
   relayed.body = std::move(request.body);
--- a/src/gateway/job_desk.cc
+++ b/src/gateway/job_desk.cc
@@ -87,7 +87,7 @@
   head.done = std::string(job.items.size(), '.');
   head.submitted = *now;
   head.due = head.submitted + route.job_due;
-  head.expires = head.submitted + route.job_life;
+  head.expires = head.submitted + route.job_expiry;
   head.digest = ledger::DigestOf(job, head.team);
   head.config_version = config_version;
   jobs_.Accept(std::move(head), std::move(job), [this, answer](const Result<Ok>& accepted) {
--- a/src/routes/route_table.cc
+++ b/src/routes/route_table.cc
@@ -91,21 +91,21 @@
   return nullptr;
 }
 
-const Route* RouteTable::Named(std::string_view name) const {
+const Route* RouteTable::FindByName(std::string_view name) const {
   for (const Route& route : config_.routes) {
     if (route.name == name) return &route;
   }
   return nullptr;
 }
 
-const RoutedService* RouteTable::Service(const ServiceName& name) const {
+const RoutedService* RouteTable::FindService(const ServiceName& name) const {
   for (const RoutedService& service : config_.services) {
     if (service.name == name) return &service;
   }
   return nullptr;
 }
 
-const ServiceName& ChooseShare(const Route& route, std::uint64_t draw) {
+const ServiceName& ChooseService(const Route& route, std::uint64_t draw) {
   assert(!route.split.empty());
   std::uint64_t total = 0;
   for (const ServiceShare& share : route.split) total += share.weight;
--- a/test/foreign-entries-test.cc
+++ b/test/foreign-entries-test.cc
@@ -253,7 +253,7 @@
   f.Put("op", "config", foreign::GoodConfig(7).dump());
   f.Put("servers", "i-1", early.dump());
   f.Until([&] { return f.view && f.view->routes && f.Is("i-1", BackendState::kReady); });
-  CHECK(f.view->routes->Service(ServiceName{"later"}) == nullptr);
+  CHECK(f.view->routes->FindService(ServiceName{"later"}) == nullptr);
   PlaceBook book(DataCentre{"north-a"}, SystemRandom());
   book.Learn(f.view->backends.at(kEngine));
   CHECK_FALSE(IsOk(book.Choose({ServiceName{"llm"}, {}}, Time{})));
--- a/test/routes-test.cc
+++ b/test/routes-test.cc
@@ -54,7 +54,7 @@
   route.split = {{ServiceName{"x"}, 9}, {ServiceName{"y"}, 1}};
   int to_y = 0;
   for (std::uint64_t draw = 0; draw < 1000; ++draw) {
-    if (ChooseShare(route, draw).value == "y") ++to_y;
+    if (ChooseService(route, draw).value == "y") ++to_y;
   }
   CHECK(to_y == 100);
 }
