--- a/test/online-limits-test.cc
+++ b/test/online-limits-test.cc
@@ -101,18 +101,18 @@
       Fleet fleet(n, kLimit, 0);
       fleet.Run(3 * kLimit, weights, Duration{5'000'000});
       const double over = fleet.Run(3 * kLimit, weights, kMinute);
-      Fleet calm(n, kLimit, 0);
-      calm.Run(0.8 * kLimit, weights, Duration{5'000'000});
-      calm.Run(0.8 * kLimit, weights, kMinute);
+      Fleet below_limit(n, kLimit, 0);
+      below_limit.Run(0.8 * kLimit, weights, Duration{5'000'000});
+      below_limit.Run(0.8 * kLimit, weights, kMinute);
       MESSAGE(n << " entries, "
                 << std::string(weights == even  ? "even"
                                : weights == one ? "one"
                                                 : "1/rank")
                 << ": at 3x admitted/limit " << over / kLimit << ", at 0.8x admitted/offered "
-                << calm.admitted_share << ", reports a second and entry "
+                << below_limit.admitted_share << ", reports a second and entry "
                 << fleet.reports / 65.0 / n);
       CHECK(over == doctest::Approx(kLimit).epsilon(0.1));
-      CHECK(calm.admitted_share >= 0.98);
+      CHECK(below_limit.admitted_share >= 0.98);
     }
   }
 }
--- a/test/online-router-test.cc
+++ b/test/online-router-test.cc
@@ -33,11 +33,12 @@
   return snapshot;
 }
 
-struct Bench {
-  explicit Bench(const Snapshot& snapshot, const std::string& self = "e0") : router(Made(self)) {
+struct RouterFixture {
+  explicit RouterFixture(const Snapshot& snapshot, const std::string& self = "e0")
+      : router(MakeRouter(self)) {
     router.Update(snapshot, kStart);
   }
-  Router Made(const std::string& self) {
+  Router MakeRouter(const std::string& self) {
     return {NodeId{self}, DataCentre{"north/a"}, [this] { return random(); }};
   }
   // Sends `n` requests that stay in flight; returns their number by agent.
@@ -62,9 +63,9 @@
   const Snapshot fleet = Fleet(100);
   std::map<std::string, int> to;
   for (int entry = 0; entry < 60; ++entry) {
-    Bench bench(fleet, "e" + std::to_string(entry));
-    CHECK(bench.router.candidates(kService) <= Router::kSubsetSize);
-    for (const auto& [node, n] : bench.Send(32, kStart)) to[node] += n;
+    RouterFixture fixture(fleet, "e" + std::to_string(entry));
+    CHECK(fixture.router.candidates(kService) <= Router::kSubsetSize);
+    for (const auto& [node, n] : fixture.Send(32, kStart)) to[node] += n;
   }
   CHECK(to.size() == 100);
   for (const auto& [node, n] : to) CHECK(n < 4 * 60 * 32 / 100);
@@ -79,25 +80,25 @@
   auto config = std::make_shared<Config>();
   config->backends[{"a3"}].drained = true;
   fleet.config = config;
-  Bench bench(fleet);
-  CHECK(bench.Send(50, kStart).size() == 1);
+  RouterFixture fixture(fleet);
+  CHECK(fixture.Send(50, kStart).size() == 1);
   fleet.members[4].leaving = true;
-  bench.router.Update(fleet, kStart);
-  CHECK(bench.Send(50, kStart).begin()->first == "a2");
+  fixture.router.Update(fleet, kStart);
+  CHECK(fixture.Send(50, kStart).begin()->first == "a2");
   fleet.members[2].liveness = Liveness::kDead;
-  bench.router.Update(fleet, kStart);
-  CHECK_FALSE(IsOk(bench.router.Choose({kService, {}, 1, {}}, kStart)));
+  fixture.router.Update(fleet, kStart);
+  CHECK_FALSE(IsOk(fixture.router.Choose({kService, {}, 1, {}}, kStart)));
 }
 
 TEST_CASE("a prefix stays with its owner until the owner's load is far above the mean") {
-  Bench bench(Fleet(8));
+  RouterFixture fixture(Fleet(8));
   constexpr std::string_view kPrefix = "you are an agronomist";
-  const std::string owner = bench.Send(1, kStart, kPrefix).begin()->first;
+  const std::string owner = fixture.Send(1, kStart, kPrefix).begin()->first;
   for (int i = 0; i < 20; ++i) {
-    bench.router.RecordAttemptEnd({owner}, 256, AttemptEnd::kAnswered, std::nullopt, kStart);
-    CHECK(bench.Send(1, kStart, kPrefix).begin()->first == owner);
+    fixture.router.RecordAttemptEnd({owner}, 256, AttemptEnd::kAnswered, std::nullopt, kStart);
+    CHECK(fixture.Send(1, kStart, kPrefix).begin()->first == owner);
   }
-  const auto many = bench.Send(79, kStart, kPrefix);
+  const auto many = fixture.Send(79, kStart, kPrefix);
   CHECK(many.size() * Router::kBoundedLoad >= 8);
   for (const auto& [node, n] : many) CHECK(n <= 15);
 }
@@ -107,21 +108,21 @@
   // take seconds at the 99th percentile. All agents but one report the requests of other
   // entries; the slow one's answers, and its load reports with them, don't arrive. Without a
   // report an agent was taken for idle.
-  Bench bench(Fleet(4));
+  RouterFixture fixture(Fleet(4));
   for (const char* node : {"a1", "a2", "a3"}) {
-    bench.router.RecordLoad({node}, {.online_running = 10}, kStart);
+    fixture.router.RecordLoad({node}, {.online_running = 10}, kStart);
   }
-  CHECK(bench.Send(40, kStart)["a0"] <= 15);
+  CHECK(fixture.Send(40, kStart)["a0"] <= 15);
 }
 
 TEST_CASE("another data centre is used when the load difference exceeds the cost of the distance") {
   Snapshot fleet = Fleet(2);
   fleet.members.push_back(Agent(2, "north/b"));
   fleet.members.push_back(Agent(3, "south/a"));
-  Bench bench(fleet);
-  const auto light = bench.Send(2, kStart);
+  RouterFixture fixture(fleet);
+  const auto light = fixture.Send(2, kStart);
   CHECK_FALSE(light.contains("a2"));
-  const auto heavy = bench.Send(30, kStart);
+  const auto heavy = fixture.Send(30, kStart);
   CHECK(heavy.contains("a2"));
   CHECK_FALSE(heavy.contains("a3"));
 }
@@ -132,12 +133,12 @@
   // one of them, because ejection has no lower bound on the remaining agents. Agents answer
   // nothing; each failure is reported to the router.
   Snapshot fleet = Fleet(4);
-  Bench bench(fleet);
+  RouterFixture fixture(fleet);
   fleet.members.push_back(Agent(4));
-  bench.router.Update(fleet, kStart);
-  CHECK(bench.Send(100, kStart)["a4"] < 10);
+  fixture.router.Update(fleet, kStart);
+  CHECK(fixture.Send(100, kStart)["a4"] < 10);
 
-  Bench failing(fleet);
+  RouterFixture failing(fleet);
   const auto fail = [&](const char* node, Time now) {
     failing.router.RecordAttemptEnd({node}, 0, AttemptEnd::kFailed, std::nullopt, now);
   };
@@ -162,33 +163,33 @@
   const Snapshot fleet = Fleet(12);
   int requests = 0, attempts = 0, answered = 0;
   for (int entry = 0; entry < 40; ++entry) {
-    Bench bench(fleet, "e" + std::to_string(entry));
+    RouterFixture fixture(fleet, "e" + std::to_string(entry));
     RetryBudget budget;
     Time now = kStart;
     const AgentLookup lookup{
         [&](const RequestPlan& plan, std::span<const NodeId> tried, Time at) {
-          return bench.router.Choose({plan.service, {}, plan.tokens, tried}, at);
+          return fixture.router.Choose({plan.service, {}, plan.tokens, tried}, at);
         },
-        [&](const NodeId& node) { return bench.router.Find(node); }};
+        [&](const NodeId& node) { return fixture.router.Find(node); }};
     for (int i = 0; i < 600; ++i) {
       now += Duration{100'000};
       RequestPlan plan;
       plan.request = {"r" + std::to_string(i)};
       plan.service = kService;
       plan.deadline = now + Duration{10'000'000};
-      RequestStateMachine run(plan, lookup, budget, [&] { return bench.random(); });
+      RequestStateMachine run(plan, lookup, budget, [&] { return fixture.random(); });
       std::vector<RequestAction> actions = run.On(event::Start{}, now);
       while (!actions.empty()) {
         std::vector<RequestAction> next;
         for (const RequestAction& action : actions) {
           if (const auto* over = std::get_if<action::EndCall>(&action)) {
-            bench.router.RecordAttemptEnd(over->to.node, 1, over->end, over->error, now);
+            fixture.router.RecordAttemptEnd(over->to.node, 1, over->end, over->error, now);
           }
           if (const auto* dispatch = std::get_if<action::Dispatch>(&action)) {
-            bench.router.RecordDispatch(dispatch->to.node, 1);
-            const bool brown =
+            fixture.router.RecordDispatch(dispatch->to.node, 1);
+            const bool broken =
                 std::set<std::string>{"a0", "a1", "a2", "a3"}.contains(dispatch->to.node.value);
-            if (brown) {
+            if (broken) {
               next = run.On(event::CallFailed{dispatch->call, false, "no connection"}, now);
             } else {
               static_cast<void>(
@@ -221,17 +222,17 @@
   fleet.config = config;
   std::set<std::string> used;
   for (const char* self : {"e0", "e1", "e2"}) {
-    Bench bench(fleet, self);
+    RouterFixture fixture(fleet, self);
     for (int i = 0; i < 10; ++i) {
-      bench.router.RecordLoad(Agent(i).node, {.online_running = 0, .online_mark = 20}, kStart);
+      fixture.router.RecordLoad(Agent(i).node, {.online_running = 0, .online_mark = 20}, kStart);
     }
-    const auto to = bench.Send(30, kStart);
+    const auto to = fixture.Send(30, kStart);
     CHECK(to.size() == 2);
     for (const auto& [node, n] : to) {
       CHECK(n <= 20 + 1);
       used.insert(node);
     }
-    const auto more = bench.Send(300, kStart);
+    const auto more = fixture.Send(300, kStart);
     CHECK(more.size() == 10);  // beyond all marks, every agent is used
   }
   CHECK(used.size() == 2);
--- a/test/online-run-test.cc
+++ b/test/online-run-test.cc
@@ -33,8 +33,9 @@
 }
 
 // A request with agents that are always found and are tried in order.
-struct Bench {
-  explicit Bench(RequestPlan plan) : run(std::move(plan), lookup, budget, [] { return 7U; }) {}
+struct RequestFixture {
+  explicit RequestFixture(RequestPlan plan)
+      : run(std::move(plan), lookup, budget, [] { return 7U; }) {}
 
   std::vector<RequestAction> On(const RequestEvent& event, Duration at = Duration{0}) {
     auto actions = run.On(event, kStart + at);
@@ -84,19 +85,19 @@
   // Guards against a duplicate or missing word in a caller's answer: the connection is lost
   // inside an event and the stream is resumed. The incomplete event must not count as received,
   // and must not be sent before its rest arrives.
-  Bench bench(Plan(true));
-  bench.On(event::Start{});
-  bench.Head();
-  bench.On(event::Data{bench.last.call, "data: one\n\ndata: tw"});
-  bench.On(event::CallFailed{bench.last.call, true, "reset"});
-  CHECK(bench.last.resume);
-  CHECK(bench.last.resume_from == 1);
-  CHECK(bench.last.to.node == NodeId{"a0"});
-  bench.Head();
-  bench.On(event::Data{bench.last.call, "data: two\n\ndata: [DONE]\n\n"});
-  bench.On(event::End{bench.last.call, 25, 2, 0});
-  CHECK(bench.sent == "data: one\n\ndata: two\n\ndata: [DONE]\n\n");
-  CHECK(bench.run.done());
+  RequestFixture fixture(Plan(true));
+  fixture.On(event::Start{});
+  fixture.Head();
+  fixture.On(event::Data{fixture.last.call, "data: one\n\ndata: tw"});
+  fixture.On(event::CallFailed{fixture.last.call, true, "reset"});
+  CHECK(fixture.last.resume);
+  CHECK(fixture.last.resume_from == 1);
+  CHECK(fixture.last.to.node == NodeId{"a0"});
+  fixture.Head();
+  fixture.On(event::Data{fixture.last.call, "data: two\n\ndata: [DONE]\n\n"});
+  fixture.On(event::End{fixture.last.call, 25, 2, 0});
+  CHECK(fixture.sent == "data: one\n\ndata: two\n\ndata: [DONE]\n\n");
+  CHECK(fixture.run.done());
 }
 
 TEST_CASE("late, mismatched and truncated answers never reach the caller") {
@@ -106,42 +107,42 @@
   // the connection alone misses these cases.
   RequestPlan plan = Plan(true);
   plan.wants_stream = false;
-  Bench bench(plan);
-  bench.On(event::Start{});
-  const CallNumber given_up = bench.last.call;
-  bench.On(event::CallFailed{given_up, false, "refused"});
-  CHECK(bench.last.to.node == NodeId{"a1"});
-  bench.On(event::Head{given_up, 200, "text/plain", RequestId{"r.1"}});
-  bench.On(event::Data{given_up, "late"});
-  CHECK(bench.run.late_events() == 2);
-  bench.On(event::Head{bench.last.call, 200, "text/plain", RequestId{"other.1"}});
-  CHECK(bench.run.late_events() == 3);
-  bench.On(event::RevokeAnswered{bench.last.call, event::RevokeState::kFinished});
-  CHECK(bench.last.resume);
-  bench.Head("text/event-stream");  // the engine answers with a stream that wasn't requested
-  CHECK(bench.run.attempts() == 3);
-  bench.Head("text/plain");
-  bench.On(event::Data{bench.last.call, "half"});
-  bench.On(event::End{bench.last.call, 9, 0, 0});
-  CHECK(bench.sent.empty());
-  bench.Head("text/plain");
-  bench.On(event::Data{bench.last.call, "the whole"});
-  bench.On(event::End{bench.last.call, 9, 0, 0});
-  CHECK(bench.sent == "the whole");
+  RequestFixture fixture(plan);
+  fixture.On(event::Start{});
+  const CallNumber given_up = fixture.last.call;
+  fixture.On(event::CallFailed{given_up, false, "refused"});
+  CHECK(fixture.last.to.node == NodeId{"a1"});
+  fixture.On(event::Head{given_up, 200, "text/plain", RequestId{"r.1"}});
+  fixture.On(event::Data{given_up, "late"});
+  CHECK(fixture.run.late_events() == 2);
+  fixture.On(event::Head{fixture.last.call, 200, "text/plain", RequestId{"other.1"}});
+  CHECK(fixture.run.late_events() == 3);
+  fixture.On(event::RevokeAnswered{fixture.last.call, event::RevokeState::kFinished});
+  CHECK(fixture.last.resume);
+  fixture.Head("text/event-stream");  // the engine answers with a stream that wasn't requested
+  CHECK(fixture.run.attempts() == 3);
+  fixture.Head("text/plain");
+  fixture.On(event::Data{fixture.last.call, "half"});
+  fixture.On(event::End{fixture.last.call, 9, 0, 0});
+  CHECK(fixture.sent.empty());
+  fixture.Head("text/plain");
+  fixture.On(event::Data{fixture.last.call, "the whole"});
+  fixture.On(event::End{fixture.last.call, 9, 0, 0});
+  CHECK(fixture.sent == "the whole");
 }
 
 TEST_CASE("a new incarnation's answer that it never started the work isn't accepted") {
   // Guards against work that runs twice. An agent starts the work and dies before it answers;
   // the revoke goes to the new incarnation, after a failed resume there, which has no record of
   // the request and reports that it never started.
-  Bench bench(Plan(false));
-  bench.On(event::Start{});
-  auto actions = bench.On(event::CallFailed{bench.last.call, true, "reset"});
-  bench.incarnations[0] = 2;
-  bench.On(event::TimerFired{}, 1000 * kMs);
-  CHECK(bench.last.resume);
-  CHECK(bench.last.to.incarnation == 2);
-  actions = bench.On(event::CallFailed{bench.last.call, true, "reset"}, 1000 * kMs);
+  RequestFixture fixture(Plan(false));
+  fixture.On(event::Start{});
+  auto actions = fixture.On(event::CallFailed{fixture.last.call, true, "reset"});
+  fixture.incarnations[0] = 2;
+  fixture.On(event::TimerFired{}, 1000 * kMs);
+  CHECK(fixture.last.resume);
+  CHECK(fixture.last.to.incarnation == 2);
+  actions = fixture.On(event::CallFailed{fixture.last.call, true, "reset"}, 1000 * kMs);
   REQUIRE(First<action::Revoke>(actions) != nullptr);
   CHECK(First<action::Revoke>(actions)->to.incarnation == 1);
 }
@@ -150,45 +151,45 @@
   // Guards against callers that wait until their deadline for one stopped process: an agent
   // accepts a request and is paused while its connection stays open. An open connection doesn't
   // show that the agent is running.
-  Bench bench(Plan(true));
-  bench.On(event::Start{});
-  auto actions = bench.On(event::TimerFired{}, RequestStateMachine::kHeadTimeout);
+  RequestFixture fixture(Plan(true));
+  fixture.On(event::Start{});
+  auto actions = fixture.On(event::TimerFired{}, RequestStateMachine::kHeadTimeout);
   REQUIRE(First<action::Revoke>(actions) != nullptr);
-  bench.On(event::RevokeAnswered{bench.last.call, event::RevokeState::kRunning},
-           RequestStateMachine::kHeadTimeout);
-  CHECK(bench.run.attempts() == 1);  // the agent is slow but not paused, so the call stays open
-  bench.On(event::TimerFired{}, 3 * RequestStateMachine::kHeadTimeout);
-  actions = bench.On(event::TimerFired{}, 3 * RequestStateMachine::kHeadTimeout + 1000 * kMs);
+  fixture.On(event::RevokeAnswered{fixture.last.call, event::RevokeState::kRunning},
+             RequestStateMachine::kHeadTimeout);
+  CHECK(fixture.run.attempts() == 1);  // the agent is slow but not paused, so the call stays open
+  fixture.On(event::TimerFired{}, 3 * RequestStateMachine::kHeadTimeout);
+  actions = fixture.On(event::TimerFired{}, 3 * RequestStateMachine::kHeadTimeout + 1000 * kMs);
   CHECK(First<action::CancelWork>(actions) != nullptr);
-  CHECK(bench.last.to.node == NodeId{"a1"});
+  CHECK(fixture.last.to.node == NodeId{"a1"});
 }
 
 TEST_CASE("a request that fails for good is answered at once with a retry delay") {
-  Bench bench(Plan(true));
-  bench.On(event::Start{});
+  RequestFixture fixture(Plan(true));
+  fixture.On(event::Start{});
   for (int i = 0; i < 3; ++i) {
-    bench.On(event::AgentRefused{bench.last.call,
-                                 {ErrorKind::kOverloaded, "full", Ran::kNo, 500 * kMs}});
+    fixture.On(event::AgentRefused{fixture.last.call,
+                                   {ErrorKind::kOverloaded, "full", Ran::kNo, 500 * kMs}});
   }
-  REQUIRE(bench.error);
-  CHECK(bench.error->kind == ErrorKind::kOverloaded);
-  CHECK(bench.error->ran == Ran::kNo);
-  CHECK(bench.error->retry_after >= 500 * kMs);
+  REQUIRE(fixture.error);
+  CHECK(fixture.error->kind == ErrorKind::kOverloaded);
+  CHECK(fixture.error->ran == Ran::kNo);
+  CHECK(fixture.error->retry_after >= 500 * kMs);
 }
 
 TEST_CASE("refusals by a leaving agent don't use the retry budget") {
   // Guards against 503 answers because of leaving agents while other agents have capacity: an
   // agent starts to leave, and more requests that are already in transit to it are refused than
   // the retry budget allows. These refusals cost nothing and must not be charged.
-  Bench bench(Plan(true));
-  while (bench.budget.TrySpend()) {
+  RequestFixture fixture(Plan(true));
+  while (fixture.budget.TrySpend()) {
   }
-  bench.On(event::Start{});
-  bench.On(event::AgentRefused{bench.last.call, {ErrorKind::kLeaving, "leaving", Ran::kNo}});
-  CHECK_FALSE(bench.error);
-  CHECK(bench.last.to.node == NodeId{"a1"});
-  bench.On(event::AgentRefused{bench.last.call, {ErrorKind::kOverloaded, "full", Ran::kNo}});
-  CHECK(bench.error);  // this refusal is charged to the budget
+  fixture.On(event::Start{});
+  fixture.On(event::AgentRefused{fixture.last.call, {ErrorKind::kLeaving, "leaving", Ran::kNo}});
+  CHECK_FALSE(fixture.error);
+  CHECK(fixture.last.to.node == NodeId{"a1"});
+  fixture.On(event::AgentRefused{fixture.last.call, {ErrorKind::kOverloaded, "full", Ran::kNo}});
+  CHECK(fixture.error);  // this refusal is charged to the budget
 }
 
 // --- All orders of events ----------------------------------------------------------
@@ -197,43 +198,43 @@
 
 // Simulates the agents, engines and network of one request with a random schedule: each step
 // delivers, loses or delays something, restarts an agent, or advances the time.
-class World {
+class Simulation {
  public:
-  World(std::uint32_t seed, bool repeatable, bool streaming, bool same_again)
+  Simulation(std::uint32_t seed, bool repeatable, bool streaming, bool deterministic)
       : random_(seed),
         streaming_(streaming),
-        same_again_(same_again),
-        bench_(Shaped(Plan(repeatable), streaming)) {}
+        deterministic_(deterministic),
+        fixture_(WithStream(Plan(repeatable), streaming)) {}
 
   void Play() {
     Step(event::Start{});
-    for (int i = 0; i < 2000 && !bench_.run.done(); ++i) Advance();
-    REQUIRE(bench_.run.done());
+    for (int i = 0; i < 2000 && !fixture_.run.done(); ++i) Advance();
+    REQUIRE(fixture_.run.done());
     // Dispatches that are still in transit arrive after the final answer.
     for (Call& call : calls_) Arrive(call);
   }
 
   void Check() const {
-    if (!bench_.run.plan().repeatable) CHECK(executions_ <= 1);
-    if (bench_.error) {
-      if (bench_.error->ran == Ran::kNo) CHECK(executions_ == 0);
+    if (!fixture_.run.plan().repeatable) CHECK(executions_ <= 1);
+    if (fixture_.error) {
+      if (fixture_.error->ran == Ran::kNo) CHECK(executions_ == 0);
       CHECK(std::any_of(answers_.begin(), answers_.end(), [&](const std::string& answer) {
-        return answer.starts_with(bench_.sent);
+        return answer.starts_with(fixture_.sent);
       }));
     } else {
-      CHECK(answers_.contains(bench_.sent));
-      CHECK(!bench_.sent.empty());
+      CHECK(answers_.contains(fixture_.sent));
+      CHECK(!fixture_.sent.empty());
     }
     CHECK(open_ == 0);
-    CHECK(bench_.run.attempts() <= 3 + stale_refusals_);
+    CHECK(fixture_.run.attempts() <= 3 + stale_refusals_);
   }
-  [[nodiscard]] bool finished() const { return !bench_.error; }
-  [[nodiscard]] std::uint32_t resumes() const { return bench_.run.resumes(); }
+  [[nodiscard]] bool finished() const { return !fixture_.error; }
+  [[nodiscard]] std::uint32_t resumes() const { return fixture_.run.resumes(); }
 
  private:
   struct Call {
     action::Dispatch dispatch;
-    bool on_its_way = true;  // has not reached the agent
+    bool in_transit = true;  // has not reached the agent
     bool open = true;        // not closed by the entry
     std::deque<std::variant<event::AgentRefused, event::Head, std::string, event::End>> answer;
   };
@@ -241,14 +242,14 @@
     std::set<std::string> started, tombstones;
   };
 
-  static RequestPlan Shaped(RequestPlan plan, bool streaming) {
+  static RequestPlan WithStream(RequestPlan plan, bool streaming) {
     plan.wants_stream = streaming;
     return plan;
   }
   std::size_t Random(std::size_t n) { return random_() % n; }
 
   void Step(const RequestEvent& event) {
-    for (const RequestAction& action : bench_.On(event, now_)) {
+    for (const RequestAction& action : fixture_.On(event, now_)) {
       std::visit(Overloaded{
                      [&](const action::Dispatch& dispatch) {
                        ++open_;
@@ -296,22 +297,22 @@
   }
 
   void Restart(std::size_t agent) {
-    ++bench_.incarnations[agent];
+    ++fixture_.incarnations[agent];
     agents_[agent] = {};
     if (Random(2) == 0) engines_[agent].clear();
   }
 
   void Break(Call& call) {
     if (!call.open) return;
-    const bool sent = !call.on_its_way || Random(2) == 0;
-    if (!sent) call.on_its_way = false;
+    const bool sent = !call.in_transit || Random(2) == 0;
+    if (!sent) call.in_transit = false;
     if (Random(2) == 0) call.answer.clear();
     Step(event::CallFailed{call.dispatch.call, sent, "reset"});
   }
 
   // The answer of one run; runs differ unless the model is deterministic.
   std::string Answer(const std::string& request) const {
-    const std::string mark = same_again_ ? "" : request;
+    const std::string mark = deterministic_ ? "" : request;
     if (!streaming_) return "whole answer " + mark;
     std::string text;
     for (const char* word : {"one", "two", "three"}) text += "data: " + mark + word + "\n\n";
@@ -319,7 +320,7 @@
   }
 
   void Arrive(Call& call) {
-    if (!std::exchange(call.on_its_way, false)) return;
+    if (!std::exchange(call.in_transit, false)) return;
     const action::Dispatch& dispatch = call.dispatch;
     const auto index = static_cast<std::size_t>(dispatch.to.node.value[1] - '0');
     Agent& agent = agents_[index];
@@ -328,7 +329,7 @@
       if (kind == ErrorKind::kStaleOrders) ++stale_refusals_;
       call.answer.push_back(event::AgentRefused{dispatch.call, {kind, "refused", Ran::kNo}});
     };
-    if (dispatch.to.incarnation != bench_.incarnations[index]) {
+    if (dispatch.to.incarnation != fixture_.incarnations[index]) {
       return refuse(ErrorKind::kStaleOrders);
     }
     if (dispatch.resume) {
@@ -382,7 +383,7 @@
     revokes_.erase(revokes_.begin() + static_cast<std::ptrdiff_t>(which));
     const auto index = static_cast<std::size_t>(revoke.to.node.value[1] - '0');
     event::RevokeState state = event::RevokeState::kNoAnswer;
-    if (revoke.to.incarnation == bench_.incarnations[index] && Random(4) != 0) {
+    if (revoke.to.incarnation == fixture_.incarnations[index] && Random(4) != 0) {
       Agent& agent = agents_[index];
       const bool started = agent.started.contains(revoke.request.value);
       if (!started) agent.tombstones.insert(revoke.request.value);
@@ -394,8 +395,8 @@
 
   std::mt19937 random_;
   bool streaming_;
-  bool same_again_;
-  Bench bench_;
+  bool deterministic_;
+  RequestFixture fixture_;
   Duration now_{0};
   std::optional<Duration> timer_;
   std::deque<Call> calls_;
@@ -419,11 +420,11 @@
   std::uint32_t resumes = 0;
   for (std::uint32_t seed = 0; seed < 40'000; ++seed) {
     CAPTURE(seed);
-    World world(seed, (seed & 1) != 0, (seed & 2) != 0, (seed & 4) != 0);
-    world.Play();
-    world.Check();
-    if (world.finished()) ++finished;
-    resumes += world.resumes();
+    Simulation simulation(seed, (seed & 1) != 0, (seed & 2) != 0, (seed & 4) != 0);
+    simulation.Play();
+    simulation.Check();
+    if (simulation.finished()) ++finished;
+    resumes += simulation.resumes();
   }
   // The schedules cover success, failure and resumes in sufficient numbers.
   CHECK(finished > 10'000);
