--- a/include/figmill/online.h
+++ b/include/figmill/online.h
@@ -61,19 +61,19 @@
 class Router {
  public:
   static constexpr std::size_t kSubsetSize = 20;
-  static constexpr std::size_t kLocalSubsetSize =
-      16;  // the rest is reserved for agents in other data centres
+  // The rest is reserved for agents in other data centres.
+  static constexpr std::size_t kLocalSubsetSize = 16;
   static constexpr int kFailuresToEject = 3;  // consecutive
   static constexpr Duration kFirstEjection{5'000'000};
   static constexpr Duration kMaxEjection{60'000'000};
   static constexpr Duration kSlowStart{10'000'000};
-  static constexpr Duration kReportLifetime{
-      5'000'000};  // the weight of a load report decays linearly to 0 over this
-  static constexpr double kBoundedLoad =
-      1.25;  // multiple of the mean load that prefix affinity may put on one agent
+  // The weight of a load report decays linearly to 0 over this.
+  static constexpr Duration kReportLifetime{5'000'000};
+  // Multiple of the mean load that prefix affinity may put on one agent.
+  static constexpr double kBoundedLoad = 1.25;
   static constexpr double kPrefixOwnerSlackRequests = 2;  // always allowed at the prefix's owner
-  static constexpr double kEntrySlackRequests =
-      0.5;  // requests of this entry allowed beyond its mean per agent
+  // Requests of this entry allowed beyond its mean per agent.
+  static constexpr double kEntrySlackRequests = 0.5;
   static constexpr std::uint32_t kDefaultOnlineMark = 8;  // used before the first load report
   static constexpr double kDataCentreCostRequests = 1;  // cost of another data centre, in requests
   static constexpr double kRegionCostRequests = 16;     // cost of another region, in requests
@@ -108,8 +108,8 @@
     std::uint32_t own_running = 0;
     double others_running = 0;  // from the last report, without this entry's own requests
     std::optional<Time> reported_at;
-    std::optional<Time>
-        slow_start_began_at;  // start of the slow start; unset when the agent never had one
+    // Start of the slow start; unset when the agent never had one.
+    std::optional<Time> slow_start_began_at;
     int failures = 0;
     int ejections = 0;
     Time ejected_until{};
@@ -183,7 +183,7 @@
   double capacity_ = 0;
   double level_ = 0;
   bool filled_ = false;
-  Time at_{};
+  Time refilled_at_{};
 };
 
 class TeamLimits {
@@ -191,8 +191,8 @@
   static constexpr Duration kReportPeriod{500'000};
   static constexpr Duration kShareLifetime{3'000'000};
   static constexpr Duration kIdleTimeout{60'000'000};
-  static constexpr double kFreeShare =
-      0.25;  // fraction of an equal share that an entry may use without a grant
+  // Fraction of an equal share that an entry may use without a grant.
+  static constexpr double kFreeShare = 0.25;
   static constexpr double kMinBurst = 2;  // requests
   static constexpr std::size_t kMaxTeams = 8192;
 
@@ -221,12 +221,12 @@
     TeamRates admitted;  // since the last report
     TeamRates wanted;    // smoothed, per second
     std::optional<TeamRates> share;
-    std::optional<Time>
-        owner_asked_at;  // time of the first unanswered request to the owner, or of its last answer
+    // Time of the first unanswered request to the owner, or of its last answer.
+    std::optional<Time> owner_asked_at;
     Time used_at{};
     Time reported_at{};
-    bool needs_larger_share =
-        false;  // the bucket ran low or a request was refused since the last report
+    // The bucket ran low or a request was refused since the last report.
+    bool needs_larger_share = false;
   };
   void SetRates(Team& team, const TeamLimit& limit, Time now) const;
   [[nodiscard]] Team* FindOrAdd(const TeamId& team, const TeamLimit& limit, Time now);
@@ -244,8 +244,8 @@
  public:
   static constexpr Duration kReportLifetime{2'000'000};
   static constexpr double kRecoverySeconds = 4;  // an excess is recovered over about this time
-  static constexpr double kMinShare =
-      0.1;  // fraction of the limit that remains while an excess is recovered
+  // Fraction of the limit that remains while an excess is recovered.
+  static constexpr double kMinShare = 0.1;
 
   [[nodiscard]] TeamRates Allocate(const NodeId& entry, const DemandReport& report,
                                    const TeamLimit& limit, Time now);
@@ -269,7 +269,7 @@
 // --- Retry budget ----------------------------------------------------------------
 
 // Limits the retries of a service to a fraction of its successes, so that failing servers can't
-// multiply the load on the others: attempts <= requests x 1.1 + reserve.
+// multiply the load on the others: attempts <= requests x 1.1 + kMaxRetries.
 class RetryBudget {
  public:
   static constexpr double kRetriesPerSuccess = 0.1;
@@ -305,8 +305,9 @@
 // current one are late: they are dropped and counted.
 using CallNumber = std::uint32_t;
 
+// Attempts are named request.1, request.2, ....
 struct RequestPlan {
-  RequestId request;  // attempts are named request.1, request.2, ...
+  RequestId request;
   ServiceName service;
   std::string prefix;
   double tokens = 1;
@@ -449,8 +450,8 @@
   static constexpr Duration kHeadTimeout{3'000'000};
   static constexpr Duration kStreamTimeout{2'000'000};
   static constexpr Duration kRevokeTimeout{1'000'000};
-  static constexpr int kMaxRevokes =
-      3;  // for requests that are not repeatable; others send one revoke
+  // For requests that are not repeatable; others send one revoke.
+  static constexpr int kMaxRevokes = 3;
   // Consecutive resumes without progress. A request that is not repeatable has no other way to
   // its answer, and a restarted agent needs seconds to appear in the membership.
   static constexpr int kMaxResumes = 3;
@@ -482,13 +483,13 @@
   };
   // State of the current attempt.
   struct Attempt {
-    NodeEndpoint to;             // of the present call
+    NodeEndpoint to;             // of the current call
     NodeEndpoint dispatched_to;  // the target of the dispatch; only this incarnation can confirm
                                  // that the work never started
     RequestId request;
     Ran ran = Ran::kNo;
     bool resuming = false;  // the current call is a resume
-    int resumes_in_row = 0;
+    int consecutive_resumes = 0;
     int revokes = 0;
     int finished_probes = 0;  // probes answered with kFinished while the answer was missing
     bool new_incarnation_tried = false;
@@ -500,7 +501,7 @@
   void OnHead(const event::Head& head, Time now);
   void OnData(const event::Data& data, Time now);
   void OnEnd(const event::End& end, Time now);
-  void OnCallFailed(const event::CallFailed& broke, Time now);
+  void OnCallFailed(const event::CallFailed& failure, Time now);
   void OnRevokeAnswered(const event::RevokeAnswered& answered, Time now);
   void OnTimer(Time now);
   void OnCallerDisconnected();
@@ -556,11 +557,11 @@
   bool rerun_differs_ = false;  // the events of a rerun differ from those already sent
   std::string buffer_;          // not sent yet: a buffered answer, or events without a token
   EventSplitter splitter_;
-  std::uint64_t call_bytes_ = 0;   // of the present call
+  std::uint64_t call_bytes_ = 0;   // of the current call
   std::uint64_t tokens_sent_ = 0;  // events with a token that the caller has received
   std::uint64_t sent_hash_ = 0;    // over the tokens counted by tokens_sent_
-  std::uint64_t rerun_events_left_ =
-      0;  // events of a rerun still to be compared with those already sent
+  // Events of a rerun still to be compared with those already sent.
+  std::uint64_t rerun_events_left_ = 0;
   std::uint64_t rerun_hash_ = 0;
 };
 
--- a/include/figmill/relay.h
+++ b/include/figmill/relay.h
@@ -219,9 +219,9 @@
 
 class RelayStateMachine {
  public:
-  // Answers that are not event streams are buffered up to this size; a longer one is forwarded
-  // as it arrives. Unit: bytes. While an answer is buffered, a lost connection can still be
-  // recovered by a send to another backend server.
+  // Answers that are not forwarded event by event are buffered up to this size; a longer one is
+  // forwarded as it arrives. Unit: bytes. While an answer is buffered, a lost connection can
+  // still be recovered by a send to another backend server.
   static constexpr std::size_t kMaxBufferedBytes = 256U << 10;
   // Rejections by backend servers ("not run") after which the caller gets an error: each costs
   // a round trip, and by then the service as a whole is full.
@@ -255,7 +255,7 @@
 
   void ChooseNextBackend(Time now);
   void EndSend(relay::SendEnd end, std::string why);
-  void SendToNextBackend(Time now, relay::SendEnd end, std::string why, Ran ran);
+  void RetryOrFail(Time now, relay::SendEnd end, std::string why, Ran ran);
   void OnFailedAnswer(Time now, const relay::Head& event);
   void OnDeadline();
   void FinishWithError(Error error);
--- a/include/figmill/routes.h
+++ b/include/figmill/routes.h
@@ -45,8 +45,8 @@
   bool resumable = false;       // a stream can be resumed at another backend server
   bool open = false;            // accepts requests without a key
   Duration job_due{0};          // batch: time from submission until all results are due
-  Duration job_expiry{
-      0};  // batch: time from submission after which an unfinished item may be dropped
+  // Batch: time from submission after which an unfinished item may be dropped.
+  Duration job_expiry{0};
 };
 
 // Whether running a request of this route more than once is harmless.
@@ -106,7 +106,7 @@
  private:
   RoutingConfig config_;
   std::optional<TeamDirectory> teams_;
-  // the routes of each host, longest prefix first
+  // The routes of each host, longest prefix first.
   std::unordered_map<std::string, std::vector<const Route*>> by_host_;
 };
 
--- a/src/online/request_answer.cc
+++ b/src/online/request_answer.cc
@@ -62,12 +62,10 @@
     return HandleBrokenCall(BrokenAnswerError("received data before the head of the answer"), now);
   }
   call_bytes_ += data.bytes.size();
-  attempt_.resumes_in_row = 0;
+  attempt_.consecutive_resumes = 0;
   attempt_.finished_probes = 0;
   Deliver(data.bytes);
-  if (rerun_differs_)
-    return FinishWithError(
-        BrokenAnswerError("the stream was interrupted, and a rerun gave different output"));
+  if (rerun_differs_) return FinishWithError(BrokenAnswerError("a rerun gave different output"));
   if (!event_stream_ && buffer_.size() > kMaxBufferedBytes) {
     return FinishWithError(Error{ErrorKind::kTooLarge, "the answer is too large to be buffered"});
   }
@@ -81,8 +79,7 @@
         BrokenAnswerError("the length of the answer doesn't match its final marker"), now);
   }
   if (rerun_events_left_ > 0) {
-    return FinishWithError(
-        BrokenAnswerError("the stream was interrupted, and a rerun gave different output"));
+    return FinishWithError(BrokenAnswerError("a rerun gave different output"));
   }
   // The remaining bytes don't end in a blank line, but the byte count confirms that they are
   // complete.
--- a/src/online/request_state_machine.cc
+++ b/src/online/request_state_machine.cc
@@ -23,7 +23,7 @@
                  [&](const event::Head& head) { OnHead(head, now); },
                  [&](const event::Data& data) { OnData(data, now); },
                  [&](const event::End& end) { OnEnd(end, now); },
-                 [&](const event::CallFailed& broke) { OnCallFailed(broke, now); },
+                 [&](const event::CallFailed& failure) { OnCallFailed(failure, now); },
                  [&](const event::RevokeAnswered& answered) { OnRevokeAnswered(answered, now); },
                  [&](const event::TimerFired&) { OnTimer(now); },
                  [&](const event::CallerDisconnected&) { OnCallerDisconnected(); },
@@ -97,10 +97,10 @@
   DispatchToNextAgent(now);
 }
 
-void RequestStateMachine::OnCallFailed(const event::CallFailed& broke, Time now) {
-  if (!IsCurrent(broke.call)) return;
-  last_error_ = Error{ErrorKind::kBackendFailed, "the call to the agent failed: " + broke.why};
-  if (!broke.sent && !attempt_.resuming) {
+void RequestStateMachine::OnCallFailed(const event::CallFailed& failure, Time now) {
+  if (!IsCurrent(failure.call)) return;
+  last_error_ = Error{ErrorKind::kBackendFailed, "the call to the agent failed: " + failure.why};
+  if (!failure.sent && !attempt_.resuming) {
     attempt_.ran = Ran::kNo;
     CloseCall(AttemptEnd::kFailed, last_error_);
     return DispatchToNextAgent(now);
@@ -205,16 +205,16 @@
 
 void RequestStateMachine::ScheduleResume(Time now) {
   const int max_resumes = plan_.repeatable ? kMaxResumes : kMaxResumesOfUnrepeatable;
-  if (attempt_.resumes_in_row >= max_resumes) return RerunOrFail(now);
-  if (attempt_.resumes_in_row == 0) return Resume(now);
+  if (attempt_.consecutive_resumes >= max_resumes) return RerunOrFail(now);
+  if (attempt_.consecutive_resumes == 0) return Resume(now);
   phase_ = Phase::kBackingOff;
-  const Duration backoff = kResumeBackoff * (1 << (2 * (attempt_.resumes_in_row - 1)));
+  const Duration backoff = kResumeBackoff * (1 << (2 * (attempt_.consecutive_resumes - 1)));
   timer_due_ = now + std::min(backoff, kMaxResumeBackoff);
   ArmTimer(timer_due_);
 }
 
 void RequestStateMachine::Resume(Time now) {
-  ++attempt_.resumes_in_row;
+  ++attempt_.consecutive_resumes;
   const std::optional<NodeEndpoint> found = lookup_.find(attempt_.to.node);
   if (!found) return plan_.repeatable ? RerunOrFail(now) : ScheduleResume(now);
   ++resumes_;
@@ -235,8 +235,8 @@
 }
 
 // The budget keeps retries from multiplying the load. A leaving agent refuses at no cost and
-// refuses all its requests at the same time: charged for that, the budget would be used up and
-// callers would be refused although other agents have capacity.
+// refuses the requests of all callers at once: charged for that, the budget would be used up
+// and callers would be refused although other agents have capacity.
 bool RequestStateMachine::IsFreeRetry() const {
   return ran_before_ == Ran::kNo &&
          (last_error_.kind == ErrorKind::kLeaving || last_error_.kind == ErrorKind::kStaleOrders);
--- a/src/online/retry_budget.cc
+++ b/src/online/retry_budget.cc
@@ -9,7 +9,7 @@
 }
 
 bool RetryBudget::TrySpend() {
-  // The tolerance keeps ten shares of 0.1 worth one retry.
+  // Tolerance for rounding: ten additions of 0.1 must allow one retry.
   constexpr double kOne = 1 - 1e-9;
   if (balance_ < kOne) return false;
   balance_ -= 1;
--- a/src/online/router.cc
+++ b/src/online/router.cc
@@ -204,12 +204,12 @@
     // report correctly decays to 0.
     running += agent.own_running + ReportWeight(agent, now) * agent.others_running;
   }
-  double room = 0;
+  double capacity = 0;
   auto end = out.begin();
-  for (; end != far && room < running; ++end) {
-    room += end->agent->online_mark * SlowStartShare(*end->agent, now);
+  for (; end != far && capacity < running; ++end) {
+    capacity += end->agent->online_mark * SlowStartShare(*end->agent, now);
   }
-  if (room >= running) out.erase(end, out.end());
+  if (capacity >= running) out.erase(end, out.end());
 }
 
 // The prefix's owner, or the next agent by rendezvous hash whose load is not far above the
--- a/src/online/team_limits.cc
+++ b/src/online/team_limits.cc
@@ -15,10 +15,10 @@
 
 constexpr double kMinTokens = 1e-3;
 
-BucketRate BucketRateOf(double limit, double burst_seconds, double granted, double free,
-                        double least) {
-  const double rate = std::max(granted, free * limit);
-  return {rate, std::max(least, rate * burst_seconds)};
+BucketRate BucketRateOf(double limit, double burst_seconds, double granted, double base_share,
+                        double min_capacity) {
+  const double rate = std::max(granted, base_share * limit);
+  return {rate, std::max(min_capacity, rate * burst_seconds)};
 }
 
 }  // namespace
@@ -50,13 +50,13 @@
   if (team.share && now > *team.owner_asked_at + kShareLifetime) team.share.reset();
   // An equal share while an owner that was asked does not respond.
   const bool owner_silent = !team.share && team.owner_asked_at;
-  const double free = (owner_silent ? 1.0 : kFreeShare) / entries;
+  const double base_share = (owner_silent ? 1.0 : kFreeShare) / entries;
   const TeamRates granted = team.share.value_or(TeamRates{});
   const BucketRate requests = BucketRateOf(limit.requests_per_second, limit.burst_seconds,
-                                           granted.requests, free, kMinBurst);
+                                           granted.requests, base_share, kMinBurst);
   team.requests.SetRate(requests.rate, requests.capacity, now);
   const BucketRate tokens =
-      BucketRateOf(limit.tokens_per_second, limit.burst_seconds, granted.tokens, free, 1);
+      BucketRateOf(limit.tokens_per_second, limit.burst_seconds, granted.tokens, base_share, 1);
   team.tokens.SetRate(tokens.rate, tokens.capacity, now);
 }
 
@@ -92,9 +92,9 @@
   if (wait > Duration{0}) {
     team->needs_larger_share = true;
     // A larger share may be granted with the next report.
-    const Duration least = team->share ? Duration{100'000} : kReportPeriod;
+    const Duration min_wait = team->share ? Duration{100'000} : kReportPeriod;
     return Error{ErrorKind::kTeamLimit, "team '" + id.value + "' has exceeded its rate limit",
-                 Ran::kNo, std::max(wait, least)};
+                 Ran::kNo, std::max(wait, min_wait)};
   }
   if (by_requests) team->requests.Take(1);
   if (by_tokens) team->tokens.Take(tokens);
--- a/src/online/token_bucket.cc
+++ b/src/online/token_bucket.cc
@@ -10,10 +10,10 @@
 }  // namespace
 
 double TokenBucket::Level(Time now) {
-  if (now > at_) {
-    const double seconds = static_cast<double>((now - at_).count()) / kMicrosPerSecond;
+  if (now > refilled_at_) {
+    const double seconds = static_cast<double>((now - refilled_at_).count()) / kMicrosPerSecond;
     level_ = std::min(capacity_, level_ + rate_ * seconds);
-    at_ = now;
+    refilled_at_ = now;
   }
   return level_;
 }
@@ -21,7 +21,7 @@
 void TokenBucket::SetRate(double per_second, double capacity, Time now) {
   if (!filled_) {
     level_ = capacity;
-    at_ = now;
+    refilled_at_ = now;
     filled_ = true;
   }
   static_cast<void>(Level(now));
--- a/src/relay/relay_state_machine.cc
+++ b/src/relay/relay_state_machine.cc
@@ -90,15 +90,14 @@
 void RelayStateMachine::On(Time now, const relay::Head& event) {
   if (!IsCurrent(event.send) || state_ != State::kSent) return;
   if (!BelongsToRequest(event.id, event.not_run)) {
-    return SendToNextBackend(now, relay::SendEnd::kBroken, "received an answer to another request",
-                             Ran::kUnknown);
+    return RetryOrFail(now, relay::SendEnd::kBroken, "received an answer to another request",
+                       Ran::kUnknown);
   }
   if (event.not_run) {
     ++rejections_;
     const bool misdirected = event.head.status == kMisdirected;
-    return SendToNextBackend(now,
-                             misdirected ? relay::SendEnd::kMisdirected : relay::SendEnd::kRejected,
-                             "not run, status " + std::to_string(event.head.status), Ran::kNo);
+    return RetryOrFail(now, misdirected ? relay::SendEnd::kMisdirected : relay::SendEnd::kRejected,
+                       "not run, status " + std::to_string(event.head.status), Ran::kNo);
   }
   if (event.head.status >= kFirstErrorStatus) return OnFailedAnswer(now, event);
   last_data_at_ = now;
@@ -115,8 +114,8 @@
 // The backend server failed after it started the request. Another one may succeed.
 void RelayStateMachine::OnFailedAnswer(Time now, const relay::Head& event) {
   if (MayResend(Ran::kYes) || head_forwarded_) {
-    return SendToNextBackend(now, relay::SendEnd::kFailed,
-                             "status " + std::to_string(event.head.status), Ran::kYes);
+    return RetryOrFail(now, relay::SendEnd::kFailed, "status " + std::to_string(event.head.status),
+                       Ran::kYes);
   }
   state_ = State::kAnswering;
   ran_ = Ran::kYes;
@@ -131,8 +130,7 @@
     std::string events = splitter_.Feed(event.bytes);
     if (!events.empty()) actions_.emplace_back(relay::ForwardBytes{std::move(events)});
     if (!splitter_.has_duplicate()) return;
-    return SendToNextBackend(now, relay::SendEnd::kBroken, "received a duplicate event",
-                             Ran::kUnknown);
+    return RetryOrFail(now, relay::SendEnd::kBroken, "received a duplicate event", Ran::kUnknown);
   }
   if (head_forwarded_) {
     actions_.emplace_back(relay::ForwardBytes{std::string(event.bytes)});
@@ -148,7 +146,7 @@
 void RelayStateMachine::On(Time now, const relay::End& event) {
   if (!IsCurrent(event.send)) return;
   if (state_ != State::kAnswering || splitter_.in_event()) {
-    return SendToNextBackend(now, relay::SendEnd::kBroken, "the answer ended early", Ran::kUnknown);
+    return RetryOrFail(now, relay::SendEnd::kBroken, "the answer ended early", Ran::kUnknown);
   }
   const bool failed = head_.status >= kFirstErrorStatus;
   EndSend(failed ? relay::SendEnd::kFailed : relay::SendEnd::kAnswered,
@@ -163,8 +161,8 @@
 
 void RelayStateMachine::On(Time now, const relay::SendFailed& event) {
   if (!IsCurrent(event.send)) return;
-  if (!event.sent) return SendToNextBackend(now, relay::SendEnd::kUnreachable, event.why, Ran::kNo);
-  SendToNextBackend(now, relay::SendEnd::kBroken, event.why, Ran::kUnknown);
+  if (!event.sent) return RetryOrFail(now, relay::SendEnd::kUnreachable, event.why, Ran::kNo);
+  RetryOrFail(now, relay::SendEnd::kBroken, event.why, Ran::kUnknown);
 }
 
 // Whether the request ran is unknown: it may have run in the incarnation that has ended, or in
@@ -173,20 +171,19 @@
 void RelayStateMachine::On(Time now, const relay::BackendRestarted& event) {
   if (!IsCurrent(event.send)) return;
   std::erase(tried_, backend_.id);
-  SendToNextBackend(now, relay::SendEnd::kBroken, "the backend server has started again",
-                    Ran::kUnknown);
+  RetryOrFail(now, relay::SendEnd::kBroken, "the backend server has started again", Ran::kUnknown);
 }
 
 void RelayStateMachine::On(Time now, const relay::TimerFired& /*event*/) {
   if (now >= plan_.deadline) return OnDeadline();
   if (state_ != State::kSent && state_ != State::kAnswering) return;
   if (now - timer_at_ >= kSuspendedTimerDelay) last_data_at_ = now;
-  const Duration silence_timeout =
+  const Duration timeout =
       state_ == State::kSent ? plan_.first_byte_timeout : plan_.next_byte_timeout;
-  const bool silent = silence_timeout.count() > 0 && now - last_data_at_ >= silence_timeout;
+  const bool silent = timeout.count() > 0 && now - last_data_at_ >= timeout;
   if (silent && MayResend(Ran::kUnknown)) {
-    return SendToNextBackend(now, relay::SendEnd::kSilent, "no data within the silence timeout",
-                             Ran::kUnknown);
+    return RetryOrFail(now, relay::SendEnd::kSilent, "no data within the silence timeout",
+                       Ran::kUnknown);
   }
   ArmTimer(now);
 }
@@ -223,7 +220,7 @@
   return backends_used_ + 1 < plan_.max_backends;
 }
 
-void RelayStateMachine::SendToNextBackend(Time now, relay::SendEnd end, std::string why, Ran ran) {
+void RelayStateMachine::RetryOrFail(Time now, relay::SendEnd end, std::string why, Ran ran) {
   const bool again = MayResend(ran) && now < plan_.deadline;
   EndSend(end, why);
   splitter_.DropIncomplete();
@@ -254,11 +251,10 @@
 
 void RelayStateMachine::ArmTimer(Time now) {
   Time at = plan_.deadline;
-  Duration silence_timeout{0};
-  if (state_ == State::kSent) silence_timeout = plan_.first_byte_timeout;
-  if (state_ == State::kAnswering) silence_timeout = plan_.next_byte_timeout;
-  if (silence_timeout.count() > 0 && MayResend(Ran::kUnknown))
-    at = std::min(at, last_data_at_ + silence_timeout);
+  Duration timeout{0};
+  if (state_ == State::kSent) timeout = plan_.first_byte_timeout;
+  if (state_ == State::kAnswering) timeout = plan_.next_byte_timeout;
+  if (timeout.count() > 0 && MayResend(Ran::kUnknown)) at = std::min(at, last_data_at_ + timeout);
   timer_at_ = std::max(at, now);
   actions_.emplace_back(relay::SetTimer{timer_at_});
 }
