--- a/include/figmill/online.h
+++ b/include/figmill/online.h
@@ -171,7 +171,7 @@
 class TokenBucket {
  public:
   void SetRate(double per_second, double capacity, Time now);
-  // Tokens available after the refill; negative when a large request has overdrawn the bucket.
+  // Tokens available after the refill; below 0 when a large request has overdrawn the bucket.
   [[nodiscard]] double Level(Time now);
   void Take(double n) { level_ -= n; }
   // Time until the level is at least `n`.
