--- a/include/figmill/items.h
+++ b/include/figmill/items.h
@@ -35,9 +35,9 @@
   // Bytes of an event stream.
   void Feed(std::string_view bytes);
   // The run was interrupted: drops an incomplete event, which the next run sends again.
-  void DropIncomplete() { pieces_.DropTail(); }
+  void DropIncomplete() { pieces_.DropIncomplete(); }
   // Whether the run sends events that earlier runs have already delivered.
-  [[nodiscard]] bool has_duplicate() const { return pieces_.repeats(); }
+  [[nodiscard]] bool has_duplicate() const { return pieces_.has_duplicate(); }
   // Whether the bytes so far end with a complete event.
   [[nodiscard]] bool at_event_end() const { return !pieces_.in_event(); }
   [[nodiscard]] const std::optional<std::string>& last_id() const { return pieces_.last_id(); }
@@ -51,7 +51,7 @@
   void Restore(const ledger::ProgressPiece& piece);
 
  private:
-  EventPieces pieces_;
+  OrderedEventSplitter pieces_;
   std::string text_;
   std::size_t taken_bytes_ = 0;  // bytes of the text already taken as pieces
   std::uint32_t next_piece_ = 0;
@@ -63,7 +63,7 @@
 struct ItemAnswerHead {
   int status = 0;
   bool not_run = false;  // the response states that the item was not run
-  AnsweredId id = AnsweredId::kNone;
+  AnswerIdMatch id = AnswerIdMatch::kMissing;
 };
 
 namespace item_answer {
--- a/src/online/retry_budget.cc
+++ b/src/online/retry_budget.cc
@@ -4,15 +4,15 @@
 
 namespace figmill {
 
-void RetryBudget::Succeeded() {
-  saved_ = std::min(kReserve, saved_ + kShare);
+void RetryBudget::RecordSuccess() {
+  balance_ = std::min(kMaxRetries, balance_ + kRetriesPerSuccess);
 }
 
-bool RetryBudget::Spend() {
-  // The tolerance keeps ten shares of 0.1 worth one retry.
+bool RetryBudget::TrySpend() {
+  // Tolerance for rounding: ten additions of 0.1 must allow one retry.
   constexpr double kOne = 1 - 1e-9;
-  if (saved_ < kOne) return false;
-  saved_ -= 1;
+  if (balance_ < kOne) return false;
+  balance_ -= 1;
   return true;
 }
 
--- a/test/items-test.cc
+++ b/test/items-test.cc
@@ -127,7 +127,7 @@
 
 TEST_CASE("a response is classified by its status and by whether it says not run") {
   const auto says = [](int status, bool not_run = false) {
-    return ItemAnswerOf({status, not_run, AnsweredId::kOurs});
+    return ItemAnswerOf({status, not_run, AnswerIdMatch::kSame});
   };
   CHECK(Is<item_answer::Output>(says(200)));
   CHECK(Is<item_answer::NotRun>(says(503, /*not_run=*/true)));
@@ -136,19 +136,19 @@
   CHECK(std::get<item_answer::Failed>(says(500)).counts_as_failure);
   CHECK_FALSE(std::get<item_answer::Failed>(says(504)).counts_as_failure);
   // Refusals need not name the request.
-  CHECK(Is<item_answer::NotRun>(ItemAnswerOf({503, true, AnsweredId::kNone})));
-  CHECK(Is<item_answer::NotRun>(ItemAnswerOf({421, false, AnsweredId::kNone})));
+  CHECK(Is<item_answer::NotRun>(ItemAnswerOf({503, true, AnswerIdMatch::kMissing})));
+  CHECK(Is<item_answer::NotRun>(ItemAnswerOf({421, false, AnswerIdMatch::kMissing})));
 }
 
 // Guards against an item that ends as impossible although it could have run: a backend server
 // responds twice, and its second response, to another item, arrives in place of this item's.
 // If it says "not run", the item would run twice.
 TEST_CASE("a response to another request says nothing about the item") {
-  CHECK(Is<item_answer::WrongRequest>(ItemAnswerOf({503, true, AnsweredId::kAnothers})));
-  CHECK(Is<item_answer::WrongRequest>(ItemAnswerOf({421, false, AnsweredId::kAnothers})));
+  CHECK(Is<item_answer::WrongRequest>(ItemAnswerOf({503, true, AnswerIdMatch::kOther})));
+  CHECK(Is<item_answer::WrongRequest>(ItemAnswerOf({421, false, AnswerIdMatch::kOther})));
   for (const int status : {200, 422, 500}) {
-    CHECK(Is<item_answer::WrongRequest>(ItemAnswerOf({status, false, AnsweredId::kNone})));
-    CHECK(Is<item_answer::WrongRequest>(ItemAnswerOf({status, false, AnsweredId::kAnothers})));
+    CHECK(Is<item_answer::WrongRequest>(ItemAnswerOf({status, false, AnswerIdMatch::kMissing})));
+    CHECK(Is<item_answer::WrongRequest>(ItemAnswerOf({status, false, AnswerIdMatch::kOther})));
   }
 }
 
--- a/test/online-router-test.cc
+++ b/test/online-router-test.cc
@@ -33,21 +33,22 @@
   return snapshot;
 }
 
-struct Bench {
-  explicit Bench(const Snapshot& snapshot, const std::string& self = "e0") : router(Made(self)) {
+struct RouterFixture {
+  explicit RouterFixture(const Snapshot& snapshot, const std::string& self = "e0")
+      : router(MakeRouter(self)) {
     router.Update(snapshot, kStart);
   }
-  Router Made(const std::string& self) {
+  Router MakeRouter(const std::string& self) {
     return {NodeId{self}, DataCentre{"north/a"}, [this] { return random(); }};
   }
-  // Where `n` requests go that stay in flight.
+  // Sends `n` requests that stay in flight; returns their number by agent.
   std::map<std::string, int> Send(int n, Time now, std::string_view prefix = {}) {
     std::map<std::string, int> to;
     for (int i = 0; i < n; ++i) {
-      const auto pick = router.Choose({kService, prefix, 256, {}}, now);
-      REQUIRE(IsOk(pick));
-      ++to[ValueOf(pick).node.value];
-      router.Dispatched(ValueOf(pick).node, 256);
+      const auto endpoint = router.Choose({kService, prefix, 256, {}}, now);
+      REQUIRE(IsOk(endpoint));
+      ++to[ValueOf(endpoint).node.value];
+      router.RecordDispatch(ValueOf(endpoint).node, 256);
     }
     return to;
   }
@@ -57,19 +58,21 @@
 
 }  // namespace
 
-TEST_CASE("each entry knows a bounded subset, and together they load agents evenly") {
+TEST_CASE(
+    "each entry has a bounded set of candidates, and all entries together load agents evenly") {
   const Snapshot fleet = Fleet(100);
   std::map<std::string, int> to;
   for (int entry = 0; entry < 60; ++entry) {
-    Bench bench(fleet, "e" + std::to_string(entry));
-    CHECK(bench.router.candidates(kService) <= Router::kSubset);
-    for (const auto& [node, n] : bench.Send(32, kStart)) to[node] += n;
+    RouterFixture fixture(fleet, "e" + std::to_string(entry));
+    CHECK(fixture.router.candidates(kService) <= Router::kSubsetSize);
+    for (const auto& [node, n] : fixture.Send(32, kStart)) to[node] += n;
   }
   CHECK(to.size() == 100);
   for (const auto& [node, n] : to) CHECK(n < 4 * 60 * 32 / 100);
 }
 
-TEST_CASE("leaving, drained and dead agents are out at once, suspect ones unless alone") {
+TEST_CASE(
+    "leaving, drained and dead agents are removed at once, suspect ones unless there is no other") {
   Snapshot fleet = Fleet(5);
   fleet.members[0].leaving = true;
   fleet.members[1].liveness = Liveness::kDead;
@@ -77,68 +80,67 @@
   auto config = std::make_shared<Config>();
   config->backends[{"a3"}].drained = true;
   fleet.config = config;
-  Bench bench(fleet);
-  CHECK(bench.Send(50, kStart).size() == 1);
+  RouterFixture fixture(fleet);
+  CHECK(fixture.Send(50, kStart).size() == 1);
   fleet.members[4].leaving = true;
-  bench.router.Update(fleet, kStart);
-  CHECK(bench.Send(50, kStart).begin()->first == "a2");
+  fixture.router.Update(fleet, kStart);
+  CHECK(fixture.Send(50, kStart).begin()->first == "a2");
   fleet.members[2].liveness = Liveness::kDead;
-  bench.router.Update(fleet, kStart);
-  CHECK_FALSE(IsOk(bench.router.Choose({kService, {}, 1, {}}, kStart)));
+  fixture.router.Update(fleet, kStart);
+  CHECK_FALSE(IsOk(fixture.router.Choose({kService, {}, 1, {}}, kStart)));
 }
 
-TEST_CASE("a prefix stays with its owner until that is loaded far over the mean") {
-  Bench bench(Fleet(8));
+TEST_CASE("a prefix stays with its owner until the owner's load is far above the mean") {
+  RouterFixture fixture(Fleet(8));
   constexpr std::string_view kPrefix = "you are an agronomist";
-  const std::string owner = bench.Send(1, kStart, kPrefix).begin()->first;
+  const std::string owner = fixture.Send(1, kStart, kPrefix).begin()->first;
   for (int i = 0; i < 20; ++i) {
-    bench.router.Ended({owner}, 256, AttemptEnd::kAnswered, std::nullopt, kStart);
-    CHECK(bench.Send(1, kStart, kPrefix).begin()->first == owner);
+    fixture.router.RecordAttemptEnd({owner}, 256, AttemptEnd::kAnswered, std::nullopt, kStart);
+    CHECK(fixture.Send(1, kStart, kPrefix).begin()->first == owner);
   }
-  const auto many = bench.Send(79, kStart, kPrefix);
+  const auto many = fixture.Send(79, kStart, kPrefix);
   CHECK(many.size() * Router::kBoundedLoad >= 8);
   for (const auto& [node, n] : many) CHECK(n <= 15);
 }
 
-TEST_CASE("an agent that says nothing isn't taken for idle") {
-  // Symptom: one slow server draws the load of every entry, first tokens take
-  // seconds at the 99th percentile.
-  // Sequence: all agents but one report other entries' requests; the slow one's
-  // answers, and with them its reports, don't come.
-  // Cause: no report counted as no load.
-  Bench bench(Fleet(4));
+TEST_CASE("an agent without a load report isn't assumed to be idle") {
+  // Guards against one slow agent that attracts the load of every entry, so that first tokens
+  // take seconds at the 99th percentile. All agents but one report the requests of other
+  // entries; the slow one's answers, and its load reports with them, don't arrive. Without a
+  // report an agent was taken for idle.
+  RouterFixture fixture(Fleet(4));
   for (const char* node : {"a1", "a2", "a3"}) {
-    bench.router.HeadSeen({node}, {.online_running = 10}, kStart);
+    fixture.router.RecordLoad({node}, {.online_running = 10}, kStart);
   }
-  CHECK(bench.Send(40, kStart)["a0"] <= 15);
+  CHECK(fixture.Send(40, kStart)["a0"] <= 15);
 }
 
-TEST_CASE("another data centre is used when its agents are less loaded by the hop's price") {
+TEST_CASE("another data centre is used when the load difference exceeds the cost of the distance") {
   Snapshot fleet = Fleet(2);
   fleet.members.push_back(Agent(2, "north/b"));
   fleet.members.push_back(Agent(3, "south/a"));
-  Bench bench(fleet);
-  const auto light = bench.Send(2, kStart);
+  RouterFixture fixture(fleet);
+  const auto light = fixture.Send(2, kStart);
   CHECK_FALSE(light.contains("a2"));
-  const auto heavy = bench.Send(30, kStart);
+  const auto heavy = fixture.Send(30, kStart);
   CHECK(heavy.contains("a2"));
   CHECK_FALSE(heavy.contains("a3"));
 }
 
-TEST_CASE("a new agent is let in slowly, a failing one ejected, never more than half") {
-  // Symptom: a third of requests fail for minutes while one agent is broken; or a
-  // fault of all agents ends with one of them taking all the load.
-  // Sequence: agents answer nothing; each failure is reported to the router.
-  // Cause: no memory of failures; or ejection without a floor.
+TEST_CASE("a new agent gets a slow start, failing ones are ejected, and at most half of them") {
+  // Guards against two failures: a third of the requests fail for minutes while one agent is
+  // broken, because failures aren't remembered; and a fault of all agents puts all the load on
+  // one of them, because ejection has no lower bound on the remaining agents. Agents answer
+  // nothing; each failure is reported to the router.
   Snapshot fleet = Fleet(4);
-  Bench bench(fleet);
+  RouterFixture fixture(fleet);
   fleet.members.push_back(Agent(4));
-  bench.router.Update(fleet, kStart);
-  CHECK(bench.Send(100, kStart)["a4"] < 10);
+  fixture.router.Update(fleet, kStart);
+  CHECK(fixture.Send(100, kStart)["a4"] < 10);
 
-  Bench failing(fleet);
+  RouterFixture failing(fleet);
   const auto fail = [&](const char* node, Time now) {
-    failing.router.Ended({node}, 0, AttemptEnd::kFailed, std::nullopt, now);
+    failing.router.RecordAttemptEnd({node}, 0, AttemptEnd::kFailed, std::nullopt, now);
   };
   for (int i = 0; i < Router::kFailuresToEject; ++i) fail("a0", kStart);
   CHECK(failing.Send(50, kStart).size() == 4);
@@ -149,46 +151,46 @@
   CHECK(failing.Send(50, kStart).size() >= 3);
   const Time back = kStart + Router::kFirstEjection + Router::kSlowStart;
   CHECK(failing.Send(200, back).size() == 5);
-  fail("a0", back);  // on probation: one more failure is enough
+  fail("a0", back);  // one more failure is enough after an ejection
   CHECK(failing.router.ejected(back) == 1);
 }
 
-TEST_CASE("the brown-out of a third of the agents doesn't multiply load") {
-  // Symptom: servers that still work fall over after a third of them fail.
-  // Sequence: agents a0..a3 of twelve answer nothing and never started the work;
-  // every request of 40 entries is repeatable.
-  // Cause: each failed request is sent again, without a budget or a memory.
+TEST_CASE("the failure of a third of the agents doesn't multiply load") {
+  // Guards against overload of the remaining servers after a third of them fail. Agents a0..a3
+  // of twelve answer nothing and never start the work; every request of 40 entries is
+  // repeatable. Without a retry budget and without a record of failures, each failed request is
+  // sent again.
   const Snapshot fleet = Fleet(12);
   int requests = 0, attempts = 0, answered = 0;
   for (int entry = 0; entry < 40; ++entry) {
-    Bench bench(fleet, "e" + std::to_string(entry));
+    RouterFixture fixture(fleet, "e" + std::to_string(entry));
     RetryBudget budget;
     Time now = kStart;
-    const RequestRoutes routes{
+    const AgentLookup lookup{
         [&](const RequestPlan& plan, std::span<const NodeId> tried, Time at) {
-          return bench.router.Choose({plan.service, {}, plan.tokens, tried}, at);
+          return fixture.router.Choose({plan.service, {}, plan.tokens, tried}, at);
         },
-        [&](const NodeId& node) { return bench.router.Find(node); }};
+        [&](const NodeId& node) { return fixture.router.Find(node); }};
     for (int i = 0; i < 600; ++i) {
       now += Duration{100'000};
       RequestPlan plan;
       plan.request = {"r" + std::to_string(i)};
       plan.service = kService;
       plan.deadline = now + Duration{10'000'000};
-      RequestRun run(plan, routes, budget, [&] { return bench.random(); });
+      RequestStateMachine run(plan, lookup, budget, [&] { return fixture.random(); });
       std::vector<RequestAction> actions = run.On(event::Start{}, now);
       while (!actions.empty()) {
         std::vector<RequestAction> next;
         for (const RequestAction& action : actions) {
-          if (const auto* over = std::get_if<action::CallOver>(&action)) {
-            bench.router.Ended(over->to.node, 1, over->end, over->error, now);
+          if (const auto* over = std::get_if<action::EndCall>(&action)) {
+            fixture.router.RecordAttemptEnd(over->to.node, 1, over->end, over->error, now);
           }
           if (const auto* dispatch = std::get_if<action::Dispatch>(&action)) {
-            bench.router.Dispatched(dispatch->to.node, 1);
-            const bool brown =
+            fixture.router.RecordDispatch(dispatch->to.node, 1);
+            const bool broken =
                 std::set<std::string>{"a0", "a1", "a2", "a3"}.contains(dispatch->to.node.value);
-            if (brown) {
-              next = run.On(event::Broke{dispatch->call, false, "no connection"}, now);
+            if (broken) {
+              next = run.On(event::CallFailed{dispatch->call, false, "no connection"}, now);
             } else {
               static_cast<void>(
                   run.On(event::Head{dispatch->call, 200, "", dispatch->request}, now));
@@ -209,29 +211,29 @@
   CHECK(answered >= 0.97 * requests);
 }
 
-// Symptom: batch gets 6 in 100 of what online leaves of the engines.
-// Sequence: online goes evenly to all engines, so that each always has a little;
-// beside any online, batch may stretch the token gap by a small share only.
-// Cause: spreading a load that a few engines could hold within their marks.
-TEST_CASE("online keeps to the fewest agents that hold it, the same at every entry") {
+// Guards against spreading a load that a few engines could hold within their online marks:
+// batch then got 6 in 100 of the capacity that online left. With online streams spread evenly,
+// each engine always has a few, and beside any online stream batch may increase the token gap
+// only by a small fraction.
+TEST_CASE("online streams go to the fewest agents that can hold them, the same at every entry") {
   Snapshot fleet = Fleet(10);
   auto config = std::make_shared<Config>();
   config->services[kService].kind = ServiceKind::kModel;
   fleet.config = config;
   std::set<std::string> used;
   for (const char* self : {"e0", "e1", "e2"}) {
-    Bench bench(fleet, self);
+    RouterFixture fixture(fleet, self);
     for (int i = 0; i < 10; ++i) {
-      bench.router.HeadSeen(Agent(i).node, {.online_running = 0, .online_mark = 20}, kStart);
+      fixture.router.RecordLoad(Agent(i).node, {.online_running = 0, .online_mark = 20}, kStart);
     }
-    const auto to = bench.Send(30, kStart);
+    const auto to = fixture.Send(30, kStart);
     CHECK(to.size() == 2);
     for (const auto& [node, n] : to) {
       CHECK(n <= 20 + 1);
       used.insert(node);
     }
-    const auto more = bench.Send(300, kStart);
-    CHECK(more.size() == 10);  // past all marks, everyone helps
+    const auto more = fixture.Send(300, kStart);
+    CHECK(more.size() == 10);  // beyond all marks, every agent is used
   }
   CHECK(used.size() == 2);
 }
--- a/test/slot-sim.h
+++ b/test/slot-sim.h
@@ -376,7 +376,8 @@
       if (engine.lost) {
         entries_[e]->pool.ReleaseSlot(slot, relay::SendEnd::kUnreachable, {}, now_);
         Report(e, allocator_of_.at(id));
-        if (tried.size() >= RelayRun::kMaxRejections) return OnRefused(e, attempt, Duration{0});
+        if (tried.size() >= RelayStateMachine::kMaxRejections)
+          return OnRefused(e, attempt, Duration{0});
         return FindSlot(e, attempt, tried);
       }
       engine.waiting.push_back({e, attempt, slot});
