--- a/src/relay/relay_state_machine.cc
+++ b/src/relay/relay_state_machine.cc
@@ -182,8 +182,7 @@
       state_ == State::kSent ? plan_.first_byte_timeout : plan_.next_byte_timeout;
   const bool silent = timeout.count() > 0 && now - last_data_at_ >= timeout;
   if (silent && MayResend(Ran::kUnknown)) {
-    return RetryOrFail(now, relay::SendEnd::kSilent, "no data within the silence timeout",
-                       Ran::kUnknown);
+    return RetryOrFail(now, relay::SendEnd::kSilent, "no bytes in time", Ran::kUnknown);
   }
   ArmTimer(now);
 }
@@ -191,14 +190,14 @@
 void RelayStateMachine::OnDeadline() {
   const bool send_open = state_ == State::kSent || state_ == State::kAnswering;
   if (send_open) {
-    EndSend(relay::SendEnd::kAbandoned, "the deadline passed");
+    EndSend(relay::SendEnd::kAbandoned, "time is up");
     if (ran_ == Ran::kNo) ran_ = Ran::kUnknown;
   }
   if (ran_ == Ran::kNo) {
     return FinishWithError({ErrorKind::kOverloaded,
                             "no backend server had a free slot before the deadline", Ran::kNo});
   }
-  FinishWithError({ErrorKind::kDeadlineExceeded, "no complete answer before the deadline", ran_});
+  FinishWithError({ErrorKind::kDeadlineExceeded, "no whole answer in time", ran_});
 }
 
 void RelayStateMachine::On(Time /*now*/, const relay::CallerDisconnected& /*event*/) {
@@ -231,9 +230,8 @@
   }
   if (again) return ChooseNextBackend(now);
   if (ran_ == Ran::kNo) {
-    return FinishWithError({ErrorKind::kOverloaded,
-                            "no backend server accepted the request; last error: " + why,
-                            Ran::kNo});
+    return FinishWithError(
+        {ErrorKind::kOverloaded, "no backend server took it; the last one: " + why, Ran::kNo});
   }
   FinishWithError(
       {end == relay::SendEnd::kBroken ? ErrorKind::kBrokenAnswer : ErrorKind::kBackendFailed,
