--- a/src/gateway/batch_runner.cc
+++ b/src/gateway/batch_runner.cc
@@ -81,8 +81,9 @@
   if (pause.count() > 0) tools_.loop.Later(pause, [this] { Pump(); });
 }
 
-// Until the item may run, for the crashes that followed it. It is not given up before its time:
-// what is listed as dead stays dead, and another request may have been the cause.
+// Time until the item may run, when it is quarantined because backend servers crashed while they
+// ran it. It isn't recorded as dead before its job expires: a recorded result is final, and another
+// request may have caused the crashes.
 Duration BatchRunner::QuarantineLeft(const OwnedJob& job, const JobItemRef& key) const {
   if (!tools_.crashes.quarantines()) return Duration{0};
   const HttpCall call = ItemCall(tools_.names, job.head(), job.items()[key.item]);
@@ -121,11 +122,11 @@
   StartAllowed();
 }
 
-// Online has come.
+// Stops runs beyond the batch grants, which shrink when online requests arrive.
 void BatchRunner::StopExcess() {
   std::vector<std::pair<BackendId, int>> excess;
   tools_.places.ForEach([&excess](const BackendInfo& info, const SlotUsage& use) {
-    if (info.state == BackendState::kUnreadable) return;  // what runs there is left to end
+    if (info.state == BackendState::kUnreadable) return;  // runs there may finish
     if (use.batch > use.batch_allowed) excess.emplace_back(info.id, use.batch - use.batch_allowed);
   });
   for (const auto& [backend, count] : excess) {
@@ -134,7 +135,7 @@
       if (run.backend.id == backend) there.push_back({key, run.due, work_.TimeToFinish(key)});
     }
     for (const JobItemRef& key : ItemsToStop(std::move(there), count, TimeNow().store)) {
-      Requeue(key, relay::SendEnd::kAbandoned, "gives way to online", Duration{0});
+      Requeue(key, relay::SendEnd::kAbandoned, "preempted by online requests", Duration{0});
     }
   }
 }
@@ -150,7 +151,7 @@
       open.emplace_back(static_cast<double>(used + i - use.batch) / info.slots, info);
     }
   });
-  // The least used first: there a run disturbs others least, and is stopped last.
+  // Least loaded first: a run there slows others least, and is stopped last.
   std::sort(open.begin(), open.end(),
             [](const auto& a, const auto& b) { return a.first < b.first; });
   bool started = false;
@@ -252,7 +253,8 @@
                    Requeue(key, end, "not run, " + why, kRetryPause);
                  },
                  [&](item_answer::WrongRequest) {
-                   Requeue(key, relay::SendEnd::kBroken, "answered another request", kRetryPause);
+                   Requeue(key, relay::SendEnd::kBroken, "response belongs to another request",
+                           kRetryPause);
                  },
                  [&](item_answer::Unprocessable) {
                    EndRun(key, relay::SendEnd::kAnswered);
@@ -282,13 +284,13 @@
   ItemText& text = work_.ProgressOf(key).text;
   text.Feed(bytes);
   if (text.has_duplicate())
-    Requeue(key, relay::SendEnd::kBroken, "an event came again", kRetryPause);
+    Requeue(key, relay::SendEnd::kBroken, "duplicate event in the response", kRetryPause);
 }
 
 void BatchRunner::OnEnd(const JobItemRef& key) {
   const Run& run = runs_[key];
   if (!run.answering || !work_.ProgressOf(key).text.at_event_end()) {
-    return Requeue(key, relay::SendEnd::kBroken, "ended early", kRetryPause);
+    return Requeue(key, relay::SendEnd::kBroken, "response ended early", kRetryPause);
   }
   if (tools_.crashes.has_reports()) tools_.crashes.Completed(run.lost_send.request);
   EndRun(key, relay::SendEnd::kAnswered);
--- a/src/gateway/batch_runner.h
+++ b/src/gateway/batch_runner.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Runs the items of the jobs that this entry owns, in the places that the keepers
-// of the backend servers allow it, and stops them when less is allowed.
+// Runs the items of the jobs that this entry owns, in the batch slots that the slot
+// allocators of the backend servers grant it, and stops runs when a grant shrinks.
 
 #include <functional>
 #include <map>
@@ -20,15 +20,16 @@
 
 class BatchRunner {
  public:
-  // After a run that failed, before the item goes out again.
+  // Delay between a failed run and the item's next run.
   static constexpr Duration kRetryPause{100'000};
-  // A run without a byte for this long is stopped and goes on elsewhere. The first
-  // byte waits for a place; later ones come every few tens of ms.
+  // A run that receives no byte for this long is stopped, and its item is queued to resume at
+  // any backend server. The first byte waits for a slot; later ones come every few tens of ms.
   static constexpr Duration kFirstByteSilence{2'500'000};
   static constexpr Duration kNextByteSilence{1'000'000};
   static constexpr Duration kSweepPeriod{250'000};
-  // What runs have given is kept this often, for another owner to go on from. A
-  // host that dies loses as much of each run; a write costs a call and its bytes.
+  // Interval at which the partial output of runs is written to the store, for another owner to
+  // resume from. When a host dies, each of its runs loses as much; a write costs a call and its
+  // bytes.
   static constexpr Duration kKeepPeriod{1'000'000};
 
   BatchRunner(RelayTools& tools, JobStore& jobs, const StoreClock& clock,
@@ -36,12 +37,12 @@
 
   void SetRoutes(std::shared_ptr<const RouteTable> routes);
   void OnOwned(OwnedJob& job, const std::vector<ledger::ProgressPiece>& progress);
-  // Stops what runs of the job and keeps what has been done.
+  // Stops the job's runs and adds their partial output to the job's next write.
   void OnHandedOver(OwnedJob& job);
   void OnDropped(const JobId& job);
-  // Starts and stops runs as what is allowed now says.
+  // Starts and stops runs to match the slots that are granted now.
   void Pump();
-  // Items that could start now, those due first first.
+  // Items that could start now, in order of their due times.
   [[nodiscard]] std::vector<WaitingItems> Waiting() const;
   [[nodiscard]] std::size_t running() const { return runs_.size(); }
 
@@ -55,7 +56,7 @@
     Time started_at{};
     Time heard_at{};
     StoreTime due{0};
-    CrashWatch::LostSend lost_send;  // if its connection is lost
+    CrashWatch::LostSend lost_send;  // reported when the connection is lost
   };
 
   void Queue(const JobItemRef& key, Duration pause);
@@ -73,15 +74,15 @@
   void OnHead(const JobItemRef& key, const HttpHead& head);
   void OnBytes(const JobItemRef& key, std::string_view bytes);
   void OnEnd(const JobItemRef& key);
-  // The run is over; the item waits for another one.
+  // Ends the run and queues the item for another one.
   void Requeue(const JobItemRef& key, relay::SendEnd end, std::string_view why, Duration pause);
   void EndRun(const JobItemRef& key, relay::SendEnd end);
   void Finish(const JobItemRef& key, ResultState state, std::string_view why);
   void OnFailed(const JobItemRef& key, bool counts, const std::string& why);
   void Sweep();
   void StopSilent();
-  // Lists items as dead that can't be done any more. Without this a job whose route
-  // was removed stays open for ever, and its caller waits for it.
+  // Records items that can't be completed any more as dead. Otherwise a job whose route was
+  // removed would stay open forever, and its caller would wait for it.
   void GiveUpHopeless();
   void LogGivenUp(const JobItemRef& key, std::string_view why) const;
   void KeepProgress();
@@ -94,7 +95,7 @@
   std::shared_ptr<const RouteTable> routes_;
   OpenItems work_;
   std::map<JobItemRef, Run> runs_;
-  bool check_routes_ = false;  // of open items: the configuration or the jobs have changed
+  bool check_routes_ = false;  // the configuration or the jobs changed since the last check
   Timer sweep_timer_, keep_timer_;
 };
 
--- a/src/gateway/batch_sweep.cc
+++ b/src/gateway/batch_sweep.cc
@@ -1,4 +1,5 @@
-// What a BatchRunner ends by time: runs that are silent, and items that can't be done any more.
+// Periodic checks of a BatchRunner: stops runs that receive no data, and gives up items that can't
+// be completed any more.
 
 #include <vector>
 
@@ -33,8 +34,8 @@
   }
 }
 
-// What the verdict rests on: the end of the job's life by the store's clock, and how
-// long ago the store last told its time.
+// Logs what the decision is based on: when the job expires by the store's clock, and how long ago
+// the store last reported its time.
 void BatchRunner::LogGivenUp(const JobItemRef& key, std::string_view why) const {
   const JobHead* head = jobs_.Known(key.job);
   const std::optional<StoreTime> now = TimeNow().store;
@@ -58,7 +59,7 @@
     if (now - run.heard_at >= patience) silent.push_back(key);
   }
   for (const JobItemRef& key : silent) {
-    Requeue(key, relay::SendEnd::kSilent, "no bytes in time", Duration{0});
+    Requeue(key, relay::SendEnd::kSilent, "no data within the timeout", Duration{0});
   }
 }
 
--- a/src/gateway/clocked_tables.h
+++ b/src/gateway/clocked_tables.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Tables whose answers set a StoreClock: whoever has had an answer knows the time.
+// Wraps SharedTables and sets a StoreClock from the store's time in each response.
 
 #include <chrono>
 #include <functional>
@@ -17,8 +17,8 @@
 
 namespace figmill {
 
-// Not left to the callers: a process that takes a job by a call whose answer nobody
-// reads the time from would run it without knowing when its life is over.
+// Done here and not by the users of the tables: a process that takes a job over by a call of
+// which nobody reads the time would run the job without knowing when it expires.
 class ClockedTables final : public SharedTables {
  public:
   ClockedTables(SharedTables& tables, StoreClock& clock) : tables_(tables), clock_(clock) {}
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -1,6 +1,6 @@
-// The process: a control thread that follows the configuration, the list of
-// backend servers and the other entries, and the main thread, which carries the
-// traffic and the batch jobs.
+// The gateway process: a control thread that follows the configuration, the list of
+// backend servers and the other entries, and the main thread, which serves requests
+// and runs batch jobs.
 
 #include "figmill/gateway.h"
 
@@ -23,19 +23,19 @@
 namespace figmill {
 namespace {
 
-// The balancer asks once a second and takes a process out after two misses; until
-// then new connections come in, and callers keep using open ones.
+// The load balancer probes readiness once a second and removes a process after two failed
+// probes; until then new connections arrive, and callers keep using open ones.
 constexpr Duration kBalancerNotice{3'000'000};
 constexpr Duration kIdleCheck{50'000};
-// Entries by way of which the store may be reached; some may be turned away as well.
+// Limit on the entries that may forward calls to the store; the store may refuse some of them too.
 constexpr std::size_t kStorePeers = 12;
-// Requests that come later than this before the kill are refused, as they could be
-// cut: a stream lasts about a second, and waits for a place before.
+// Requests that arrive less than this before the process is killed are refused, as they could be
+// cut off: a stream lasts about a second, after its wait for a slot.
 constexpr Duration kLastRequest{3'000'000};
-// Kept free of the time until the kill, for the last bytes.
+// Reserved at the end of the grace period for sending the last bytes.
 constexpr Duration kGraceMargin{700'000};
 
-// The control thread and what lives on it.
+// The control thread and the objects that it runs.
 class Control {
  public:
   struct Hooks {
@@ -51,7 +51,7 @@
         fleet_(loop_, *tables_, adapter, metrics, settings.teams.lease(), std::move(hooks.fleet)),
         members_(loop_, *tables_, metrics, self, std::move(hooks.members)),
         thread_([this] {
-          // In this order most have joined by the time at which others hear of them.
+          // In this order most entries have joined before others learn of them.
           fleet_.Start();
           members_.Start();
           loop_.Run();
@@ -217,7 +217,7 @@
     return time ? std::chrono::duration<double>(*time).count() : fallback;
   }
 
-  // By way of whom the store may be reached.
+  // Sets the entries that may forward calls to the store.
   void TellPeers() {
     std::vector<Address> peers;
     for (const Peer& peer : peers_.Capable(Loop::Now())) {
@@ -244,7 +244,7 @@
     EndOutdatedSends();
   }
 
-  // After the place book has heard of the new incarnations: what ends here goes on at them.
+  // Runs after the backend pool has the new incarnations: requests that end here are retried there.
   void EndOutdatedSends() {
     const OpenSends::Ended ended = sends_.EndOutdated(backends_, Loop::Now());
     if (ended.lost > 0) {
@@ -307,7 +307,7 @@
   StoreClock clock_;
   ClockedTables clocked_tables_;
   BackendPool places_;
-  BackendList backends_;  // of the view in use
+  BackendList backends_;  // of the FleetView in use
   OpenSends sends_;
   PeerTable peers_;
   PeerLink link_;
--- a/src/gateway/gateway_metrics.h
+++ b/src/gateway/gateway_metrics.h
@@ -1,24 +1,24 @@
 #pragma once
 
-// The gateway's counters and histograms, made once.
+// The gateway's counters and histograms.
 
 #include "figmill/observe.h"
 #include "figmill/relay.h"
 
 namespace figmill {
 
-// Counters by their outcome are looked up once, not at each request.
+// Histograms are looked up once; counters with a label are looked up at each event.
 class GatewayMetrics {
  public:
   explicit GatewayMetrics(Metrics& metrics);
 
-  // A request of a caller has its final answer; `first` is until the first byte of
-  // its answer, 0 if there was none.
+  // A caller's request has its final response. `first` is the time to the first byte of the
+  // response, 0 if there was none.
   void RequestEnded(std::string_view outcome, Duration whole, Duration first);
-  // One send to a backend server has ended.
-  // A request was refused after a quarter of its goal or later: the forecast that it would be
-  // served missed.
+  // A request was refused after a quarter of its latency goal or later: the forecast that it would
+  // be served was wrong.
   void RefusedLate();
+  // One send to a backend server has ended.
   void SendEnded(relay::SendEnd end);
   void ItemEnded(bool complete, Duration whole);
   void ItemStopped(relay::SendEnd end);
--- a/src/gateway/job_desk.cc
+++ b/src/gateway/job_desk.cc
@@ -8,11 +8,11 @@
 namespace {
 
 constexpr int kAccepted = 202;
-// The store is asked again that soon after it refused; then the caller is told to
-// come back, since it is down for seconds when it is down.
+// Retry-After of errors that a retry may solve: when the store is down, it is down for
+// seconds.
 constexpr Duration kComeBack{1'000'000};
-// Results in one answer. Unit: bytes of output; escaping adds to them, and an
-// answer may have 1 MB.
+// Limit on the results in one response, in bytes of output; escaping adds to them, and a
+// response may have 1 MB.
 constexpr std::size_t kMaxAnswerBytes = 600'000;
 
 }  // namespace
@@ -41,7 +41,7 @@
     reply_->Send(std::move(response));
   }
   void Refuse(Error error) {
-    // A status that promises "not run" is for what will never run.
+    // The status of kStoreUnavailable promises that the request will never run.
     if (error.ran != Ran::kNo && error.kind == ErrorKind::kStoreUnavailable) {
       error.kind = ErrorKind::kDeadlineExceeded;
     }
@@ -107,7 +107,7 @@
     if (!IsOk(head)) return answer->Refuse(ErrorOf(head));
     const TeamId& holder = ValueOf(head).team;
     if (holder.empty() || holder == *team) return Serve(call, answer);
-    // Asked for in the store like one that nobody knows, so that the time is the same.
+    // Reads the store as for an unknown job, so that the response takes as long.
     jobs_.Refresh(job, [answer](const Result<JobHead>& /*head*/) {
       answer->Refuse({ErrorKind::kNotFound, "no such job"});
     });
@@ -149,9 +149,9 @@
       });
 }
 
-// "No result yet" is said of the store's row, not of the copy here: another entry
-// may have shown this caller results that have not reached this one, and they would
-// be missed at their positions.
+// "No result yet" is decided by the store's row, not by the local copy: another entry
+// may have sent this caller results that haven't reached this copy, and they would
+// be missing at their positions.
 void JobDesk::AnswerNothing(const JobReadCall& call, std::shared_ptr<Answer> answer) {
   jobs_.Refresh(call.job, [this, call, answer](const Result<JobHead>& head) {
     if (!IsOk(head)) return answer->Refuse(ErrorOf(head));
--- a/src/gateway/job_desk.h
+++ b/src/gateway/job_desk.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Callers' calls about batch jobs: submit, read results, read an item, end.
+// Handles callers' requests about batch jobs: submit, read results, read an item, end the job.
 
 #include <functional>
 #include <map>
@@ -18,14 +18,14 @@
  public:
   JobDesk(Loop& loop, JobStore& jobs, const StoreClock& clock, const PlatformAdapter& adapter);
 
-  // `config_version`: of the configuration that `route` is from. `team`: nothing when callers need
-  // no keys.
+  // `config_version`: of the configuration that `route` is from. `team`: empty when callers need
+  // no API keys.
   void Submit(const Route& route, std::uint64_t config_version, const std::optional<TeamId>& team,
               HttpRequest request, std::shared_ptr<HttpReply> reply);
-  // For a job of another team as if it weren't there.
+  // Responds for a job of another team as if the job didn't exist.
   void Call(const JobCall& call, const std::optional<TeamId>& team,
             std::shared_ptr<HttpReply> reply);
-  // The job has new results, or has ended.
+  // Call it when the job has new results or has ended.
   void OnChanged(const JobHead& head);
   void SetLeaving();
   [[nodiscard]] std::size_t in_flight() const { return in_flight_; }
@@ -36,7 +36,7 @@
     std::function<void()> answer;
     std::uint64_t number = 0;
   };
-  // A reply that counts as in flight until it is sent.
+  // A response that counts as in flight until it is sent.
   class Answer;
 
   void Serve(const JobCall& call, const std::shared_ptr<Answer>& answer);
--- a/src/gateway/job_owners.cc
+++ b/src/gateway/job_owners.cc
@@ -1,5 +1,5 @@
-// Who owns a job: takes those whose owners are gone or have let them go, and loads what
-// earlier owners have kept of them.
+// Ownership of jobs: takes over jobs whose owners are gone or have released them, and loads
+// the progress that earlier owners saved.
 
 #include <algorithm>
 #include <utility>
@@ -10,7 +10,7 @@
 namespace figmill {
 namespace {
 
-// The item runs on from the piece before it, or from its start.
+// The item resumes after the piece before the refused one, or from its start.
 void LogProgressRefused(const TableRow& row, std::string_view why) {
   Log(LogLevel::kWarning, "job_progress_refused", {{"row", row.at.key}, {"why", std::string(why)}});
 }
@@ -44,9 +44,9 @@
   return now - job.seen_at >= kTakeOverAfter && now - started_at_ >= kTakeOverAfter;
 }
 
-// The first in line may be there and yet not take the job: it can't read the table, or
-// the store turns its writes away. Left to it alone, jobs stood still for 5 s. Two that
-// take it at once do no harm: the row lets one of them.
+// The entry that ranks first for a job may be live and yet not take it over: it can't read the
+// table, or the store refuses its writes. Jobs that were left to it alone made no progress for 5 s.
+// Two entries that take a job over at once do no harm: the condition on its row lets one succeed.
 std::optional<Duration> JobStore::Turn(const JobId& job, Time now) const {
   const std::vector<Peer> line = peers_.RankedFor(job.value, now);
   const auto self = std::find_if(line.begin(), line.end(), [this](const Peer& peer) {
@@ -59,9 +59,9 @@
 bool JobStore::ShouldTake(KnownJob& job, Time now) const {
   if (!job.head.open() || job.taking || IsMine(job.head)) return false;
   if (now < job.take_again_at) return false;
-  // The condition of the write would not hold, over and over.
+  // The condition of the write would fail every time.
   if (IsUnreadable(job.head.id)) return false;
-  // An earlier process of this very slot: it can't come back.
+  // The owner is an earlier process of this node, which can't come back.
   if (job.head.owner == peers_.self().node) return true;
   if (!IsFree(job, now)) {
     job.free_since.reset();
@@ -80,8 +80,8 @@
   for (auto& [id, job] : known_) {
     if (owned_.contains(id)) continue;
     if (ShouldTake(job, now)) take.push_back(id);
-    // Given to this entry by the one that accepted it, or accepted here by a write
-    // whose answer was lost.
+    // Assigned to this entry by the one that accepted it, or accepted here by a write
+    // whose response was lost.
     const bool may_load = !job.taking && now >= job.load_after && !IsUnreadable(id);
     if (IsMine(job.head) && job.head.open() && may_load) load.push_back(id);
   }
@@ -121,7 +121,7 @@
     const JobHead* now = Known(head.id);
     if (now != nullptr && now->token == head.token) LoadAndOwn(head.id);
   }
-  // Otherwise a later check tries again.
+  // Otherwise a later check retries.
 }
 
 void JobStore::LoadAndOwn(const JobId& id) {
@@ -148,7 +148,7 @@
             if (found == known_.end()) return;
             found->second.taking = false;
             if (!IsOk(rows)) {
-              // The next check tries again.
+              // The next check retries.
               Log(LogLevel::kWarning, "job_progress_unread",
                   {{"job", id.value}, {"why", ErrorOf(rows).detail}});
               return;
--- a/src/gateway/job_store.cc
+++ b/src/gateway/job_store.cc
@@ -39,7 +39,7 @@
   return found == owned_.end() ? nullptr : found->second.get();
 }
 
-// --- What the store says ----------------------------------------------------------
+// --- Rows from the store ----------------------------------------------------------
 
 void JobStore::OnRow(const TableMirror::Change& change) {
   if (change.row == nullptr) {
@@ -134,7 +134,7 @@
             });
 }
 
-// This entry, unless its host is too small for more than its callers.
+// This entry, unless its host is too small to do more than serve its callers.
 Peer JobStore::OwnerOfNew(const JobId& job) const {
   const Time now = Loop::Now();
   const std::vector<Peer> capable = peers_.Capable(now);
@@ -152,7 +152,7 @@
       [this, transactions, next, done = std::move(done)](const TableOutcome& outcome) {
         const bool last = next + 1 == transactions->size();
         if (last || !std::holds_alternative<TableCommitted>(outcome)) {
-          // Rows of items without the job's own row mean nothing.
+          // Item rows have no effect without the job's own row.
           const bool harmless = !last && std::holds_alternative<FateUnknown>(outcome);
           return done(harmless ? TableOutcome{NotWritten{"the items were not written"}} : outcome);
         }
@@ -172,7 +172,8 @@
                  [&](const TableRejected& rejected) {
                    const TableRow* row = RowIn(rejected, ledger::HeadKey(head.id));
                    const Result<JobHead> there =
-                       row == nullptr ? Error{ErrorKind::kInternal, "rejected, and no row is there"}
+                       row == nullptr ? Error{ErrorKind::kInternal,
+                                              "the write was rejected, but the job has no row"}
                                       : ledger::DecodeHead(row->value);
                    if (!IsOk(there)) {
                      return done(
@@ -183,7 +184,7 @@
                                        "a job with this id and other items was accepted"});
                    }
                    (void)LearnRow(*row);
-                   // An earlier copy of this very write took effect.
+                   // An earlier copy of the same write took effect.
                    if (ValueOf(there).token == head.token && IsMine(head)) {
                      Own(head, row->version, std::move(submission.items), {});
                    }
@@ -242,8 +243,8 @@
     return FinishLeaving();
   }
   if (leaving_ && (job->settled() || spoilt)) return Release(id);
-  // Written again once the row can be read: sent again at once, the write would be rejected
-  // as fast as the store answers.
+  // Retried once the row can be read: retried at once, the write would be rejected as often as
+  // the store can respond.
   if (spoilt) return;
   if (std::holds_alternative<TableCommitted>(outcome) ||
       std::holds_alternative<TableRejected>(outcome)) {
--- a/src/gateway/job_store.h
+++ b/src/gateway/job_store.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// All batch jobs as the table service has them, and those that this entry owns:
-// accepts, takes over, writes results and hands over.
+// All batch jobs in the table service, and those that this entry owns: accepts jobs,
+// takes them over, writes their results and releases them.
 
 #include <functional>
 #include <map>
@@ -19,29 +19,30 @@
 
 class JobStore {
  public:
-  // A job whose owner is not heard of is taken over after this. The owner's death
-  // is known after PeerTable::kSilence; this leaves a restarted one time to come
-  // back for its own.
+  // Delay before a job whose owner isn't live is taken over. That an owner is dead is
+  // known after PeerTable::kSilence; this leaves a restarted one time to reclaim its
+  // own jobs.
   static constexpr Duration kTakeOverAfter{800'000};
-  // After a try that failed. A store that turns writes away does so for seconds, and each
-  // try costs it up to four calls.
+  // Delay after a failed takeover. A store that refuses writes does so for seconds, and each
+  // attempt costs it up to four calls.
   static constexpr Duration kTakeAgainAfter{500'000};
   static constexpr Duration kCheckPeriod{100'000};
-  // The rows of jobs change with each result, and each entry hears of all. An owner
-  // knows its own at once; for the others this is soon enough.
+  // Minimum interval between calls for changes: the rows of jobs change with each result, and
+  // each entry receives all changes. An owner knows its own at once; for the others this is soon
+  // enough.
   static constexpr Duration kFeedPace{150'000};
   static constexpr Duration kRetryPause{100'000};
-  // Until the items of a job are read again that could not be read: the store was away, or
-  // another writer has spoilt them, and each try costs a call.
+  // Delay before the items of a job are read again after a failed read: the store was
+  // unavailable or another writer corrupted them, and each attempt costs a call.
   static constexpr Duration kReloadPause{300'000};
 
   struct Hooks {
-    // A job is owned now and its items are known, with what earlier owners have
-    // kept of them.
+    // A job is owned now and its items are loaded, with the progress that earlier owners
+    // saved.
     std::function<void(OwnedJob&, const std::vector<ledger::ProgressPiece>&)> owned;
-    // It is not, or it has ended: stop what runs of it.
+    // The job isn't owned any more, or has ended: stop its runs.
     std::function<void(const JobId&)> dropped;
-    // It is about to be handed over: stop what runs of it and keep its progress.
+    // The job is about to be released: stop its runs and keep their progress.
     std::function<void(OwnedJob&)> handed_over;
     std::function<void(const JobHead&)> changed;
   };
@@ -50,17 +51,17 @@
            RandomBits random, Hooks hooks);
 
   void Start();
-  // Refuses new jobs; hands all open ones to others and calls `done`.
+  // Refuses new jobs, releases all owned ones for other entries to take, and calls `done`.
   void Leave(std::function<void()> done);
 
-  // Accepts a job for good or finds it accepted. Errors: kConflict (other items under
-  // this id), kStoreUnavailable with `ran` no (never will be accepted) or unknown.
+  // Accepts a job durably, or finds that it was accepted before. Errors: kConflict (other items
+  // under this id), kStoreUnavailable with `ran` no (never will be accepted) or unknown.
   void Accept(JobHead head, JobSubmission submission, std::function<void(Result<Ok>)> done);
-  // Ends it for its sender. Errors: kNotFound, kStoreUnavailable.
+  // Ends the job at its sender's request. Errors: kNotFound, kStoreUnavailable.
   void End(const JobId& job, std::function<void(Result<Ok>)> done);
   // The job's row: from the mirror, else from the store. Errors: kNotFound, kStoreUnavailable.
   void Find(const JobId& job, std::function<void(Result<JobHead>)> done);
-  // As Find, always from the store: what is known here may be seconds old.
+  // As Find, but always from the store: the local copy may be seconds old.
   void Refresh(const JobId& job, std::function<void(Result<JobHead>)> done);
   // Errors: kStoreUnavailable.
   void ReadResults(const JobId& job, std::uint32_t from,
@@ -69,7 +70,7 @@
 
   [[nodiscard]] const JobHead* Known(const JobId& job) const;
   [[nodiscard]] OwnedJob* Owned(const JobId& job);
-  // Something was finished: write it.
+  // Writes results and progress that aren't written yet.
   void Write(OwnedJob& job);
   [[nodiscard]] bool listed() const { return follower_.mirror().complete(); }
   [[nodiscard]] std::size_t owned() const { return owned_.size(); }
@@ -78,17 +79,17 @@
   struct KnownJob {
     JobHead head;
     RowVersion version = 0;
-    Time seen_at{};  // since when its owner has been as it is
+    Time seen_at{};  // when its present owner was first seen
     bool taking = false;
-    std::optional<Time> free_since;  // nobody who is there owns it
-    Time take_again_at{};            // after a try that failed
+    std::optional<Time> free_since;  // since when no live entry has owned it
+    Time take_again_at{};            // after a failed attempt
     Time load_after{};               // its items could not be read
   };
 
   void OnRow(const TableMirror::Change& change);
   void Learn(const JobHead& head, RowVersion version);
-  // What is known of a job stays in force when its row can't be used: a sound job is
-  // neither dropped nor given up for what another writer did to its row. Errors:
+  // Applies a row of the job table. A row that can't be used changes nothing: a valid job is
+  // neither dropped nor given up because another writer changed its row. Errors:
   // kStoreUnavailable.
   Result<Ok> LearnRow(const TableRow& row);
   [[nodiscard]] Result<JobHead> Readable(const TableRow& row) const;
@@ -102,7 +103,7 @@
   // Its owner has released it or is gone.
   [[nodiscard]] bool IsFree(const KnownJob& job, Time now) const;
   [[nodiscard]] bool ShouldTake(KnownJob& job, Time now) const;
-  // How long this entry leaves a free job to those that come before it.
+  // How long this entry leaves an unowned job to the entries that rank before it.
   [[nodiscard]] std::optional<Duration> Turn(const JobId& job, Time now) const;
   void Take(const JobId& job);
   void OnTaken(const JobHead& head, const TableOutcome& outcome);
--- a/src/gateway/job_store_calls.cc
+++ b/src/gateway/job_store_calls.cc
@@ -1,4 +1,4 @@
-// What callers ask of jobs: their ends and reads; and how a leaving entry hands them over.
+// The requests of callers for jobs (end and read), and the release of jobs at shutdown.
 
 #include <utility>
 
@@ -8,7 +8,7 @@
 namespace figmill {
 namespace {
 
-// A job's row changes with each result; after so many lost races the caller is told.
+// A job's row changes with each result; after this many lost races the caller gets an error.
 constexpr int kMaxEndTries = 8;
 
 void LogSpoilt(std::string_view event, const JobId& job, const std::string& why) {
@@ -24,15 +24,15 @@
     if (!IsOk(head)) return done(ErrorOf(head));
     if (ValueOf(head).ended) return done(Ok{});
     if (IsUnreadable(id)) {
-      return done(Error{ErrorKind::kStoreUnavailable, "the job's row is spoilt"});
+      return done(Error{ErrorKind::kStoreUnavailable, "the job's row can't be read"});
     }
-    // What runs goes on until the end is written: one that is turned away leaves the job
-    // as it was, and items that were stopped for it would wait for ever.
+    // Runs continue until the end is written: when the write is refused, the job stays open,
+    // and items that were stopped for it would wait forever.
     EndElsewhere(id, ValueOf(head), known_[id].version, kMaxEndTries, done);
   });
 }
 
-// Also for a job of this entry's own: its next write then finds the new row.
+// Used also for a job that this entry owns: its next write then finds the new row.
 void JobStore::EndElsewhere(const JobId& id, const JobHead& head, RowVersion version, int tries,
                             std::function<void(Result<Ok>)> done) {
   JobHead next = head;
@@ -51,11 +51,11 @@
                  const TableRow* row =
                      rejected == nullptr ? nullptr : RowIn(*rejected, ledger::HeadKey(id));
                  if (row == nullptr || tries == 0) {
-                   return done(Error{ErrorKind::kStoreUnavailable, "the end could not be written",
-                                     Ran::kUnknown});
+                   return done(Error{ErrorKind::kStoreUnavailable,
+                                     "the end of the job could not be written", Ran::kUnknown});
                  }
-                 // With the version of a row that can't be read the end would overwrite
-                 // what nobody has seen.
+                 // Written with the version of a row that can't be read, the end would
+                 // overwrite content that no entry has read.
                  const Result<Ok> learnt = LearnRow(*row);
                  if (!IsOk(learnt)) return done(ErrorOf(learnt));
                  const JobHead* now = Known(id);
@@ -80,7 +80,7 @@
                  Result<Ok> learnt = Ok{};
                  for (const TableRow& row : ValueOf(page).rows) learnt = LearnRow(row);
                  const JobHead* known = Known(job);
-                 // Neither "no such job" nor "no result yet" is known to be true.
+                 // It isn't certain that there is no such job, or no result yet.
                  if (!IsOk(learnt)) return done(ErrorOf(learnt));
                  if (known == nullptr) return done(Error{ErrorKind::kNotFound, "no such job"});
                  done(*known);
@@ -127,7 +127,7 @@
                });
 }
 
-// --- Leaving ------------------------------------------------------------------------------
+// --- Shutdown -----------------------------------------------------------------------------
 
 void JobStore::Leave(std::function<void()> done) {
   leaving_ = true;
@@ -135,8 +135,8 @@
   std::vector<JobId> mine;
   for (const auto& [id, job] : owned_) mine.push_back(id);
   for (const JobId& id : mine) {
-    // What is finished and what has been done of the rest is written first;
-    // OnWritten releases the job after that.
+    // Results, and the progress of the other items, are written first; OnWritten
+    // releases the job after that.
     OwnedJob& job = *owned_[id];
     hooks_.handed_over(job);
     if (job.settled() || IsUnreadable(id)) {
@@ -162,7 +162,7 @@
   Log(LogLevel::kInfo, "job_released", {{"job", id.value}});
   ++releasing_;
   HedgedCommit(loop_, tables_, std::move(transaction), [this](const TableOutcome& /*outcome*/) {
-    // When it failed, the others take the job over once this process is gone.
+    // If the write failed, other entries take the job over once this process is gone.
     --releasing_;
     FinishLeaving();
   });
--- a/src/gateway/log_text.h
+++ b/src/gateway/log_text.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Values as log lines have them.
+// Formats values for log lines.
 
 #include <chrono>
 #include <string>
--- a/src/gateway/refused_rows.h
+++ b/src/gateway/refused_rows.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Rows of a shared table that can't be used, because another writer made them or made
-// them so. Not thread-safe.
+// Tracks the rows of a shared table that can't be used because another writer wrote invalid
+// values. Not thread-safe.
 
 #include <map>
 #include <string>
@@ -14,22 +14,22 @@
 
 class RefusedRows {
  public:
-  // Keys whose reasons are remembered; those beyond are logged each time, within the bound
-  // that all log lines have.
+  // Limit on the keys whose reasons are stored; refusals of further keys are logged each time,
+  // within the rate limit of all log lines.
   static constexpr std::size_t kMaxRemembered = 4096;
 
   struct Kind {
-    std::string_view label;  // of the metrics
+    std::string_view label;  // `kind` of the metrics
     std::string_view event;  // name of the log line
-    std::string_view field;  // that names the row in it
+    std::string_view field;  // of the log line that names the row
   };
 
   RefusedRows(Metrics& metrics, Kind kind);
 
-  // Logs the first refusal of a row and each one for another reason: a writer that repeats
-  // itself with each heartbeat would hide all other lines. Counts all of them.
+  // Counts each refusal, and logs a row's first one and each one for another reason: if all were
+  // logged, a writer that repeats its row with each heartbeat would hide all other lines.
   void Refuse(const std::string& key, RowVersion version, std::string_view why);
-  // The row is one that can be used, or is gone.
+  // Call it when the row can be used again or was removed.
   void Forget(const std::string& key);
   [[nodiscard]] bool Contains(const std::string& key) const { return reasons_.contains(key); }
 
--- a/src/gateway/store_caller.cc
+++ b/src/gateway/store_caller.cc
@@ -6,17 +6,17 @@
 namespace figmill {
 namespace {
 
-// Between entries: the store's own path comes after this.
+// Prefix of the path of a call that one entry forwards for another; the store's path follows.
 constexpr std::string_view kForwardPath = "/store";
-// Set in the answer to a forwarded call that got none from the store: whether the
+// Header of the response to a forwarded call that got no response from the store: whether the
 // call was sent.
 constexpr std::string_view kNoAnswer = "Figmill-Store-Answer";
 constexpr std::string_view kNotSent = "not-sent";
 constexpr std::string_view kLost = "lost";
-// How long the forwarding entry may wait for the store.
+// Header of a forwarded call: how long the forwarding entry may wait for the store.
 constexpr std::string_view kTimeLeft = "Figmill-Store-Wait-Ms";
 constexpr Duration kConnectTimeout{400'000};
-// On the way to the other entry and back.
+// Time for the round trip to the forwarding entry.
 constexpr Duration kWayTime{100'000};
 
 constexpr int kTooManyRequests = 429;
@@ -26,13 +26,13 @@
   return status == kTooManyRequests || status == kServiceUnavailable;
 }
 
-// What a forwarding entry has told of a call without an answer.
+// Restores the error of a call whose forwarding entry got no response from the store.
 Result<HttpResponse> Unwrapped(Result<HttpResponse> result) {
   if (!IsOk(result)) return result;
   for (const Header& header : ValueOf(result).headers) {
     if (!SameHeaderName(header.name, kNoAnswer)) continue;
     const bool not_sent = header.value == kNotSent;
-    return Error{ErrorKind::kBackendFailed, "by way of a peer: " + ValueOf(result).body,
+    return Error{ErrorKind::kBackendFailed, "via a peer: " + ValueOf(result).body,
                  not_sent ? Ran::kNo : Ran::kUnknown};
   }
   return result;
@@ -83,7 +83,7 @@
     const Result<HttpResponse> result = path.peer ? Unwrapped(std::move(raw)) : std::move(raw);
     const StorePaths::Outcome outcome = OutcomeOf(result);
     paths_.End(path, outcome, Loop::Now());
-    // A refused call did nothing, and a read does nothing at all: it may go another way.
+    // A refused call had no effect, and a read never has one: both may use another path.
     const bool harmless = outcome == StorePaths::Outcome::kRefused ||
                           (outcome == StorePaths::Outcome::kLost && call.method == "GET");
     if (may_go_other_way && harmless) {
@@ -99,8 +99,8 @@
   return request.path.starts_with(kForwardPath);
 }
 
-// Always directly: two entries that both avoid the direct way must not forward to
-// each other.
+// Always uses the direct path: two entries that both avoid it must not forward to each
+// other.
 void StoreCaller::Forward(HttpRequest request, std::shared_ptr<HttpReply> reply) {
   HttpCall http;
   http.method = std::move(request.method);
--- a/src/gateway/store_caller.h
+++ b/src/gateway/store_caller.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Sends the table service's calls by the way that StorePaths chooses, and forwards
-// those of other entries.
+// Sends calls to the table service over the path that StorePaths chooses, and forwards
+// calls for other entries.
 
 #include <functional>
 #include <memory>
--- a/src/gateway/table_follower.cc
+++ b/src/gateway/table_follower.cc
@@ -56,7 +56,7 @@
   const bool whole = IsOk(page) && list.from.empty() && !ValueOf(page).truncated;
   if (whole && ValueOf(page).version >= before && mirror_.following()) confirmed_at_ = asked_at;
   SetPartRead(part, IsOk(page), why);
-  // A part that can't be read says nothing of the store while the others are followed.
+  // While changes are received, a part that can't be read doesn't mean that the store is lost.
   if (IsOk(page) || !mirror_.following()) SetConnected(IsOk(page), "part '" + part + "': " + why);
   GoOn();
 }
@@ -65,7 +65,8 @@
   const RowVersion before = mirror_.version();
   mirror_.Followed(outcome);
   const auto* changes = std::get_if<TableChanges>(&outcome);
-  // An answer from before what was heard already, of a store that lags, confirms nothing.
+  // A response older than changes that were received already, of a store that lags, confirms
+  // nothing.
   const bool confirms = changes != nullptr && changes->version >= before && mirror_.complete();
   if (confirms) confirmed_at_ = asked_at;
   const Error* error = std::get_if<Error>(&outcome);
--- a/src/gateway/table_follower.h
+++ b/src/gateway/table_follower.h
@@ -16,29 +16,29 @@
 
 class TableFollower {
  public:
-  // How long the service holds a call for changes. Short against the time in which
-  // a change must be in force, so that a connection which went silent costs no more
-  // than this; it costs each process a call every two seconds.
+  // How long the service holds a call for changes. Short compared with the time within
+  // which a change must be in force, so that a connection that went silent delays it by
+  // no more than this; it costs each process a call every two seconds.
   static constexpr Duration kWait{2'000'000};
-  // The same for some time after a call failed: while a store goes silent and
-  // returns, each call that was out meanwhile has to run into its time-out before
-  // the next one can hear what has changed.
+  // Used in place of kWait for some time after a failed call: when a store stops
+  // responding and recovers, each call that was sent meanwhile has to time out before
+  // the next one can receive changes.
   static constexpr Duration kTroubledWait{300'000};
   static constexpr Duration kTroubled{10'000'000};
 
-  // `on_change` as for TableMirror; `settled` after each answer, when what the
-  // mirror holds may have changed.
+  // `on_change` as for TableMirror; `settled` is called after each response, when the
+  // content of the mirror may have changed.
   TableFollower(Loop& loop, SharedTables& tables, std::string table, std::vector<std::string> parts,
                 TableMirror::OnChange on_change, std::function<void()> settled);
   ~TableFollower();
 
   void Start() { Step(); }
-  // Changes that come within this time are asked for together. 0: at once.
+  // Minimum interval between calls, so that changes within it arrive together. 0: none.
   void SetPace(Duration pace) { pace_ = pace; }
-  // Instead of kWait, for a table of which it must be known how old the copy is.
+  // Replaces kWait, for a table whose copy must have a known age.
   void SetWait(Duration wait) { wait_ = wait; }
-  // For a table of one part: when the last question was sent, by Loop::SinceBoot, whose answer
-  // shows that the copy is whole as of that moment.
+  // For a table of one part: when the last call was sent, by Loop::SinceBoot, whose response
+  // shows that the copy is complete as of that time.
   [[nodiscard]] std::optional<Duration> confirmed_at() const { return confirmed_at_; }
   [[nodiscard]] const TableMirror& mirror() const { return mirror_; }
   void Learn(const TableRow& row) { mirror_.Learn(row); }
@@ -51,9 +51,9 @@
   void Follow(const mirror::FollowFrom& from);
   void OnListed(const mirror::ListPart& list, const Result<TablePage>& page, Duration asked_at);
   void OnFollowed(const FeedOutcome& outcome, Duration asked_at);
-  // Says once when a part can't be read, and when it can again.
+  // Logs once when a part can't be read any more, and when it can be read again.
   void SetPartRead(const std::string& part, bool read, const std::string& why);
-  // Says when the store is lost and when it is back.
+  // Logs when the store can't be reached any more, and when it can be again.
   void SetConnected(bool connected, const std::string& why);
   void GoOn();
 
@@ -65,7 +65,7 @@
   Duration pace_{0};
   Duration wait_ = kWait;
   std::optional<Duration> confirmed_at_;
-  std::optional<bool> connected_;  // nothing before the first answer
+  std::optional<bool> connected_;  // empty before the first response
   Time troubled_until_{};
   std::set<std::string> unread_parts_;
   Timer pause_;
--- a/src/gateway/traffic_metrics.cc
+++ b/src/gateway/traffic_metrics.cc
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-// All of them are made at the start, so that a kind without traffic reads 0.
+// Creates all counters at the start, so that a kind without traffic is exported as 0.
 TrafficMetrics::TrafficMetrics(Metrics& metrics) {
   static_assert(kKindNames.size() == kKinds && kReachNames.size() == kReaches);
   for (std::size_t kind = 0; kind < kKinds; ++kind) {
--- a/src/gateway/traffic_metrics.h
+++ b/src/gateway/traffic_metrics.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// Bytes that this entry exchanges, by what they are for and whether they cross data centres.
-// Bytes between data centres are dear, and grow with the fleet first: these counters tell which
-// part of the entry to look at.
+// Bytes that this entry exchanges, by their purpose and by whether they cross data centres.
+// Traffic between data centres is expensive and is the first to grow with the fleet: these counters
+// show which part of the entry causes it.
 
 #include <array>
 #include <cstdint>
@@ -13,15 +13,15 @@
 
 enum class TrafficKind : std::uint8_t {
   kOnline,      // requests of callers at backend servers
-  kBatch,       // items at backend servers
+  kBatch,       // batch items at backend servers
   kStore,       // calls to the platform's store
-  kStoreByWay,  // the same by way of another entry; counted by the one that asks for it
-  kReport,      // datagrams, counted by their senders
+  kStoreByWay,  // the same, forwarded by another entry; counted by the entry that makes the call
+  kReport,      // datagrams of this kind and the next ones are counted by their senders
   kGrant,
   kAsk,
   kAnswer,
-  kPresence,  // datagrams that only tell who is there
-  kQuota,     // credits of teams
+  kPresence,  // datagrams that carry membership alone
+  kQuota,     // quota credits of teams
 };
 
 enum class Reach : std::uint8_t {
@@ -33,7 +33,7 @@
 class TrafficMetrics {
  public:
   explicit TrafficMetrics(Metrics& metrics);
-  // Bytes, in both directions for calls. It stays as long as the metrics.
+  // Counts bytes, of calls in both directions. Valid as long as the metrics.
   [[nodiscard]] Counter& Of(TrafficKind kind, Reach reach);
 
  private:
--- a/test/backend-incarnation-test.cc
+++ b/test/backend-incarnation-test.cc
@@ -1,5 +1,5 @@
-// Backend servers that start again under the id that they had: what tells one incarnation from
-// the next, and what of an ended one goes on counting.
+// Backend servers that restart under the same id: how one incarnation is distinguished from the
+// next, and which state of an ended one is discarded.
 
 #include <doctest/doctest.h>
 
@@ -31,7 +31,7 @@
   return {{kEngine, EngineIn(incarnation)}};
 }
 
-// A place book that knows the engine in its first incarnation, and whose draws are all alike.
+// A backend pool with the engine in its first incarnation. Its random numbers are all 0.
 struct Book {
   Book() { book.AddOrUpdate(EngineIn(kFirst)); }
   AcquiredSlot Take(Time now = kStart) {
@@ -41,7 +41,7 @@
   BackendPool book{DataCentre{"dc"}, [] { return std::uint64_t{0}; }};
 };
 
-// A send to the engine, and whether it was ended for its incarnation.
+// A send to the engine, and how often it was ended because its incarnation was outdated.
 struct Watched {
   explicit Watched(OpenSends& sends, BackendIncarnation incarnation = kFirst)
       : number(sends.Add({kEngine, kAddress, incarnation}, kStart, [this] { ++lost; })) {}
@@ -53,9 +53,9 @@
 
 }  // namespace
 
-// --- The entry ---------------------------------------------------------------------------
+// --- Entries of the backend list ---------------------------------------------------------
 
-TEST_CASE("an entry says its incarnation, and one that doesn't is still an entry") {
+TEST_CASE("an entry has an incarnation, and one without it is valid too") {
   const std::string entry = R"({"service":"llm","address":"10.0.0.1:80","zone":"dc",)"
                             R"("version":"v1","slots":2,"state":"ready","coldLeftMs":0,)"
                             R"("sequence":3)";
@@ -67,8 +67,8 @@
   CHECK_FALSE(ValueOf(untold).incarnation.known());
 }
 
-// Symptom: a backend server that has started again is used as if it had not.
-// Sequence: its entry changes in nothing but its incarnation.
+// Guards against a restarted backend server that is used as if it had not restarted, when its
+// entry changes only in its incarnation.
 TEST_CASE("an entry that differs in its incarnation alone is a change") {
   BackendList list = Listed(kFirst);
   CHECK(List(list, EngineIn(kFirst)) == ListChange::kNone);
@@ -76,9 +76,9 @@
   CHECK(list.at(kEngine).incarnation == kSecond);
 }
 
-// Symptom: requests go to the address at which a backend server listened before it ended.
-// Sequence: its last write reaches the store after the first one of its next incarnation.
-TEST_CASE("an entry of an earlier incarnation replaces none of a later one") {
+// Guards against requests sent to the address at which a backend server listened before it
+// ended: its last write reaches the store after the first one of its next incarnation.
+TEST_CASE("an entry of an earlier incarnation doesn't replace one of a later incarnation") {
   BackendList list = Listed(kSecond);
   BackendInfo late = EngineIn(kFirst);
   late.address.port = 81;
@@ -86,7 +86,7 @@
   CHECK(list == Listed(kSecond));
 }
 
-TEST_CASE("an entry without an incarnation leaves the one that is known") {
+TEST_CASE("an entry without an incarnation keeps the known one") {
   BackendList list = Listed(kFirst);
   BackendInfo untold = EngineIn({});
   untold.state = BackendState::kDraining;
@@ -95,21 +95,23 @@
   CHECK(List(list, EngineIn(kSecond)) == ListChange::kRestarted);
 }
 
-TEST_CASE("the first incarnation that is told is no restart") {
+TEST_CASE("the first known incarnation is no restart") {
   BackendList list = Listed({});
   CHECK(List(list, EngineIn(kFirst)) == ListChange::kUpdated);
 }
 
-// Symptom: a request that may not be repeated fails on a connection that was kept.
-TEST_CASE("connections that were kept to an ended incarnation are dropped") {
+// Guards against a request that may not be repeated and fails on an idle connection to the ended
+// incarnation.
+TEST_CASE("idle connections to an ended incarnation are dropped") {
   CHECK(ChangedAddresses(Listed(kFirst), Listed(kFirst)).empty());
   CHECK_FALSE(ChangedAddresses(Listed(kFirst), Listed(kSecond)).empty());
 }
 
-// --- The place book ----------------------------------------------------------------------
+// --- Backend pool ------------------------------------------------------------------------
 
-// Symptom: a backend server that has just started gets nothing, as all its places are taken.
-TEST_CASE("places of an ended incarnation are free, and late ends free none of the new one") {
+// Guards against a backend server that has just started and gets no requests, as all its slots
+// count as taken.
+TEST_CASE("slots of an ended incarnation are free, and late releases free none of the new one") {
   Book b;
   const AcquiredSlot old = b.Take();
   b.Take();
@@ -122,22 +124,22 @@
   CHECK(b.book.UsageOf(kEngine).online == 0);
 }
 
-// Symptom: a backend server that has just started is left out for seconds.
-// Sequence: what ran there broke off when its earlier incarnation ended.
-TEST_CASE("faults and silence of an ended incarnation are not held against the new one") {
+// Guards against a backend server that has just started and is excluded for seconds, because the
+// requests that ran there failed when its earlier incarnation ended.
+TEST_CASE("faults and inactivity of an ended incarnation don't count for the new one") {
   Book b;
-  SUBCASE("those that were known") {
+  SUBCASE("faults before the restart is known") {
     for (int i = 0; i < 3; ++i) b.Fault();
     CHECK_FALSE(b.book.IsUsable(kEngine, kStart));
     b.book.AddOrUpdate(EngineIn(kSecond));
   }
-  SUBCASE("those that come late") {
+  SUBCASE("faults after the restart is known") {
     const std::vector<AcquiredSlot> old{b.Take(), b.Take(), b.Take()};
     b.book.AddOrUpdate(EngineIn(kSecond));
     for (const AcquiredSlot& each : old)
       b.book.ReleaseSlot(each, relay::SendEnd::kBroken, {}, kStart);
   }
-  SUBCASE("silence") {
+  SUBCASE("inactivity") {
     b.Take();
     b.book.AddOrUpdate(EngineIn(kSecond));
   }
@@ -151,7 +153,7 @@
   CHECK(b.book.UsageOf(kEngine).faults == 0);
 }
 
-TEST_CASE("what others have at an ended incarnation, and a keeper's grant for it, are dropped") {
+TEST_CASE("the usage of other entries and the grant for an ended incarnation are dropped") {
   Book b;
   b.book.ApplyGrant(kEngine, {2, 1, 3, true}, kStart);
   b.book.AddOrUpdate(EngineIn(kSecond));
@@ -160,7 +162,7 @@
   CHECK(b.book.IsUsable(kEngine, kStart));
 }
 
-TEST_CASE("an entry that is changed otherwise leaves what is in use") {
+TEST_CASE("an entry with the same incarnation keeps the slots in use") {
   Book b;
   b.Take();
   BackendInfo draining = EngineIn(kFirst);
@@ -184,7 +186,7 @@
   CHECK(sends.EndOutdated(Listed(kSecond), kQuiet).lost == 0);
 }
 
-TEST_CASE("a send that is over is not ended again, also by the end of another one") {
+TEST_CASE("a send that is over is not ended again, not even while another one is ended") {
   OpenSends sends;
   Watched over(sends);
   sends.Remove(over.number);
@@ -201,10 +203,10 @@
   CHECK(over.lost + other.lost == 0);
 }
 
-// Symptom: a request that may not be repeated fails although its backend server works on it.
-// Sequence: the store is away while a backend server starts again; the request is sent there,
-// and then the new entry comes.
-TEST_CASE("a send that goes on giving bytes was sent to the new incarnation") {
+// Guards against a request that may not be repeated and fails although its backend server
+// processes it: the store is unavailable while a backend server restarts; the request is sent to
+// the new incarnation, and only then its entry arrives.
+TEST_CASE("a send that still receives bytes was sent to the new incarnation") {
   OpenSends sends;
   Watched alive(sends);
   Watched dead(sends);
--- a/test/foreign-entries-test.cc
+++ b/test/foreign-entries-test.cc
@@ -1,4 +1,4 @@
-// Rows and messages of other writers: what can't be used is left out, what is sound holds.
+// Rows and messages of other writers: invalid ones are ignored, and valid ones stay in force.
 
 #include "test/foreign-entries.h"
 
@@ -167,12 +167,11 @@
   CHECK(ValueOf(draining).state == BackendState::kDraining);
 }
 
-// Symptom: requests go to an address at which nobody is ready, or where the places that
-// are counted on don't exist.
-// Sequence: another writer puts an entry into the list of backend servers.
-// Cause: an unknown state counted as ready, -1 and 2.7 became places, and fields that were
-// missing got a default.
-TEST_CASE("an entry that is not as the platform's pages say names no backend server") {
+// Guards against requests sent to an address at which no backend server is ready, or that has
+// fewer slots than assumed: another writer puts an entry into the list of backend servers, of
+// which an unknown state counts as ready, -1 and 2.7 are taken as numbers of slots, and missing
+// fields get a default.
+TEST_CASE("an entry that violates the platform's schema is no backend server") {
   for (const BadEntry& bad : BadEntries()) {
     CAPTURE(bad.name);
     const auto info = users::ParseBackend("i-1", bad.text);
@@ -181,10 +180,9 @@
   }
 }
 
-// Symptom: requests go on to a backend server whose entry says nothing that can be read.
-// Sequence: an entry was sound; another writer spoils it.
-// Cause: what it had said before stayed in force.
-TEST_CASE("nothing new goes where an entry became unreadable, until it can be read again") {
+// Guards against requests that are still sent to a backend server whose entry can't be read: a
+// valid entry is corrupted by another writer, and its earlier content stays in force.
+TEST_CASE("a backend server whose entry became unreadable gets no requests until it is readable") {
   for (const BadEntry& bad : BadEntries()) {
     CAPTURE(bad.name);
     Watched f;
@@ -193,7 +191,7 @@
     f.Until([&] { return f.Is("i-1", BackendState::kReady); });
     f.Put("servers", "i-1", bad.text);
     f.Until([&] { return !f.Is("i-1", BackendState::kReady); });
-    // Still known: what runs there is counted, and left to end.
+    // It is still known: its running requests are counted and may finish.
     CHECK(f.Is("i-1", BackendState::kUnreadable));
     CHECK(f.Is("i-2", BackendState::kReady));
     f.Put("servers", "i-1", GoodBackend().dump());
@@ -201,7 +199,7 @@
   }
 }
 
-TEST_CASE("an entry that never could be read is no backend server, and hides none") {
+TEST_CASE("an entry that was never readable is no backend server, and hides none") {
   Watched f;
   int number = 0;
   for (const BadEntry& bad : BadEntries()) {
@@ -215,10 +213,9 @@
   CHECK(f.view->backends.size() == 2);
 }
 
-// Symptom: requests reach a backend server 6 s after another writer overwrote its entry.
-// Sequence: the new entry names a service that there is not, and an early time of birth.
-// Cause: it was taken for a late write of the incarnation before, and the entry that it had
-// overwritten stayed in use.
+// Guards against requests that reach a backend server 6 s after another writer overwrote its
+// entry: the new entry names a service that doesn't exist and an early start time (`born`), is
+// taken for a late write of the previous incarnation, and the overwritten entry stays in use.
 TEST_CASE("an entry of an earlier incarnation that names another service is no late write") {
   Watched f;
   f.Put("servers", "i-1", GoodBackend().dump());
@@ -244,8 +241,8 @@
   f.Until([&] { return !f.IsKnown("i-1"); });
 }
 
-// A route names a service, so that an entry of any other can't be chosen; it is kept, as the
-// configuration that names its service may come later than the entry.
+// A route names a service, so that an entry of another service can't be chosen. It is stored, as
+// the configuration that names its service may arrive later than the entry.
 TEST_CASE("an entry of a service that no configuration names is used once one does") {
   Watched f;
   Json early = GoodBackend();
@@ -266,10 +263,10 @@
   CHECK(IsOk(book.Choose({service, {}}, Time{})));
 }
 
-// Addresses are used again some seconds after a backend server has ended, and its entry may
-// be there as long. Which of the two is real can't be told from the entries: both hold, and
-// the one that listens refuses what is meant for the other without running it.
-TEST_CASE("two entries with one address both hold") {
+// Addresses are reused some seconds after a backend server has ended, and its entry may remain
+// as long. The entries don't show which of the two is live: both are used, and the one that
+// listens refuses requests for the other without running them.
+TEST_CASE("two entries with the same address are both used") {
   Watched f;
   f.Put("servers", "i-1", GoodBackend().dump());
   f.Put("servers", "i-2", GoodBackend().dump());
@@ -295,8 +292,8 @@
   CHECK(text.find("figmill_rows_refused_total{kind=\"backend\"}") != std::string::npos);
 }
 
-// What runs at a backend server whose entry can't be read: batch loses nothing but by ending.
-TEST_CASE("a keeper leaves what runs where an entry became unreadable, and gives out nothing") {
+// The batch grant of a backend server whose entry can't be read only shrinks as runs end.
+TEST_CASE("an allocator keeps the runs of an unreadable backend server and grants no new ones") {
   const ServiceName llm{"llm"};
   const Time start{Duration{10'000'000}};
   const Time settled = start + SlotAllocator::kTakeoverDelay;
@@ -312,7 +309,7 @@
   report(1, 1, 2, 5);
   keeper.SetOwnedBackends({{kEngine, {llm, 4, /*frozen=*/true}}}, settled);
   CHECK(keeper.AllowedBatch(kEngine, peer.node) == 2);
-  report(2, 4, 2, 5);  // online that was on its way when the entry was spoilt
+  report(2, 4, 2, 5);  // online requests that were on their way when the entry became unreadable
   CHECK(keeper.AllowedBatch(kEngine, peer.node) == 2);
   report(3, 0, 1, 5);
   CHECK(keeper.AllowedBatch(kEngine, peer.node) == 1);
@@ -328,9 +325,8 @@
   CHECK(keeper.AllowedBatch(kEngine, peer.node) > 1);
 }
 
-// Symptom: no change of a table is heard of, though the store answers.
-// Sequence: another writer leaves one row whose value is no base64.
-// Cause: the whole answer was refused for that one row.
+// Guards against a table whose changes are not received although the store responds: another
+// writer writes a row whose value isn't base64, and the whole response is refused for it.
 TEST_CASE("a row whose value is no base64 hides no other row") {
   struct Calls final : TableCalls {
     std::string body;
@@ -351,9 +347,9 @@
   CHECK(rows[1].value == "b");
 }
 
-// --- By chance ---------------------------------------------------------------------
+// --- Random corruption -------------------------------------------------------------
 
-TEST_CASE("a spoilt entry is refused, or still says what a backend server may say") {
+TEST_CASE("a corrupted entry is refused, or its values are in their valid ranges") {
   for (unsigned seed = 0; seed < kSeeds; ++seed) {
     CAPTURE(seed);
     foreign::Spoiler spoil(seed);
@@ -371,7 +367,7 @@
   }
 }
 
-TEST_CASE("spoilt entries beside sound ones change nothing of these") {
+TEST_CASE("corrupted entries don't affect valid ones") {
   Watched f;
   foreign::Spoiler spoil(7);
   const std::string good = GoodBackend().dump();
@@ -386,7 +382,7 @@
   }
 }
 
-TEST_CASE("a spoilt configuration is refused whole or is one that may be in force") {
+TEST_CASE("a corrupted configuration is refused as a whole or is valid") {
   for (unsigned seed = 0; seed < kSeeds; ++seed) {
     CAPTURE(seed);
     foreign::Spoiler spoil(seed);
@@ -399,7 +395,7 @@
   }
 }
 
-TEST_CASE("a configuration that can't be read leaves in force what was") {
+TEST_CASE("a configuration that can't be read leaves the previous one in force") {
   Watched f;
   f.Put("op", "config", foreign::GoodConfig(7).dump());
   f.Until([&] { return f.view && f.view->routes; });
@@ -418,7 +414,7 @@
 
 // --- Peers -------------------------------------------------------------------------
 
-TEST_CASE("a spoilt datagram is refused, or counts no less than none and no more than many") {
+TEST_CASE("a corrupted datagram is refused, or its counts are neither negative nor too large") {
   const std::string good = Encode(foreign::GoodMessage());
   REQUIRE(IsOk(DecodePeerMessage(good)));
   int read = 0;
@@ -444,9 +440,9 @@
   CHECK(read > 0);
 }
 
-// Symptom: places that are in use are given out again; an entry goes by incarnation 0.
-// Sequence: a datagram from elsewhere names a negative number, or the largest one.
-TEST_CASE("a datagram with numbers that can't be is refused") {
+// Guards against slots in use that are granted again, and an entry that takes incarnation 0: a
+// datagram of another program has a negative number, or the largest one.
+TEST_CASE("a datagram with numbers out of range is refused") {
   const auto refused = [](const std::function<void(PeerMessage&)>& spoil) {
     PeerMessage message = foreign::GoodMessage();
     spoil(message);
@@ -468,8 +464,8 @@
   CHECK(refused([](PeerMessage& m) { m.from.data_centre.value = std::string(300, 'z'); }));
 }
 
-// A caller's patience may be any time; what is added up with it must not overflow.
-TEST_CASE("an ask with a patience beyond all bounds is one with much patience") {
+// A caller's deadline may be any time; sums with it must not overflow.
+TEST_CASE("the time left in a slot request is capped") {
   PeerMessage message = foreign::GoodMessage();
   message.ask->time_left = Duration::max();
   const auto back = DecodePeerMessage(Encode(message));
@@ -477,9 +473,9 @@
   CHECK(ValueOf(back).ask->time_left == std::chrono::hours(24));
 }
 
-// Symptom: a process asks for 64 GB and ends.
-// Sequence: five bytes come that announce an array of four thousand million elements.
-TEST_CASE("a datagram takes no more memory than its bytes allow") {
+// Guards against a process that allocates 64 GB and ends: it receives five bytes that announce an
+// array of four thousand million elements.
+TEST_CASE("decoding a datagram takes memory in proportion to its size") {
   CHECK_FALSE(IsOk(DecodePeerMessage("\xdd\xff\xff\xff\xff")));
   CHECK_FALSE(IsOk(DecodePeerMessage(std::string(1'000, '\x91'))));
 }
--- a/test/foreign-entries.h
+++ b/test/foreign-entries.h
@@ -1,6 +1,7 @@
 #pragma once
 
-// Documents as their writers make them, and what another writer may make of them.
+// Valid documents, and random corruptions of them as another writer might cause.
+// "Foreign" are rows and messages that a process other than figmill wrote.
 
 #include <nlohmann/json.hpp>
 #include <random>
@@ -99,12 +100,12 @@
   return message;
 }
 
-// Spoils documents by chance, the same for the same seed.
+// Corrupts documents at random, always in the same way for the same seed.
 class Spoiler {
  public:
   explicit Spoiler(unsigned seed) : random_(seed) {}
 
-  // Some of its fields, at any depth, dropped, swapped for others or changed.
+  // Removes or replaces a value at any depth.
   Json Fields(Json json) {
     std::vector<Json*> places;
     Collect(json, places);
@@ -114,14 +115,14 @@
         auto field = place.begin();
         std::advance(field, static_cast<std::ptrdiff_t>(Below(place.size())));
         place.erase(field);
-        break;  // places within it are gone
+        break;  // pointers to values within it are invalid now
       }
       place = Value();
       break;
     }
     return json;
   }
-  // Some bytes flipped, or the end cut off, or more bytes put in.
+  // Changes some bytes, truncates the end or inserts bytes.
   std::string Bytes(std::string bytes) {
     for (std::size_t changes = 1 + Below(4); changes > 0 && !bytes.empty(); --changes) {
       const std::size_t at = Below(bytes.size());
--- a/test/foreign-jobs-test.cc
+++ b/test/foreign-jobs-test.cc
@@ -1,5 +1,5 @@
-// Rows of jobs that another writer made or changed: a sound job is neither lost nor
-// overwritten for them.
+// Job rows that another writer wrote or changed: they cause no valid job to be lost or
+// overwritten.
 
 #include <doctest/doctest.h>
 
@@ -24,7 +24,7 @@
 // An entry named "a" over a table service in memory.
 struct Entry {
   Entry() { store.Start(); }
-  // Returns what the store says of it.
+  // Writes a row as another writer, and waits until the store has responded.
   void Put(const TableKey& at, const std::string& value) {
     bool done = false;
     others.Commit({{}, {{at, value}}, {}}, [&done](const TableOutcome&) { done = true; });
@@ -41,7 +41,7 @@
     fake::RunUntil(loop, [&done] { return done; });
     REQUIRE(store.Owned(kJob) != nullptr);
   }
-  // Until the feed has told of all that was written.
+  // Waits until the entry has received all changes.
   void Settle() { fake::RunFor(loop, 2 * JobStore::kFeedPace + Duration{100'000}); }
   [[nodiscard]] std::string Stored() { return data.rows[ledger::HeadKey(kJob)].value; }
   ErrorKind KindOf(const std::function<void(std::function<void(Error)>)>& call) {
@@ -100,7 +100,7 @@
     json.erase(field);
     bad.push_back({"no " + field, foreign::Packed(json)});
   }
-  with("listed", 2);  // `done` names one
+  with("listed", 2);  // `done` lists one item
   with("listed", 0);
   with("total", 3);
   with("total", 1'000'000'000);
@@ -125,7 +125,7 @@
 
 }  // namespace
 
-TEST_CASE("a job's row that contradicts itself, or is none, is refused") {
+TEST_CASE("a job row that contradicts itself or isn't valid is refused") {
   REQUIRE(IsOk(ledger::DecodeHead(ledger::EncodeHead(GoodHead()))));
   for (const BadHead& bad : BadHeads()) {
     CAPTURE(bad.name);
@@ -135,7 +135,7 @@
   }
 }
 
-TEST_CASE("a spoilt row of a job is refused, or doesn't contradict itself") {
+TEST_CASE("a corrupted job row is refused, or doesn't contradict itself") {
   const std::string good = ledger::EncodeHead(GoodHead());
   int read = 0;
   for (unsigned seed = 0; seed < kSeeds; ++seed) {
@@ -154,11 +154,10 @@
   CHECK(read > 0);
 }
 
-// Symptom: a job that runs is dropped, or the process that runs it ends.
-// Sequence: another writer puts a row in the place of the job's own, which can be read, but
-// is of another job, or takes back what was listed.
-// Cause: any later version of the row that could be read took the place of what was known.
-TEST_CASE("a row that contradicts what is known of its job changes nothing of it") {
+// Guards against a running job that is dropped, or a crash of the process that runs it: another
+// writer replaces the job's row by one that can be read but belongs to another job or withdraws
+// listed results, and any later version that can be read is applied.
+TEST_CASE("a row that contradicts the known state of its job is not applied") {
   const std::vector<std::string> rows = {
       "spoilt",
       Changed([](JobHead& head) { head.id = JobId{"other"}; }),
@@ -177,7 +176,7 @@
     CHECK(f.dropped.empty());
     CHECK(f.store.Known(kJob)->token == before.token);
     CHECK(f.store.Known(JobId{"other"}) == nullptr);
-    // What it finishes is kept until the row can be read again.
+    // Its results are held until the row can be read again.
     OwnedJob* job = f.store.Owned(kJob);
     job->Finish(0, {"i0", ResultState::kComplete, "text"});
     f.store.Write(*job);
@@ -188,7 +187,7 @@
   }
 }
 
-TEST_CASE("what is listed or ended stays so, whatever a later row says") {
+TEST_CASE("listed results and the end of a job are final, whatever a later row says") {
   const JobHead known = GoodHead();
   const auto contradicts = [&known](const std::function<void(JobHead&)>& change) {
     JobHead later = known;
@@ -206,10 +205,10 @@
   CHECK(ledger::Contradiction(ended, known).has_value());
 }
 
-// Symptom: a job's sender hears that there is no such job, or reads no result for ever.
-// Sequence: the row of a job can't be read at an entry that did not know the job before.
-// Cause: a row that was refused counted as none.
-TEST_CASE("a job whose row can't be read is neither absent nor without results") {
+// Guards against a job's sender that is told that the job doesn't exist, or never reads a result:
+// the row of the job can't be read at an entry that did not know the job before, and a refused row
+// is handled like a missing one.
+TEST_CASE("a job whose row can't be read is reported neither as absent nor as without results") {
   Entry f;
   f.PutHead("spoilt");
   f.Settle();
@@ -222,14 +221,14 @@
   CHECK(f.Stored() == "spoilt");
 }
 
-// Symptom: the end of a job takes its results away.
-// Sequence: its row is spoilt after this entry last heard of it; its sender ends it.
-// Cause: the end was written again with the version of the row that could not be read.
-TEST_CASE("the end of a job never overwrites a row that nobody could read") {
+// Guards against the end of a job that deletes its results: its row is corrupted after this entry
+// last received it, its sender ends it, and the retry of that write is conditional on the version
+// of the row that can't be read.
+TEST_CASE("the end of a job never overwrites a row that can't be read") {
   Entry f;
   f.Accept();
   f.Settle();
-  f.tables.deaf = true;  // this entry doesn't hear of it
+  f.tables.deaf = true;  // this entry receives no changes
   f.PutHead("spoilt");
   CHECK(f.KindOf([&f](auto done) {
     f.store.End(kJob, [done](const Result<Ok>& ended) {
@@ -239,10 +238,9 @@
   CHECK(f.Stored() == "spoilt");
 }
 
-// Symptom: the store has no time for other calls.
-// Sequence: the row of a job is spoilt while its owner has results to write.
-// Cause: a write that was rejected went out again as soon as the answer came.
-TEST_CASE("a write that a spoilt row rejects is not repeated before the row can be read") {
+// Guards against a store that is overloaded by retries: the row of a job is corrupted while its
+// owner has results to write, and each rejected write is retried as soon as the response comes.
+TEST_CASE("a write that a corrupted row rejects is not retried before the row can be read") {
   Entry f;
   f.Accept();
   f.Settle();
--- a/test/job-desk-test.cc
+++ b/test/job-desk-test.cc
@@ -23,7 +23,7 @@
   std::optional<HttpResponse> answer;
 };
 
-// One entry's desk over a store that the entries of a test share.
+// The job requests of one entry, over a store that the entries of a test share.
 struct Desk {
   Desk(Loop& the_loop, fake::TableData& data, const std::string& node)
       : loop(the_loop),
@@ -81,7 +81,7 @@
   JobStore store;
   JobDesk desk;
   Route route;
-  std::optional<TeamId> team;  // of all calls
+  std::optional<TeamId> team;  // whose key all calls have
 };
 
 }  // namespace
@@ -115,11 +115,11 @@
   CHECK(a.Await(*reply).body.find(R"("id":"i0")") != std::string::npos);
 }
 
-// Symptom: results that a caller has read are missing when it reads them elsewhere.
-// Sequence: the owner lists results; another entry, whose feed hears of nothing for a
-// moment, is asked from a position behind those that it knows.
-// Cause: "none yet" was said of the copy, which is older than what the caller has seen.
-TEST_CASE("no result is said to be missing by an entry whose copy is old") {
+// Guards against results that a caller has read at one entry and misses at another: the owner
+// lists results, and another entry that receives no changes for a moment is asked for results
+// after those that it knows. It responds "none yet" from its copy, which is older than what the
+// caller has read.
+TEST_CASE("an entry whose copy is old doesn't report listed results as missing") {
   Loop loop;
   fake::TableData data;
   Desk a(loop, data, "a");
@@ -132,7 +132,7 @@
   CHECK(read.body.find(R"("id":"i0")") != std::string::npos);
 }
 
-TEST_CASE("an entry that can't be sure says so") {
+TEST_CASE("an entry that doesn't know the outcome responds with an error") {
   Loop loop;
   fake::TableData data;
   Desk a(loop, data, "a");
@@ -140,14 +140,15 @@
   a.tables.refuse = true;
   CHECK(a.Call(JobReadCall{JobId{"job"}, 0, Duration{0}}).status == 503);
   CHECK(a.Call(JobReadCall{JobId{"none"}, 0, Duration{0}}).status == 503);
-  // Refused for sure: it may come again. Without an answer that can't be said.
+  // A refused write is known to have had no effect, so a retry is safe; an unanswered one may
+  // have had one.
   CHECK(a.Submit("other").status == 503);
   a.tables.refuse = false;
   a.tables.silent = true;
   CHECK(a.Submit("other").status == 504);
 }
 
-TEST_CASE("a malformed job is refused with the place of what is wrong") {
+TEST_CASE("the refusal of a malformed job names the position of the error") {
   Loop loop;
   fake::TableData data;
   Desk a(loop, data, "a");
@@ -162,11 +163,10 @@
   CHECK(answer.body.find(R"("ran":"no")") != std::string::npos);
 }
 
-// Symptom: an entry answers by an old configuration for seconds after the store has
-// come back.
-// Sequence: the store goes silent while a feed call is out, and returns; the call runs
-// into its time-out before the next one is made.
-TEST_CASE("after a failure the feed is asked in short calls") {
+// Guards against an entry that uses an old configuration for seconds after the store has
+// recovered: the store stops responding during a call for changes, and recovers; the call has to
+// time out before the next one is made.
+TEST_CASE("after a failure the calls for changes are short") {
   Loop loop;
   fake::TableData data;
   fake::Tables tables(loop, data);
@@ -182,7 +182,7 @@
   CHECK(tables.waits.back() == TableFollower::kTroubledWait);
 }
 
-TEST_CASE("a job is there for its team alone") {
+TEST_CASE("a job is visible to its own team only") {
   Loop loop;
   fake::TableData data;
   Desk rye(loop, data, "a");
@@ -202,15 +202,15 @@
   CHECK(rye.Call(JobReadCall{JobId{"job"}, 0, Duration{0}}).status == 200);
 }
 
-// Guards against an answer that shows by its time that another team's job is there.
-TEST_CASE("another team's job takes as many calls to the store as one that never was") {
+// Guards against a response whose time reveals that another team's job exists.
+TEST_CASE("another team's job takes as many calls to the store as one that doesn't exist") {
   Loop loop;
   fake::TableData data;
   Desk rye(loop, data, "a");
   rye.team = TeamId{"rye"};
   CHECK(rye.Submit("job").status == 202);
   rye.team = TeamId{"shore"};
-  fake::RunFor(loop, Duration{200'000});  // the entry's own reads are over
+  fake::RunFor(loop, Duration{200'000});  // the entry's initial reads are complete
   const auto reads = [&rye](const std::string& job) {
     const int before = rye.tables.reads;
     CHECK(rye.Call(JobReadCall{JobId{job}, 0, Duration{0}}).status == 404);
--- a/test/job-store-test.cc
+++ b/test/job-store-test.cc
@@ -34,7 +34,7 @@
   return head;
 }
 
-// An entry's view of jobs over a store that the entries of a test share.
+// The jobs of one entry, over a store that the entries of a test share.
 struct Entry {
   Entry(Loop& the_loop, fake::TableData& data, const Peer& self)
       : loop(the_loop),
@@ -54,7 +54,7 @@
                [](const JobHead&) {}}) {
     store.Start();
   }
-  // "accepted", or the kind of error and whether it may have run.
+  // Returns "accepted", or the kind of the error and whether the write may have taken effect.
   std::string Accept(const JobSubmission& submission) {
     std::string got;
     store.Accept(HeadOf(submission), submission, [&got](const Result<Ok>& result) {
@@ -117,23 +117,22 @@
   CHECK(results[0].item == "i1");
   CHECK(results[0].output == "second first");
   CHECK(results[1].item == "i0");
-  // It comes again, elsewhere.
+  // It is submitted again, at another entry.
   CHECK(b.Accept(Submission()) == "accepted");
   CHECK(b.owned.empty());
   CHECK(b.Accept(Submission("job", "other items")) == "conflict no");
 }
 
-// Symptom: a job that was refused runs, or one that was accepted doesn't.
-// Sequence: the store takes the write and its answer is lost.
-// Cause: without an answer it isn't known whether the job was accepted.
-TEST_CASE("a job whose acceptance got no answer is known to be accepted by its own row") {
+// Guards against a refused job that runs, or an accepted one that doesn't: the store applies the
+// write and its response is lost, so that the entry doesn't know whether the job was accepted.
+TEST_CASE("an accepted job whose write got no response is recognised by its row") {
   Fixture f;
   f.a.tables.lose_answers = 1;
   CHECK(f.a.Accept(Submission()) == "accepted");
   CHECK(f.a.owned.contains("job"));
 }
 
-TEST_CASE("a job that the store refuses was not accepted, and is said so") {
+TEST_CASE("a job that the store refuses is reported as not accepted") {
   Fixture f;
   f.a.tables.refuse = true;
   CHECK(f.a.Accept(Submission()) == "store-unavailable no");
@@ -142,10 +141,9 @@
   CHECK(f.a.Accept(Submission()) == "store-unavailable unknown");
 }
 
-// Symptom: each item of a job runs twice.
-// Sequence: an entry on a small host accepts the job, and names another one as its
-// owner; both run it.
-TEST_CASE("an entry on a small host gives the jobs that it accepts to a larger one") {
+// Guards against items that run twice: an entry on a small host accepts a job and assigns it to
+// another entry, and both run it.
+TEST_CASE("an entry on a small host assigns the jobs that it accepts to a larger one") {
   Loop loop;
   fake::TableData data;
   Entry small(loop, data, PeerNamed("small", 0.1));
@@ -157,9 +155,9 @@
   CHECK(small.owned.empty());
 }
 
-// Symptom: a job stands still until it is late.
-// Sequence: its owner dies with items still to run.
-TEST_CASE("a job whose owner is gone is taken over, with what was kept of its items") {
+// Guards against a job that makes no progress until it is late: its owner dies before all items
+// have run.
+TEST_CASE("a job whose owner is gone is taken over, with the saved progress of its items") {
   Fixture f;
   {
     Entry dying(f.loop, f.data, PeerNamed("dying"));
@@ -174,7 +172,7 @@
   CHECK_FALSE(f.a.store.Owned(JobId{"job"})->IsOpen(0));
 }
 
-TEST_CASE("a job whose owner is heard of is left to it") {
+TEST_CASE("a job whose owner is live is left to it") {
   Fixture f;
   Entry b(f.loop, f.data, PeerNamed("b"));
   CHECK(b.Accept(Submission()) == "accepted");
@@ -185,16 +183,15 @@
   CHECK(b.owned.contains("job"));
 }
 
-// Symptom: a result that had been read comes again at another position.
-// Sequence: the owner is paused; another entry takes the job over and lists results;
-// the first one wakes and writes its own.
-// Cause: it believes that it is still the owner. Its write has the condition of the
-// row as it knows it, and fails.
+// Guards against a result that a caller has read and that is listed again at another position:
+// the owner is paused; another entry takes the job over and lists results; then the paused one
+// continues, still believes that it is the owner, and writes its own results. Its write is
+// conditional on the version of the row that it knows, and fails.
 TEST_CASE("an owner that was replaced while it was paused changes nothing") {
   Fixture f;
   Entry paused(f.loop, f.data, PeerNamed("paused"));
   CHECK(paused.Accept(Submission()) == "accepted");
-  paused.tables.deaf = true;  // it hears of nothing
+  paused.tables.deaf = true;  // it receives no changes
   fake::RunUntil(f.loop, [&] { return f.a.owned.contains("job"); });
   f.a.Finish("job", 0, "by a");
   fake::RunUntil(f.loop, [&] { return f.a.Listed("job") == 1; });
@@ -205,7 +202,7 @@
   CHECK(results[0].output == "by a");
 }
 
-TEST_CASE("a job that its sender ends elsewhere stops at its owner") {
+TEST_CASE("a job that its sender ends at another entry stops at its owner") {
   Fixture f;
   Entry b(f.loop, f.data, PeerNamed("b"));
   CHECK(f.a.Accept(Submission()) == "accepted");
@@ -215,8 +212,8 @@
   CHECK_FALSE(f.a.store.Known(JobId{"job"})->open());
 }
 
-// Symptom: a restart loses the work of all items that run.
-TEST_CASE("an entry that leaves writes what is finished, keeps what is begun and hands over") {
+// Guards against a restart that loses the work of all running items.
+TEST_CASE("an entry that shuts down writes results and partial output and releases its jobs") {
   Fixture f;
   Entry leaving(f.loop, f.data, PeerNamed("leaving"));
   CHECK(leaving.Accept(Submission()) == "accepted");
@@ -235,7 +232,7 @@
   CHECK(leaving.Accept(Submission("another")) == "leaving no");
 }
 
-TEST_CASE("an unknown job is looked for in the store before it is said to be none") {
+TEST_CASE("an unknown job is looked up in the store before it is reported as not found") {
   Fixture f;
   std::string got;
   f.a.store.Find(JobId{"none"}, [&got](const Result<JobHead>& head) {
@@ -252,23 +249,20 @@
   CHECK(got == "store-unavailable");
 }
 
-// Symptom: items of a new job wait behind those of all others, and are told to the keepers as
-// late, though they are due first.
-// Sequence: an entry accepts a job and owns it; the time at which its items are due is read
-// from the job's row as it is known here.
-// Cause: the row is learned only after the job was owned, and 0 stands in for its due time.
-TEST_CASE("the row of a job is known by the time at which it is owned") {
+// Guards against items of a new job that wait behind those of all others and are reported to the
+// slot allocators as late, although they are due first: an entry accepts a job and owns it before
+// it has applied the job's row, from which the due time of the items is read, and uses 0 instead.
+TEST_CASE("the row of a job is known when the job is owned") {
   Fixture f;
   CHECK(f.a.Accept(Submission()) == "accepted");
   REQUIRE(f.a.owned.contains("job"));
   CHECK(f.a.known_when_owned);
 }
 
-// Symptom: a job is neither worked on nor given up, for ever.
-// Sequence: its sender ends it at its owner; the store turns the write away, and the sender
-// is told that it did not end.
-// Cause: its items are stopped before the end is written, and nobody starts them again.
-TEST_CASE("a job whose end could not be written is worked on") {
+// Guards against a job that neither runs nor is given up, forever: its sender ends it at its
+// owner; the store refuses the write, and the sender is told that the job did not end. Its items
+// were stopped before the end was written, and are never started again.
+TEST_CASE("a job whose end could not be written continues to run") {
   Fixture f;
   CHECK(f.a.Accept(Submission()) == "accepted");
   f.a.tables.refuse = true;
@@ -280,17 +274,16 @@
   CHECK(f.a.store.Known(JobId{"job"})->open());
 }
 
-// Symptom: a job that its owner has released stands still for 5.4 s, until somebody else
-// starts. Sequence: the owner leaves; the entry that is next in line for the job is live but
-// does not take it, as it can't read the table. Cause: all others leave the job to that one
-// for as long as it is live.
-TEST_CASE("a released job that the next in line does not take is taken by another") {
+// Guards against a released job that makes no progress for 5.4 s, until another entry starts:
+// the owner shuts down; the entry that ranks first for the job is live but does not take it, as
+// it can't read the table, and all others leave the job to it for as long as it is live.
+TEST_CASE("a released job that the first-ranked entry does not take is taken by another") {
   Loop loop;
   fake::TableData data;
   const JobSubmission job = Submission();
   Entry leaving(loop, data, PeerNamed("leaving"));
   CHECK(leaving.Accept(job) == "accepted");
-  // Two that stay. The one that is next in line is known by the list alone.
+  // Two entries remain. The one that ranks first is known from the list only and never runs.
   PeerTable ranked(PeerNamed("b"));
   ranked.Named(PeerNamed("c"));
   const std::string heir = ranked.OwnerOf(job.id.value, std::nullopt, Loop::Now())->node.value;
