--- a/src/gateway/batch_runner.cc
+++ b/src/gateway/batch_runner.cc
@@ -8,10 +8,10 @@
 namespace figmill {
 
 BatchRunner::BatchRunner(RelayTools& tools, JobStore& jobs, const StoreClock& clock,
-                         std::function<void()> wanted_changed)
-    : tools_(tools), jobs_(jobs), clock_(clock), wanted_changed_(std::move(wanted_changed)) {
+                         std::function<void()> waiting_changed)
+    : tools_(tools), jobs_(jobs), clock_(clock), waiting_changed_(std::move(waiting_changed)) {
   sweep_timer_ = tools_.loop.Every(kSweepPeriod, [this] { Sweep(); });
-  keep_timer_ = tools_.loop.Every(kKeepPeriod, [this] { KeepProgress(); });
+  progress_timer_ = tools_.loop.Every(kProgressWriteInterval, [this] { SaveProgress(); });
 }
 
 void BatchRunner::SetRoutes(std::shared_ptr<const RouteTable> routes) {
@@ -22,7 +22,7 @@
 std::vector<WaitingItems> BatchRunner::Waiting() const {
   static_assert(ItemBacklog::kLate == WaitingItems::kLate);
   std::vector<WaitingItems> waiting;
-  for (const auto& [group, items] : work_.backlog().Startable(TimeNow())) {
+  for (const auto& [group, items] : open_items_.backlog().Startable(TimeNow())) {
     const auto& [rank, due] = group;
     if (waiting.size() < WaitingItems::kMaxGroups) {
       waiting.push_back({due, items, rank == ItemRank::kStarted});
@@ -36,14 +36,14 @@
 void BatchRunner::OnOwned(OwnedJob& job, const std::vector<ledger::ProgressPiece>& progress) {
   for (const ledger::ProgressPiece& piece : progress) {
     if (piece.item >= job.items().size() || !job.IsOpen(piece.item)) continue;
-    work_.Restore({job.head().id, piece.item}, piece);
+    open_items_.Restore({job.head().id, piece.item}, piece);
   }
   for (std::size_t i = 0; i < job.items().size(); ++i) {
-    if (job.IsOpen(i)) Queue({job.head().id, i}, Duration{0});
+    if (job.IsOpen(i)) Enqueue({job.head().id, i}, Duration{0});
   }
   check_routes_ = true;
-  wanted_changed_();
-  Pump();
+  waiting_changed_();
+  UpdateRuns();
 }
 
 void BatchRunner::OnDropped(const JobId& job) {
@@ -52,33 +52,34 @@
     if (key.job == job) running.push_back(key);
   }
   for (const JobItemRef& key : running) EndRun(key, relay::SendEnd::kAbandoned);
-  work_.RemoveJob(job);
+  open_items_.RemoveJob(job);
 }
 
-void BatchRunner::OnHandedOver(OwnedJob& job) {
-  KeepProgressOf(job);
+void BatchRunner::OnReleasing(OwnedJob& job) {
+  SaveProgressOf(job);
   OnDropped(job.head().id);
 }
 
-void BatchRunner::KeepProgressOf(OwnedJob& job) {
-  for (ledger::ProgressPiece& piece : work_.TakePieces(job.head().id)) job.Keep(std::move(piece));
+void BatchRunner::SaveProgressOf(OwnedJob& job) {
+  for (ledger::ProgressPiece& piece : open_items_.TakePieces(job.head().id))
+    job.Keep(std::move(piece));
 }
 
-void BatchRunner::KeepProgress() {
-  for (const JobId& id : work_.Jobs()) {
+void BatchRunner::SaveProgress() {
+  for (const JobId& id : open_items_.Jobs()) {
     OwnedJob* job = jobs_.Owned(id);
     if (job == nullptr || job->writing()) continue;
-    KeepProgressOf(*job);
+    SaveProgressOf(*job);
     jobs_.Write(*job);
   }
 }
 
-void BatchRunner::Queue(const JobItemRef& key, Duration pause) {
+void BatchRunner::Enqueue(const JobItemRef& key, Duration delay) {
   const OwnedJob* job = jobs_.Owned(key.job);
   if (job == nullptr) return;
-  pause = std::max(pause, QuarantineLeft(*job, key));
-  work_.Enqueue(key, job->head().due, Loop::Now() + pause);
-  if (pause.count() > 0) tools_.loop.Later(pause, [this] { Pump(); });
+  delay = std::max(delay, QuarantineLeft(*job, key));
+  open_items_.Enqueue(key, job->head().due, Loop::Now() + delay);
+  if (delay.count() > 0) tools_.loop.Later(delay, [this] { UpdateRuns(); });
 }
 
 // Time until the item may run, when it is quarantined because backend servers crashed while they
@@ -102,7 +103,7 @@
   return route != nullptr && route->kind == RouteKind::kBatch ? route : nullptr;
 }
 
-bool BatchRunner::Fits(const JobItemRef& key, const BackendInfo& backend) const {
+bool BatchRunner::CanRunOn(const JobItemRef& key, const BackendInfo& backend) const {
   const OwnedJob* job = jobs_.Owned(key.job);
   if (job == nullptr) return false;
   const Route* route = RouteOf(job->head(), job->items()[key.item]);
@@ -112,56 +113,57 @@
       [&backend](const ServiceShare& share) { return share.service == backend.service; });
 }
 
-std::string BatchRunner::IdOf(const JobItemRef& key) const {
+std::string BatchRunner::ItemId(const JobItemRef& key) const {
   const OwnedJob* job = jobs_.Owned(key.job);
   return job == nullptr ? std::to_string(key.item) : job->items()[key.item].id;
 }
 
-void BatchRunner::Pump() {
-  StopExcess();
-  StartAllowed();
+void BatchRunner::UpdateRuns() {
+  StopExcessRuns();
+  StartGrantedRuns();
 }
 
 // Stops runs beyond the batch grants, which shrink when online requests arrive.
-void BatchRunner::StopExcess() {
+void BatchRunner::StopExcessRuns() {
   std::vector<std::pair<BackendId, int>> excess;
   tools_.places.ForEach([&excess](const BackendInfo& info, const SlotUsage& use) {
     if (info.state == BackendState::kUnreadable) return;  // runs there may finish
     if (use.batch > use.batch_allowed) excess.emplace_back(info.id, use.batch - use.batch_allowed);
   });
   for (const auto& [backend, count] : excess) {
-    std::vector<RunningItem> there;
+    std::vector<RunningItem> candidates;
     for (const auto& [key, run] : runs_) {
-      if (run.backend.id == backend) there.push_back({key, run.due, work_.TimeToFinish(key)});
+      if (run.backend.id == backend)
+        candidates.push_back({key, run.due, open_items_.TimeToFinish(key)});
     }
-    for (const JobItemRef& key : ItemsToStop(std::move(there), count, TimeNow().store)) {
+    for (const JobItemRef& key : ItemsToStop(std::move(candidates), count, TimeNow().store)) {
       Requeue(key, relay::SendEnd::kAbandoned, "preempted by online requests", Duration{0});
     }
   }
 }
 
-void BatchRunner::StartAllowed() {
-  if (work_.backlog().size() == 0) return;
+void BatchRunner::StartGrantedRuns() {
+  if (open_items_.backlog().size() == 0) return;
   const Time now = Loop::Now();
-  std::vector<std::pair<double, BackendInfo>> open;
+  std::vector<std::pair<double, BackendInfo>> free_slots;
   tools_.places.ForEach([&](const BackendInfo& info, const SlotUsage& use) {
     if (use.batch >= use.batch_allowed || !tools_.places.IsUsable(info.id, now)) return;
     const int used = use.online + use.batch + use.online_other + use.batch_other;
     for (int i = use.batch; i < use.batch_allowed; ++i) {
-      open.emplace_back(static_cast<double>(used + i - use.batch) / info.slots, info);
+      free_slots.emplace_back(static_cast<double>(used + i - use.batch) / info.slots, info);
     }
   });
   // Least loaded first: a run there slows others least, and is stopped last.
-  std::sort(open.begin(), open.end(),
+  std::sort(free_slots.begin(), free_slots.end(),
             [](const auto& a, const auto& b) { return a.first < b.first; });
   bool started = false;
-  for (const auto& [share, info] : open) started |= StartOn(info);
-  if (started) wanted_changed_();
+  for (const auto& [share, info] : free_slots) started |= StartOn(info);
+  if (started) waiting_changed_();
 }
 
 bool BatchRunner::StartOn(const BackendInfo& backend) {
-  const auto entry = work_.StartNext(
-      TimeNow(), [this, &backend](const JobItemRef& key) { return Fits(key, backend); });
+  const auto entry = open_items_.StartNext(
+      TimeNow(), [this, &backend](const JobItemRef& key) { return CanRunOn(key, backend); });
   if (!entry) return false;
   Start({entry->job, entry->item}, entry->due, backend);
   return true;
@@ -170,7 +172,7 @@
 void BatchRunner::Start(const JobItemRef& key, StoreTime due, const BackendInfo& backend) {
   const OwnedJob* job = jobs_.Owned(key.job);
   const JobItem& item = job->items()[key.item];
-  const ItemProgress& progress = work_.ProgressOf(key);
+  const ItemProgress& progress = open_items_.ProgressOf(key);
   HttpCall call = ItemCall(tools_.names, job->head(), item);
   const RequestFingerprint fingerprint = FingerprintOf(job->head(), call);
   call.to = backend.address;
@@ -193,11 +195,11 @@
   Run& run = runs_[key];
   run = Run{};
   run.backend = AddressOf(backend);
-  run.started_at = run.heard_at = Loop::Now();
+  run.started_at = run.last_activity_at = Loop::Now();
   run.lost_send = {item.id, fingerprint, run.backend, run.started_at};
   tools_.crashes.Began(fingerprint);
   run.due = due;
-  run.place = tools_.places.AcquireSlot(backend.id, WorkClass::kBatch, run.started_at);
+  run.slot = tools_.places.AcquireSlot(backend.id, WorkClass::kBatch, run.started_at);
   run.number = tools_.sends.Add(run.backend, run.started_at, [this, key] {
     tools_.crashes.Crashed(runs_[key].lost_send);
     Requeue(key, relay::SendEnd::kBroken, "the backend server has started again", Duration{0});
@@ -211,10 +213,10 @@
   const auto found = runs_.find(key);
   if (found == runs_.end() || found->second.number != number) return;
   Run& run = found->second;
-  run.heard_at = Loop::Now();
+  run.last_activity_at = Loop::Now();
   if (!std::holds_alternative<HttpFailure>(event)) {
-    tools_.places.RecordActivity(run.place, run.heard_at);
-    tools_.sends.Heard(run.number, run.heard_at);
+    tools_.places.RecordActivity(run.slot, run.last_activity_at);
+    tools_.sends.Heard(run.number, run.last_activity_at);
   }
   std::visit(Overloaded{
                  [&](const HttpHead& head) { OnHead(key, head); },
@@ -222,7 +224,7 @@
                  [&](const HttpEnd&) { OnEnd(key); },
                  [&](const HttpFailure& failure) {
                    if (failure.sent) return OnConnectionLost(key, failure.why);
-                   Requeue(key, relay::SendEnd::kUnreachable, failure.why, kRetryPause);
+                   Requeue(key, relay::SendEnd::kUnreachable, failure.why, kRetryDelay);
                  },
              },
              event);
@@ -233,7 +235,7 @@
   tools_.crashes.Check(run.lost_send, [this, key, number = run.number, why = std::move(why)] {
     const auto found = runs_.find(key);
     const bool current = found != runs_.end() && found->second.number == number;
-    if (current) Requeue(key, relay::SendEnd::kBroken, why, kRetryPause);
+    if (current) Requeue(key, relay::SendEnd::kBroken, why, kRetryDelay);
   });
 }
 
@@ -250,11 +252,11 @@
                  [&](item_answer::NotRun answer) {
                    const auto end = answer.misdirected ? relay::SendEnd::kMisdirected
                                                        : relay::SendEnd::kRejected;
-                   Requeue(key, end, "not run, " + why, kRetryPause);
+                   Requeue(key, end, "not run, " + why, kRetryDelay);
                  },
                  [&](item_answer::WrongRequest) {
                    Requeue(key, relay::SendEnd::kBroken, "response belongs to another request",
-                           kRetryPause);
+                           kRetryDelay);
                  },
                  [&](item_answer::Unprocessable) {
                    EndRun(key, relay::SendEnd::kAnswered);
@@ -265,15 +267,15 @@
              ItemAnswerOf({head.status, not_run, id}));
 }
 
-void BatchRunner::OnFailed(const JobItemRef& key, bool counts, const std::string& why) {
+void BatchRunner::OnFailed(const JobItemRef& key, bool counts_as_failure, const std::string& why) {
   const OwnedJob* job = jobs_.Owned(key.job);
   const Route* route = RouteOf(job->head(), job->items()[key.item]);
-  int& failures = work_.ProgressOf(key).failures;
-  if (counts) ++failures;
+  int& failures = open_items_.ProgressOf(key).failures;
+  if (counts_as_failure) ++failures;
   FailedRuns failed{failures, {}};
   if (route != nullptr) failed.allowed = route->max_backends;
-  if (!counts || MayRunAgain(failed)) {
-    return Requeue(key, relay::SendEnd::kFailed, why, kRetryPause);
+  if (!counts_as_failure || MayRunAgain(failed)) {
+    return Requeue(key, relay::SendEnd::kFailed, why, kRetryDelay);
   }
   EndRun(key, relay::SendEnd::kFailed);
   Finish(key, ResultState::kDead, "failed " + std::to_string(failures) + " times");
@@ -281,20 +283,20 @@
 
 void BatchRunner::OnBytes(const JobItemRef& key, std::string_view bytes) {
   if (!runs_[key].answering) return;
-  ItemText& text = work_.ProgressOf(key).text;
+  ItemText& text = open_items_.ProgressOf(key).text;
   text.Feed(bytes);
   if (text.has_duplicate())
-    Requeue(key, relay::SendEnd::kBroken, "duplicate event in the response", kRetryPause);
+    Requeue(key, relay::SendEnd::kBroken, "duplicate event in the response", kRetryDelay);
 }
 
 void BatchRunner::OnEnd(const JobItemRef& key) {
   const Run& run = runs_[key];
-  if (!run.answering || !work_.ProgressOf(key).text.at_event_end()) {
-    return Requeue(key, relay::SendEnd::kBroken, "response ended early", kRetryPause);
+  if (!run.answering || !open_items_.ProgressOf(key).text.at_event_end()) {
+    return Requeue(key, relay::SendEnd::kBroken, "response ended early", kRetryDelay);
   }
   if (tools_.crashes.has_reports()) tools_.crashes.Completed(run.lost_send.request);
   EndRun(key, relay::SendEnd::kAnswered);
-  work_.OnCompleted(key, TimeNow());
+  open_items_.OnCompleted(key, TimeNow());
   Finish(key, ResultState::kComplete, "");
 }
 
@@ -306,32 +308,32 @@
   run.cancel();
   const Time now = Loop::Now();
   tools_.sends.Remove(run.number);
-  work_.OnRunEnded(key, now);
-  tools_.places.ReleaseSlot(run.place, end, now - run.started_at, now);
+  open_items_.OnRunEnded(key, now);
+  tools_.places.ReleaseSlot(run.slot, end, now - run.started_at, now);
 }
 
 void BatchRunner::Requeue(const JobItemRef& key, relay::SendEnd end, std::string_view why,
-                          Duration pause) {
-  ItemProgress& progress = work_.ProgressOf(key);
+                          Duration delay) {
+  ItemProgress& progress = open_items_.ProgressOf(key);
   progress.text.DropIncomplete();
   tools_.metrics.ItemStopped(end);
   Log(LogLevel::kInfo, "item_stopped",
       {{"job", key.job.value},
-       {"item", IdOf(key)},
+       {"item", ItemId(key)},
        {"backend", runs_[key].backend.id.value},
        {"end", std::string(relay::ToString(end))},
        {"events", std::to_string(progress.text.events())},
        {"why", std::string(why)}});
   EndRun(key, end);
-  Queue(key, pause);
-  wanted_changed_();
+  Enqueue(key, delay);
+  waiting_changed_();
 }
 
 void BatchRunner::Finish(const JobItemRef& key, ResultState state, std::string_view why) {
   OwnedJob* job = jobs_.Owned(key.job);
   if (job == nullptr) return;
   const std::string& id = job->items()[key.item].id;
-  const ItemProgress progress = work_.Remove(key);
+  const ItemProgress progress = open_items_.Remove(key);
   tools_.metrics.ItemEnded(state == ResultState::kComplete, Loop::Now() - progress.first_run_at);
   Log(LogLevel::kInfo, "item_finished",
       {{"job", key.job.value},
@@ -342,7 +344,7 @@
        {"why", std::string(why)}});
   job->Finish(key.item, {id, state, state == ResultState::kComplete ? progress.text.text() : ""});
   jobs_.Write(*job);
-  Pump();
+  UpdateRuns();
 }
 
 }  // namespace figmill
--- a/src/gateway/batch_runner.h
+++ b/src/gateway/batch_runner.h
@@ -21,27 +21,27 @@
 class BatchRunner {
  public:
   // Delay between a failed run and the item's next run.
-  static constexpr Duration kRetryPause{100'000};
+  static constexpr Duration kRetryDelay{100'000};
   // A run that receives no byte for this long is stopped, and its item is queued to resume at
   // any backend server. The first byte waits for a slot; later ones come every few tens of ms.
-  static constexpr Duration kFirstByteSilence{2'500'000};
-  static constexpr Duration kNextByteSilence{1'000'000};
+  static constexpr Duration kFirstByteTimeout{2'500'000};
+  static constexpr Duration kNextByteTimeout{1'000'000};
   static constexpr Duration kSweepPeriod{250'000};
   // Interval at which the partial output of runs is written to the store, for another owner to
   // resume from. When a host dies, each of its runs loses as much; a write costs a call and its
   // bytes.
-  static constexpr Duration kKeepPeriod{1'000'000};
+  static constexpr Duration kProgressWriteInterval{1'000'000};
 
   BatchRunner(RelayTools& tools, JobStore& jobs, const StoreClock& clock,
-              std::function<void()> wanted_changed);
+              std::function<void()> waiting_changed);
 
   void SetRoutes(std::shared_ptr<const RouteTable> routes);
   void OnOwned(OwnedJob& job, const std::vector<ledger::ProgressPiece>& progress);
   // Stops the job's runs and adds their partial output to the job's next write.
-  void OnHandedOver(OwnedJob& job);
+  void OnReleasing(OwnedJob& job);
   void OnDropped(const JobId& job);
   // Starts and stops runs to match the slots that are granted now.
-  void Pump();
+  void UpdateRuns();
   // Items that could start now, in order of their due times.
   [[nodiscard]] std::vector<WaitingItems> Waiting() const;
   [[nodiscard]] std::size_t running() const { return runs_.size(); }
@@ -49,24 +49,24 @@
  private:
   struct Run {
     BackendAddress backend;
-    AcquiredSlot place;
+    AcquiredSlot slot;
     OpenSends::Number number = 0;
     CancelCall cancel;
     bool answering = false;
     Time started_at{};
-    Time heard_at{};
+    Time last_activity_at{};
     StoreTime due{0};
     CrashWatch::LostSend lost_send;  // reported when the connection is lost
   };
 
-  void Queue(const JobItemRef& key, Duration pause);
+  void Enqueue(const JobItemRef& key, Duration delay);
   [[nodiscard]] Duration QuarantineLeft(const OwnedJob& job, const JobItemRef& key) const;
   [[nodiscard]] BacklogTime TimeNow() const;
-  [[nodiscard]] std::string IdOf(const JobItemRef& key) const;
+  [[nodiscard]] std::string ItemId(const JobItemRef& key) const;
   [[nodiscard]] const Route* RouteOf(const JobHead& head, const JobItem& item) const;
-  [[nodiscard]] bool Fits(const JobItemRef& key, const BackendInfo& backend) const;
-  void StopExcess();
-  void StartAllowed();
+  [[nodiscard]] bool CanRunOn(const JobItemRef& key, const BackendInfo& backend) const;
+  void StopExcessRuns();
+  void StartGrantedRuns();
   bool StartOn(const BackendInfo& backend);
   void Start(const JobItemRef& key, StoreTime due, const BackendInfo& backend);
   void OnHttp(const JobItemRef& key, OpenSends::Number number, HttpEvent event);
@@ -75,28 +75,28 @@
   void OnBytes(const JobItemRef& key, std::string_view bytes);
   void OnEnd(const JobItemRef& key);
   // Ends the run and queues the item for another one.
-  void Requeue(const JobItemRef& key, relay::SendEnd end, std::string_view why, Duration pause);
+  void Requeue(const JobItemRef& key, relay::SendEnd end, std::string_view why, Duration delay);
   void EndRun(const JobItemRef& key, relay::SendEnd end);
   void Finish(const JobItemRef& key, ResultState state, std::string_view why);
-  void OnFailed(const JobItemRef& key, bool counts, const std::string& why);
+  void OnFailed(const JobItemRef& key, bool counts_as_failure, const std::string& why);
   void Sweep();
-  void StopSilent();
+  void StopStalledRuns();
   // Records items that can't be completed any more as dead. Otherwise a job whose route was
   // removed would stay open forever, and its caller would wait for it.
-  void GiveUpHopeless();
+  void GiveUpItems();
   void LogGivenUp(const JobItemRef& key, std::string_view why) const;
-  void KeepProgress();
-  void KeepProgressOf(OwnedJob& job);
+  void SaveProgress();
+  void SaveProgressOf(OwnedJob& job);
 
   RelayTools& tools_;
   JobStore& jobs_;
   const StoreClock& clock_;
-  std::function<void()> wanted_changed_;
+  std::function<void()> waiting_changed_;
   std::shared_ptr<const RouteTable> routes_;
-  OpenItems work_;
+  OpenItems open_items_;
   std::map<JobItemRef, Run> runs_;
   bool check_routes_ = false;  // the configuration or the jobs changed since the last check
-  Timer sweep_timer_, keep_timer_;
+  Timer sweep_timer_, progress_timer_;
 };
 
 }  // namespace figmill
--- a/src/gateway/batch_sweep.cc
+++ b/src/gateway/batch_sweep.cc
@@ -9,15 +9,15 @@
 namespace figmill {
 
 void BatchRunner::Sweep() {
-  StopSilent();
-  GiveUpHopeless();
-  Pump();
+  StopStalledRuns();
+  GiveUpItems();
+  UpdateRuns();
 }
 
-void BatchRunner::GiveUpHopeless() {
+void BatchRunner::GiveUpItems() {
   const bool check_routes = std::exchange(check_routes_, false) && routes_;
-  std::vector<std::pair<JobItemRef, std::string_view>> hopeless;
-  for (const auto& [key, progress] : work_.open_items()) {
+  std::vector<std::pair<JobItemRef, std::string_view>> given_up;
+  for (const auto& [key, progress] : open_items_.open_items()) {
     const OwnedJob* job = jobs_.Owned(key.job);
     if (job == nullptr) continue;
     const JobHead& head = job->head();
@@ -25,9 +25,9 @@
         !check_routes || routes_->Find(head.host, job->items()[key.item].target) != nullptr;
     const std::uint64_t version = routes_ ? routes_->version() : 0;
     const auto why = GiveUpReason(head, has_route, version, TimeNow().store);
-    if (why) hopeless.emplace_back(key, *why);
+    if (why) given_up.emplace_back(key, *why);
   }
-  for (const auto& [key, why] : hopeless) {
+  for (const auto& [key, why] : given_up) {
     LogGivenUp(key, why);
     EndRun(key, relay::SendEnd::kAbandoned);
     Finish(key, ResultState::kDead, why);
@@ -42,7 +42,7 @@
   const std::optional<Duration> age = clock_.Age(Loop::SinceBoot());
   Log(LogLevel::kInfo, "item_given_up",
       {{"job", key.job.value},
-       {"item", IdOf(key)},
+       {"item", ItemId(key)},
        {"why", std::string(why)},
        {"submitted_ms", head == nullptr ? "" : Milliseconds(head->submitted)},
        {"expires_ms", head == nullptr ? "" : Milliseconds(head->expires)},
@@ -51,14 +51,14 @@
        {"config", std::to_string(routes_ ? routes_->version() : 0)}});
 }
 
-void BatchRunner::StopSilent() {
+void BatchRunner::StopStalledRuns() {
   const Time now = Loop::Now();
-  std::vector<JobItemRef> silent;
+  std::vector<JobItemRef> stalled;
   for (const auto& [key, run] : runs_) {
-    const Duration patience = run.answering ? kNextByteSilence : kFirstByteSilence;
-    if (now - run.heard_at >= patience) silent.push_back(key);
+    const Duration timeout = run.answering ? kNextByteTimeout : kFirstByteTimeout;
+    if (now - run.last_activity_at >= timeout) stalled.push_back(key);
   }
-  for (const JobItemRef& key : silent) {
+  for (const JobItemRef& key : stalled) {
     Requeue(key, relay::SendEnd::kSilent, "no data within the timeout", Duration{0});
   }
 }
--- a/src/gateway/clocked_tables.h
+++ b/src/gateway/clock_syncing_tables.h
@@ -19,24 +19,24 @@
 
 // Done here and not by the users of the tables: a process that takes a job over by a call of
 // which nobody reads the time would run the job without knowing when it expires.
-class ClockedTables final : public SharedTables {
+class ClockSyncingTables final : public SharedTables {
  public:
-  ClockedTables(SharedTables& tables, StoreClock& clock) : tables_(tables), clock_(clock) {}
+  ClockSyncingTables(SharedTables& tables, StoreClock& clock) : tables_(tables), clock_(clock) {}
 
   void Commit(TableTransaction transaction, std::function<void(TableOutcome)> done) override {
     tables_.Commit(std::move(transaction), [this, called_at = Loop::SinceBoot(),
                                             done = std::move(done)](TableOutcome outcome) {
       const auto* committed = std::get_if<TableCommitted>(&outcome);
       const auto* rejected = std::get_if<TableRejected>(&outcome);
-      if (committed != nullptr) Heard(called_at, committed->now);
-      if (rejected != nullptr) Heard(called_at, rejected->now);
+      if (committed != nullptr) SyncClock(called_at, committed->now);
+      if (rejected != nullptr) SyncClock(called_at, rejected->now);
       done(std::move(outcome));
     });
   }
   void Read(TableRange range, std::function<void(Result<TablePage>)> done) override {
     tables_.Read(std::move(range), [this, called_at = Loop::SinceBoot(),
                                     done = std::move(done)](Result<TablePage> page) {
-      if (IsOk(page)) Heard(called_at, ValueOf(page).now);
+      if (IsOk(page)) SyncClock(called_at, ValueOf(page).now);
       done(std::move(page));
     });
   }
@@ -50,13 +50,13 @@
         std::move(table), after, wait,
         [this, called_at = Loop::SinceBoot(), done = std::move(done)](FeedOutcome outcome) {
           const auto* changes = std::get_if<TableChanges>(&outcome);
-          if (changes != nullptr) Heard(called_at, changes->now);
+          if (changes != nullptr) SyncClock(called_at, changes->now);
           done(std::move(outcome));
         });
   }
 
  private:
-  void Heard(StoreClock::HostTime called_at, std::optional<StoreTime> made_at) {
+  void SyncClock(StoreClock::HostTime called_at, std::optional<StoreTime> made_at) {
     if (!made_at) return;
     const StoreClock::HostTime now = Loop::SinceBoot();
     const std::optional<StoreTime> before = clock_.Earliest(now);
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -9,7 +9,7 @@
 
 #include "gateway/batch_runner.h"
 #include "gateway/caller_door.h"
-#include "gateway/clocked_tables.h"
+#include "gateway/clock_syncing_tables.h"
 #include "gateway/crash_watch.h"
 #include "gateway/fleet_watch.h"
 #include "gateway/job_desk.h"
@@ -17,7 +17,7 @@
 #include "gateway/member_watch.h"
 #include "gateway/open_sends.h"
 #include "gateway/peer_link.h"
-#include "gateway/store_caller.h"
+#include "gateway/store_transport.h"
 #include "gateway/team_access.h"
 
 namespace figmill {
@@ -25,26 +25,26 @@
 
 // The load balancer probes readiness once a second and removes a process after two failed
 // probes; until then new connections arrive, and callers keep using open ones.
-constexpr Duration kBalancerNotice{3'000'000};
-constexpr Duration kIdleCheck{50'000};
+constexpr Duration kBalancerDrainDelay{3'000'000};
+constexpr Duration kIdleCheckPeriod{50'000};
 // Limit on the entries that may forward calls to the store; the store may refuse some of them too.
-constexpr std::size_t kStorePeers = 12;
+constexpr std::size_t kMaxStoreProxies = 12;
 // Requests that arrive less than this before the process is killed are refused, as they could be
 // cut off: a stream lasts about a second, after its wait for a slot.
-constexpr Duration kLastRequest{3'000'000};
+constexpr Duration kRequestCutoff{3'000'000};
 // Reserved at the end of the grace period for sending the last bytes.
 constexpr Duration kGraceMargin{700'000};
 
 // The control thread and the objects that it runs.
-class Control {
+class ControlThread {
  public:
   struct Hooks {
     FleetWatch::Hooks fleet;
     MemberWatch::Hooks members;
   };
 
-  Control(const GatewaySettings& settings, const PlatformAdapter& adapter, Metrics& metrics,
-          TrafficMetrics& traffic, const Peer& self, Hooks hooks)
+  ControlThread(const GatewaySettings& settings, const PlatformAdapter& adapter, Metrics& metrics,
+                TrafficMetrics& traffic, const Peer& self, Hooks hooks)
       : client_(loop_),
         store_(loop_, client_, settings.store, traffic),
         tables_(adapter.Connect(store_)),
@@ -56,7 +56,7 @@
           members_.Start();
           loop_.Run();
         }) {}
-  ~Control() {
+  ~ControlThread() {
     loop_.Stop();
     thread_.join();
   }
@@ -67,7 +67,7 @@
   void RemoveMember(const Peer& peer) {
     loop_.Post([this, peer] { members_.Remove(peer); });
   }
-  void Rename(const Peer& self) {
+  void UpdateSelf(const Peer& self) {
     loop_.Post([this, self] { members_.Rename(self); });
   }
   void SetPeers(std::vector<Address> peers) {
@@ -77,7 +77,7 @@
  private:
   Loop loop_;
   ExchangeClient client_;
-  StoreCaller store_;
+  StoreTransport store_;
   std::unique_ptr<SharedTables> tables_;
   FleetWatch fleet_;
   MemberWatch members_;
@@ -98,48 +98,50 @@
         client_(loop_),
         store_(loop_, client_, settings.store, traffic_),
         tables_(adapter.Connect(store_)),
-        clocked_tables_(*tables_, clock_),
-        places_(settings.data_centre, SystemRandom()),
+        clock_syncing_tables_(*tables_, clock_),
+        backend_pool_(settings.data_centre, SystemRandom()),
         peers_(SelfOf(settings)),
-        link_(loop_, peers_, places_, metrics_, traffic_,
-              {[this] { return runner_.Waiting(); }, [this] { runner_.Pump(); },
-               [this](const PlaceAnswer& answer) { finder_.OnAnswer(answer); },
-               [this](const Peer& peer) { control_.RemoveMember(peer); },
-               [this](const Peer& self) { control_.Rename(self); },
-               [this](const Peer& from, const QuotaAsk& ask) { teams_.OnAsk(from, ask); },
-               [this](const QuotaGrant& grant) { teams_.OnGrant(grant); }}),
-        teams_(loop_, peers_, link_, metrics_, settings.teams),
-        finder_(loop_, places_, link_),
-        crashes_(loop_, client_, clocked_tables_, metrics_, settings.node),
-        tools_{loop_,    client_, places_,         finder_,          sends_,
-               crashes_, teams_,  adapter.names(), gateway_metrics_, traffic_},
-        jobs_(loop_, clocked_tables_, metrics_, peers_, SystemRandom(),
+        peer_messenger_(
+            loop_, peers_, backend_pool_, metrics_, traffic_,
+            {[this] { return runner_.Waiting(); }, [this] { runner_.UpdateRuns(); },
+             [this](const PlaceAnswer& answer) { slot_finder_.OnAnswer(answer); },
+             [this](const Peer& peer) { control_thread_.RemoveMember(peer); },
+             [this](const Peer& self) { control_thread_.UpdateSelf(self); },
+             [this](const Peer& from, const QuotaAsk& ask) { team_access_.OnAsk(from, ask); },
+             [this](const QuotaGrant& grant) { team_access_.OnGrant(grant); }}),
+        team_access_(loop_, peers_, peer_messenger_, metrics_, settings.teams),
+        slot_finder_(loop_, backend_pool_, peer_messenger_),
+        crash_tracker_(loop_, client_, clock_syncing_tables_, metrics_, settings.node),
+        relay_context_{loop_,          client_,      backend_pool_,   slot_finder_,     open_sends_,
+                       crash_tracker_, team_access_, adapter.names(), gateway_metrics_, traffic_},
+        jobs_(loop_, clock_syncing_tables_, metrics_, peers_, SystemRandom(),
               {[this](OwnedJob& job, const std::vector<ledger::ProgressPiece>& progress) {
                  runner_.OnOwned(job, progress);
                },
                [this](const JobId& job) { runner_.OnDropped(job); },
-               [this](OwnedJob& job) { runner_.OnHandedOver(job); },
-               [this](const JobHead& head) { desk_.OnChanged(head); }}),
-        runner_(tools_, jobs_, clock_, [this] { link_.WantedChanged(); }),
-        desk_(loop_, jobs_, clock_, adapter),
-        door_(tools_, adapter, desk_, SystemRandom()),
-        control_(settings, adapter, metrics_, traffic_, peers_.self(), ControlHooks()) {
-    places_.SetUsageListener([this](const BackendId& backend) { link_.Touch(backend); });
+               [this](OwnedJob& job) { runner_.OnReleasing(job); },
+               [this](const JobHead& head) { job_requests_.OnChanged(head); }}),
+        runner_(relay_context_, jobs_, clock_, [this] { peer_messenger_.WantedChanged(); }),
+        job_requests_(loop_, jobs_, clock_, adapter),
+        request_dispatcher_(relay_context_, adapter, job_requests_, SystemRandom()),
+        control_thread_(settings, adapter, metrics_, traffic_, peers_.self(), ControlHooks()) {
+    backend_pool_.SetUsageListener(
+        [this](const BackendId& backend) { peer_messenger_.Touch(backend); });
   }
 
   int Run() {
-    const Result<Ok> linked = link_.Start(settings_.seeds);
+    const Result<Ok> linked = peer_messenger_.Start(settings_.seeds);
     if (!IsOk(linked)) {
       Log(LogLevel::kError, "cannot_listen", {{"why", ErrorOf(linked).detail}});
       return RowOf(ErrorKind::kInternal).exit_code;
     }
     if (!Listen(settings_.callers, callers_,
                 [this](HttpRequest request, std::shared_ptr<HttpReply> reply) {
-                  door_.OnRequest(std::move(request), std::move(reply));
+                  request_dispatcher_.OnRequest(std::move(request), std::move(reply));
                 }) ||
         !Listen(settings_.health, health_,
                 [this](const HttpRequest& /*request*/, const std::shared_ptr<HttpReply>& reply) {
-                  TellReadiness(*reply);
+                  SendReadiness(*reply);
                 }) ||
         !Listen(settings_.peers, peers_server_,
                 [this](HttpRequest request, std::shared_ptr<HttpReply> reply) {
@@ -153,8 +155,8 @@
       return RowOf(ErrorKind::kInternal).exit_code;
     }
     jobs_.Start();
-    crashes_.Start();
-    peers_timer_ = loop_.Every(PeerTable::kPresence, [this] { TellPeers(); });
+    crash_tracker_.Start();
+    store_proxies_timer_ = loop_.Every(PeerTable::kPresence, [this] { UpdateStoreProxies(); });
     Log(LogLevel::kInfo, "started",
         {{"node", settings_.node.value},
          {"incarnation", std::to_string(peers_.self().incarnation)}});
@@ -168,18 +170,22 @@
   }
 
  private:
-  Control::Hooks ControlHooks() {
+  ControlThread::Hooks ControlHooks() {
     return {
         {[this](std::shared_ptr<const FleetView> view) {
-           loop_.Post([this, view = std::move(view)] { Update(view); });
+           loop_.Post([this, view = std::move(view)] { ApplyFleetView(view); });
          },
-         [this](Duration asked_at) { loop_.Post([this, asked_at] { teams_.Confirm(asked_at); }); }},
-        {[this](const Peer& peer) { loop_.Post([this, peer] { link_.Named(peer); }); },
-         [this](const NodeId& node) { loop_.Post([this, node] { link_.Unlisted(node); }); }}};
+         [this](Duration asked_at) {
+           loop_.Post([this, asked_at] { team_access_.Confirm(asked_at); });
+         }},
+        {[this](const Peer& peer) { loop_.Post([this, peer] { peer_messenger_.Named(peer); }); },
+         [this](const NodeId& node) {
+           loop_.Post([this, node] { peer_messenger_.Unlisted(node); });
+         }}};
   }
 
   void OnPeerRequest(HttpRequest request, std::shared_ptr<HttpReply> reply) {
-    if (StoreCaller::IsForwarded(request)) {
+    if (StoreTransport::IsForwarded(request)) {
       return store_.Forward(std::move(request), std::move(reply));
     }
     reply->Send(ProblemOf({ErrorKind::kNotFound, "no such path: " + request.path}));
@@ -190,7 +196,7 @@
       metrics_.gauge(name, help).Set(value);
     };
     set("figmill_requests_in_flight", "Requests without a final answer yet",
-        static_cast<double>(door_.in_flight()));
+        static_cast<double>(request_dispatcher_.in_flight()));
     set("figmill_items_running", "Batch items that run", static_cast<double>(runner_.running()));
     set("figmill_items_waiting", "Batch items that could run", CountOf(runner_.Waiting()));
     set("figmill_jobs_owned", "Batch jobs that this entry owns",
@@ -198,9 +204,9 @@
     set("figmill_peers_live", "Entries that are there, with this one",
         static_cast<double>(peers_.Live(Loop::Now()).size()));
     set("figmill_backends_known", "Backend servers in the list",
-        static_cast<double>(places_.size()));
+        static_cast<double>(backend_pool_.size()));
     set("figmill_config_version", "Version of the configuration in force",
-        static_cast<double>(door_.config_version()));
+        static_cast<double>(request_dispatcher_.config_version()));
     set("figmill_connections_opened", "Connections opened since the start",
         static_cast<double>(client_.opened()));
     set("figmill_store_clock_age_seconds",
@@ -208,7 +214,7 @@
         SecondsOr(clock_.Age(Loop::SinceBoot()), -1));
     set("figmill_config_confirmed_age_seconds",
         "Since the store was last asked whether the configuration still holds; -1 before it was",
-        SecondsOr(teams_.age(), -1));
+        SecondsOr(team_access_.age(), -1));
     set("figmill_log_lines_dropped", "Log lines left out or lost since the start",
         static_cast<double>(LogLinesDropped()));
   }
@@ -218,82 +224,85 @@
   }
 
   // Sets the entries that may forward calls to the store.
-  void TellPeers() {
+  void UpdateStoreProxies() {
     std::vector<Address> peers;
     for (const Peer& peer : peers_.Capable(Loop::Now())) {
       if (peer.node != peers_.self().node) peers.push_back(peer.address);
-      if (peers.size() == kStorePeers) break;
+      if (peers.size() == kMaxStoreProxies) break;
     }
     store_.SetPeers(peers);
-    control_.SetPeers(std::move(peers));
+    control_thread_.SetPeers(std::move(peers));
   }
 
-  void Update(const std::shared_ptr<const FleetView>& view) {
+  void ApplyFleetView(const std::shared_ptr<const FleetView>& view) {
     for (const Address& address : ChangedAddresses(backends_, view->backends)) {
       client_.DropIdle(address);
     }
     backends_ = view->backends;
-    teams_.SetRoutes(view->routes);
-    door_.Update(view);
+    team_access_.SetRoutes(view->routes);
+    request_dispatcher_.Update(view);
     runner_.SetRoutes(view->routes);
     std::vector<BackendInfo> backends;
     backends.reserve(view->backends.size());
     for (const auto& [id, info] : view->backends) backends.push_back(info);
-    link_.SetBackends(std::move(backends));
-    if (view->backends_listed) link_.Joined();
+    peer_messenger_.SetBackends(std::move(backends));
+    if (view->backends_listed) peer_messenger_.Joined();
     EndOutdatedSends();
   }
 
   // Runs after the backend pool has the new incarnations: requests that end here are retried there.
   void EndOutdatedSends() {
-    const OpenSends::Ended ended = sends_.EndOutdated(backends_, Loop::Now());
+    const OpenSends::Ended ended = open_sends_.EndOutdated(backends_, Loop::Now());
     if (ended.lost > 0) {
       Log(LogLevel::kWarning, "sends_lost",
           {{"why", "their backend server has started again"},
            {"sends", std::to_string(ended.lost)},
            {"in_doubt", std::to_string(ended.in_doubt)}});
-      runner_.Pump();
+      runner_.UpdateRuns();
     }
     if (ended.in_doubt == 0) return outdated_timer_.Reset();
     outdated_timer_ = loop_.After(OpenSends::kSignOfLife, [this] { EndOutdatedSends(); });
   }
 
   bool Listen(const Address& at, std::unique_ptr<HttpServer>& server, HttpHandler handler) {
-    Result<std::unique_ptr<HttpServer>> made = HttpServer::Listen(loop_, at, std::move(handler));
-    if (!IsOk(made)) {
-      Log(LogLevel::kError, "cannot_listen", {{"why", ErrorOf(made).detail}});
+    Result<std::unique_ptr<HttpServer>> listening =
+        HttpServer::Listen(loop_, at, std::move(handler));
+    if (!IsOk(listening)) {
+      Log(LogLevel::kError, "cannot_listen", {{"why", ErrorOf(listening).detail}});
       return false;
     }
-    server = std::move(ValueOf(made));
+    server = std::move(ValueOf(listening));
     return true;
   }
 
-  void TellReadiness(HttpReply& reply) const {
+  void SendReadiness(HttpReply& reply) const {
     if (leaving_) return reply.Send({503, "text/plain", {}, "leaving\n"});
-    if (!door_.ready()) return reply.Send({503, "text/plain", {}, "no configuration yet\n"});
-    if (!teams_.ready()) return reply.Send({503, "text/plain", {}, "keys not confirmed\n"});
+    if (!request_dispatcher_.ready())
+      return reply.Send({503, "text/plain", {}, "no configuration yet\n"});
+    if (!team_access_.ready()) return reply.Send({503, "text/plain", {}, "keys not confirmed\n"});
     reply.Send({200, "text/plain", {}, "ready\n"});
   }
 
   void Leave() {
     if (std::exchange(leaving_, true)) return loop_.Stop();
-    Log(LogLevel::kInfo, "leaving", {{"in_flight", std::to_string(door_.in_flight())}});
-    door_.SetLeaving();
-    desk_.SetLeaving();
-    link_.Leave();
-    control_.Leave();
-    jobs_.Leave([this] { jobs_left_ = true; });
+    Log(LogLevel::kInfo, "leaving",
+        {{"in_flight", std::to_string(request_dispatcher_.in_flight())}});
+    request_dispatcher_.SetLeaving();
+    job_requests_.SetLeaving();
+    peer_messenger_.Leave();
+    control_thread_.Leave();
+    jobs_.Leave([this] { jobs_released_ = true; });
     grace_timer_ = loop_.After(settings_.shutdown_grace - kGraceMargin, [this] { loop_.Stop(); });
-    last_request_timer_ =
-        loop_.After(settings_.shutdown_grace - kLastRequest, [this] { door_.RefuseAll(); });
-    idle_timer_ = loop_.After(kBalancerNotice, [this] { StopWhenIdle(); });
+    request_cutoff_timer_ = loop_.After(settings_.shutdown_grace - kRequestCutoff,
+                                        [this] { request_dispatcher_.RefuseAll(); });
+    idle_timer_ = loop_.After(kBalancerDrainDelay, [this] { StopWhenIdle(); });
   }
 
   void StopWhenIdle() {
     callers_->CloseIdle();
-    const bool idle = door_.in_flight() == 0 && desk_.in_flight() == 0;
-    if (idle && callers_->open_replies() == 0 && jobs_left_) return loop_.Stop();
-    idle_timer_ = loop_.After(kIdleCheck, [this] { StopWhenIdle(); });
+    const bool idle = request_dispatcher_.in_flight() == 0 && job_requests_.in_flight() == 0;
+    if (idle && callers_->open_replies() == 0 && jobs_released_) return loop_.Stop();
+    idle_timer_ = loop_.After(kIdleCheckPeriod, [this] { StopWhenIdle(); });
   }
 
   const GatewaySettings& settings_;
@@ -302,28 +311,28 @@
   TrafficMetrics traffic_{metrics_};
   Loop loop_;
   ExchangeClient client_;
-  StoreCaller store_;
+  StoreTransport store_;
   std::unique_ptr<SharedTables> tables_;
   StoreClock clock_;
-  ClockedTables clocked_tables_;
-  BackendPool places_;
+  ClockSyncingTables clock_syncing_tables_;
+  BackendPool backend_pool_;
   BackendList backends_;  // of the FleetView in use
-  OpenSends sends_;
+  OpenSends open_sends_;
   PeerTable peers_;
-  PeerLink link_;
-  TeamAccess teams_;
-  PlaceFinder finder_;
-  CrashWatch crashes_;
-  RelayTools tools_;
+  PeerLink peer_messenger_;
+  TeamAccess team_access_;
+  PlaceFinder slot_finder_;
+  CrashWatch crash_tracker_;
+  RelayTools relay_context_;
   JobStore jobs_;
   BatchRunner runner_;
-  JobDesk desk_;
-  CallerDoor door_;
+  JobDesk job_requests_;
+  CallerDoor request_dispatcher_;
   std::unique_ptr<HttpServer> callers_, health_, peers_server_, metrics_server_;
   bool leaving_ = false;
-  bool jobs_left_ = false;
-  Timer grace_timer_, idle_timer_, last_request_timer_, peers_timer_, outdated_timer_;
-  Control control_;
+  bool jobs_released_ = false;
+  Timer grace_timer_, idle_timer_, request_cutoff_timer_, store_proxies_timer_, outdated_timer_;
+  ControlThread control_thread_;
 };
 
 }  // namespace
--- a/src/gateway/gateway_metrics.cc
+++ b/src/gateway/gateway_metrics.cc
@@ -22,12 +22,13 @@
       item_seconds_(metrics.histogram("figmill_item_seconds",
                                       "From a batch item's first run here to its result")) {}
 
-void GatewayMetrics::RequestEnded(std::string_view outcome, Duration whole, Duration first) {
+void GatewayMetrics::RequestEnded(std::string_view outcome, Duration duration,
+                                  Duration time_to_first_byte) {
   metrics_
       .counter("figmill_requests_total", "Requests with a final answer", Label("outcome", outcome))
       .Add();
-  request_seconds_.Add(Seconds(whole));
-  if (first.count() > 0) first_byte_seconds_.Add(Seconds(first));
+  request_seconds_.Add(Seconds(duration));
+  if (time_to_first_byte.count() > 0) first_byte_seconds_.Add(Seconds(time_to_first_byte));
 }
 
 void GatewayMetrics::RefusedLate() {
@@ -44,12 +45,12 @@
       .Add();
 }
 
-void GatewayMetrics::ItemEnded(bool complete, Duration whole) {
+void GatewayMetrics::ItemEnded(bool complete, Duration duration) {
   metrics_
       .counter("figmill_items_total", "Batch items with a result",
                Label("state", complete ? "complete" : "dead"))
       .Add();
-  item_seconds_.Add(Seconds(whole));
+  item_seconds_.Add(Seconds(duration));
 }
 
 void GatewayMetrics::ItemStopped(relay::SendEnd end) {
--- a/src/gateway/gateway_metrics.h
+++ b/src/gateway/gateway_metrics.h
@@ -14,13 +14,13 @@
 
   // A caller's request has its final response. `first` is the time to the first byte of the
   // response, 0 if there was none.
-  void RequestEnded(std::string_view outcome, Duration whole, Duration first);
+  void RequestEnded(std::string_view outcome, Duration duration, Duration time_to_first_byte);
   // A request was refused after a quarter of its latency goal or later: the forecast that it would
   // be served was wrong.
   void RefusedLate();
   // One send to a backend server has ended.
   void SendEnded(relay::SendEnd end);
-  void ItemEnded(bool complete, Duration whole);
+  void ItemEnded(bool complete, Duration duration);
   void ItemStopped(relay::SendEnd end);
 
  private:
--- a/src/gateway/hedged_commit.cc
+++ b/src/gateway/hedged_commit.cc
@@ -6,10 +6,10 @@
 namespace figmill {
 namespace {
 
-class Copies : public std::enable_shared_from_this<Copies> {
+class HedgedWrite : public std::enable_shared_from_this<HedgedWrite> {
  public:
-  Copies(Loop& loop, SharedTables& tables, TableTransaction transaction,
-         std::function<void(TableOutcome)> done)
+  HedgedWrite(Loop& loop, SharedTables& tables, TableTransaction transaction,
+              std::function<void(TableOutcome)> done)
       : loop_(loop),
         tables_(tables),
         transaction_(std::move(transaction)),
@@ -17,30 +17,31 @@
 
   void Send() {
     ++sent_;
-    ++open_;
-    tables_.Commit(transaction_,
-                   [self = shared_from_this()](const TableOutcome& outcome) { self->On(outcome); });
+    ++pending_;
+    tables_.Commit(transaction_, [self = shared_from_this()](const TableOutcome& outcome) {
+      self->OnOutcome(outcome);
+    });
     if (sent_ == kMaxCopies) return;
     const Duration wait = kHedgeAfter * (1 << (sent_ - 1));
     timer_ = loop_.After(wait, [self = shared_from_this()] {
-      if (self->done_ && self->open_ > 0) self->Send();
+      if (self->done_ && self->pending_ > 0) self->Send();
     });
   }
 
  private:
-  void On(const TableOutcome& outcome) {
-    --open_;
+  void OnOutcome(const TableOutcome& outcome) {
+    --pending_;
     if (!done_) return;
     if (const auto* unknown = std::get_if<FateUnknown>(&outcome)) {
-      unknown_ = true;
+      may_have_effect_ = true;
       why_ = unknown->why;
     } else if (const auto* refused = std::get_if<NotWritten>(&outcome)) {
       why_ = refused->why;
     } else {
       return Finish(outcome);
     }
-    if (open_ > 0) return;
-    if (unknown_) return Finish(FateUnknown{why_});
+    if (pending_ > 0) return;
+    if (may_have_effect_) return Finish(FateUnknown{why_});
     Finish(NotWritten{why_});
   }
 
@@ -55,16 +56,16 @@
   std::function<void(TableOutcome)> done_;
   Timer timer_;
   std::string why_;
-  bool unknown_ = false;
+  bool may_have_effect_ = false;
   int sent_ = 0;
-  int open_ = 0;
+  int pending_ = 0;
 };
 
 }  // namespace
 
 void HedgedCommit(Loop& loop, SharedTables& tables, TableTransaction transaction,
                   std::function<void(TableOutcome)> done) {
-  std::make_shared<Copies>(loop, tables, std::move(transaction), std::move(done))->Send();
+  std::make_shared<HedgedWrite>(loop, tables, std::move(transaction), std::move(done))->Send();
 }
 
 const TableRow* RowIn(const TableRejected& rejected, const TableKey& at) {
--- a/src/gateway/job_desk.cc
+++ b/src/gateway/job_desk.cc
@@ -10,31 +10,35 @@
 constexpr int kAccepted = 202;
 // Retry-After of errors that a retry may solve: when the store is down, it is down for
 // seconds.
-constexpr Duration kComeBack{1'000'000};
+constexpr Duration kRetryAfter{1'000'000};
 // Limit on the results in one response, in bytes of output; escaping adds to them, and a
 // response may have 1 MB.
-constexpr std::size_t kMaxAnswerBytes = 600'000;
+constexpr std::size_t kMaxResponseBytes = 600'000;
 
 }  // namespace
 
-class JobDesk::Answer {
+class JobDesk::PendingReply {
  public:
-  Answer(JobDesk& desk, std::string what, std::string job, std::shared_ptr<HttpReply> reply)
-      : desk_(desk), what_(std::move(what)), job_(std::move(job)), reply_(std::move(reply)) {
+  PendingReply(JobDesk& desk, std::string call_name, std::string job,
+               std::shared_ptr<HttpReply> reply)
+      : desk_(desk),
+        call_name_(std::move(call_name)),
+        job_(std::move(job)),
+        reply_(std::move(reply)) {
     ++desk_.in_flight_;
   }
-  ~Answer() {
+  ~PendingReply() {
     if (!sent_) --desk_.in_flight_;
   }
-  Answer(const Answer&) = delete;
-  Answer& operator=(const Answer&) = delete;
+  PendingReply(const PendingReply&) = delete;
+  PendingReply& operator=(const PendingReply&) = delete;
 
   void Send(HttpResponse response, const std::string& why = "") {
     if (std::exchange(sent_, true)) return;
     --desk_.in_flight_;
     response.close = true;
     Log(LogLevel::kInfo, "job_call",
-        {{"call", what_},
+        {{"call", call_name_},
          {"job", job_},
          {"status", std::to_string(response.status)},
          {"why", why}});
@@ -45,14 +49,14 @@
     if (error.ran != Ran::kNo && error.kind == ErrorKind::kStoreUnavailable) {
       error.kind = ErrorKind::kDeadlineExceeded;
     }
-    if (RowOf(error.kind).retry_may_help && !error.retry_after) error.retry_after = kComeBack;
+    if (RowOf(error.kind).retry_may_help && !error.retry_after) error.retry_after = kRetryAfter;
     Send(RefusalOf(error), error.detail);
   }
   void OnClosed(std::function<void()> closed) { reply_->OnClosed(std::move(closed)); }
 
  private:
   JobDesk& desk_;
-  std::string what_;
+  std::string call_name_;
   std::string job_;
   std::shared_ptr<HttpReply> reply_;
   bool sent_ = false;
@@ -71,11 +75,11 @@
                      std::shared_ptr<HttpReply> reply) {
   Result<JobSubmission> submission = adapter_.ParseSubmission(request);
   const std::string id(request.HeaderOr(adapter_.names().request_id));
-  auto answer = std::make_shared<Answer>(*this, "submit", id, std::move(reply));
-  if (!IsOk(submission)) return answer->Refuse(ErrorOf(submission));
+  auto pending = std::make_shared<PendingReply>(*this, "submit", id, std::move(reply));
+  if (!IsOk(submission)) return pending->Refuse(ErrorOf(submission));
   const std::optional<StoreTime> now = clock_.Latest(Loop::SinceBoot());
   if (!now) {
-    return answer->Refuse({ErrorKind::kNoBackend, "the store was not reached yet", Ran::kNo});
+    return pending->Refuse({ErrorKind::kNoBackend, "the store was not reached yet", Ran::kNo});
   }
   JobSubmission& job = ValueOf(submission);
   JobHead head;
@@ -90,9 +94,9 @@
   head.expires = head.submitted + route.job_expiry;
   head.digest = ledger::DigestOf(job, head.team);
   head.config_version = config_version;
-  jobs_.Accept(std::move(head), std::move(job), [this, answer](const Result<Ok>& accepted) {
-    if (!IsOk(accepted)) return answer->Refuse(ErrorOf(accepted));
-    answer->Send({kAccepted, "application/json", {}, adapter_.RenderAccepted()});
+  jobs_.Accept(std::move(head), std::move(job), [this, pending](const Result<Ok>& accepted) {
+    if (!IsOk(accepted)) return pending->Refuse(ErrorOf(accepted));
+    pending->Send({kAccepted, "application/json", {}, adapter_.RenderAccepted()});
   });
 }
 
@@ -100,51 +104,52 @@
                    std::shared_ptr<HttpReply> reply) {
   const std::string_view name = std::visit([](const auto& each) { return each.kName; }, call);
   const JobId job = std::visit([](const auto& each) { return each.job; }, call);
-  const auto answer =
-      std::make_shared<Answer>(*this, std::string(name), job.value, std::move(reply));
-  if (!team) return Serve(call, answer);
-  jobs_.Find(job, [this, call, team, answer, job](const Result<JobHead>& head) {
-    if (!IsOk(head)) return answer->Refuse(ErrorOf(head));
-    const TeamId& holder = ValueOf(head).team;
-    if (holder.empty() || holder == *team) return Serve(call, answer);
+  const auto pending =
+      std::make_shared<PendingReply>(*this, std::string(name), job.value, std::move(reply));
+  if (!team) return Dispatch(call, pending);
+  jobs_.Find(job, [this, call, team, pending, job](const Result<JobHead>& head) {
+    if (!IsOk(head)) return pending->Refuse(ErrorOf(head));
+    const TeamId& owning_team = ValueOf(head).team;
+    if (owning_team.empty() || owning_team == *team) return Dispatch(call, pending);
     // Reads the store as for an unknown job, so that the response takes as long.
-    jobs_.Refresh(job, [answer](const Result<JobHead>& /*head*/) {
-      answer->Refuse({ErrorKind::kNotFound, "no such job"});
+    jobs_.Refresh(job, [pending](const Result<JobHead>& /*head*/) {
+      pending->Refuse({ErrorKind::kNotFound, "no such job"});
     });
   });
 }
 
-void JobDesk::Serve(const JobCall& call, const std::shared_ptr<Answer>& answer) {
-  std::visit([&](const auto& each) { On(each, answer); }, call);
+void JobDesk::Dispatch(const JobCall& call, const std::shared_ptr<PendingReply>& pending) {
+  std::visit([&](const auto& each) { Handle(each, pending); }, call);
 }
 
-void JobDesk::On(const JobReadCall& call, std::shared_ptr<Answer> answer) {
-  jobs_.Find(call.job, [this, call, answer](const Result<JobHead>& head) {
-    if (!IsOk(head)) return answer->Refuse(ErrorOf(head));
-    Read(call, ValueOf(head), answer);
+void JobDesk::Handle(const JobReadCall& call, std::shared_ptr<PendingReply> pending) {
+  jobs_.Find(call.job, [this, call, pending](const Result<JobHead>& head) {
+    if (!IsOk(head)) return pending->Refuse(ErrorOf(head));
+    SendResultsOrWait(call, ValueOf(head), pending);
   });
 }
 
-void JobDesk::Read(const JobReadCall& call, const JobHead& head, std::shared_ptr<Answer> answer) {
-  if (call.after < head.listed) return SendResults(call, head.total, std::move(answer));
+void JobDesk::SendResultsOrWait(const JobReadCall& call, const JobHead& head,
+                                std::shared_ptr<PendingReply> pending) {
+  if (call.after < head.listed) return SendResults(call, head.total, std::move(pending));
   const bool may_wait = head.open() && call.wait.count() > 0 && !leaving_;
-  if (may_wait) return Wait(call, std::move(answer));
-  AnswerNothing(call, std::move(answer));
+  if (may_wait) return WaitForResults(call, std::move(pending));
+  SendNoResults(call, std::move(pending));
 }
 
 void JobDesk::SendResults(const JobReadCall& call, std::uint32_t total,
-                          std::shared_ptr<Answer> answer) {
+                          std::shared_ptr<PendingReply> pending) {
   jobs_.ReadResults(
-      call.job, call.after, [this, call, total, answer](Result<std::vector<ItemResult>> results) {
-        if (!IsOk(results)) return answer->Refuse(ErrorOf(results));
+      call.job, call.after, [this, call, total, pending](Result<std::vector<ItemResult>> results) {
+        if (!IsOk(results)) return pending->Refuse(ErrorOf(results));
         std::vector<ItemResult>& found = ValueOf(results);
         std::size_t bytes = 0;
         std::size_t count = 0;
-        while (count < found.size() && (count == 0 || bytes < kMaxAnswerBytes)) {
+        while (count < found.size() && (count == 0 || bytes < kMaxResponseBytes)) {
           bytes += found[count++].output.size();
         }
         found.resize(count);
-        answer->Send(
+        pending->Send(
             {200, "application/json", {}, adapter_.RenderResults(total, call.after, found)});
       });
 }
@@ -152,65 +157,65 @@
 // "No result yet" is decided by the store's row, not by the local copy: another entry
 // may have sent this caller results that haven't reached this copy, and they would
 // be missing at their positions.
-void JobDesk::AnswerNothing(const JobReadCall& call, std::shared_ptr<Answer> answer) {
-  jobs_.Refresh(call.job, [this, call, answer](const Result<JobHead>& head) {
-    if (!IsOk(head)) return answer->Refuse(ErrorOf(head));
-    if (call.after < ValueOf(head).listed) return SendResults(call, ValueOf(head).total, answer);
-    answer->Send(
+void JobDesk::SendNoResults(const JobReadCall& call, std::shared_ptr<PendingReply> pending) {
+  jobs_.Refresh(call.job, [this, call, pending](const Result<JobHead>& head) {
+    if (!IsOk(head)) return pending->Refuse(ErrorOf(head));
+    if (call.after < ValueOf(head).listed) return SendResults(call, ValueOf(head).total, pending);
+    pending->Send(
         {200, "application/json", {}, adapter_.RenderResults(ValueOf(head).total, call.after, {})});
   });
 }
 
-void JobDesk::Wait(const JobReadCall& call, std::shared_ptr<Answer> answer) {
-  const std::uint64_t number = ++next_number_;
-  JobReadCall again = call;
-  again.wait = Duration{0};
-  const auto finish = [this, again, answer] {
-    const JobHead* now = jobs_.Known(again.job);
-    if (now == nullptr) return answer->Refuse({ErrorKind::kNotFound, "no such job"});
-    Read(again, *now, answer);
+void JobDesk::WaitForResults(const JobReadCall& call, std::shared_ptr<PendingReply> pending) {
+  const std::uint64_t id = ++next_long_poll_id_;
+  JobReadCall without_wait = call;
+  without_wait.wait = Duration{0};
+  const auto finish = [this, without_wait, pending] {
+    const JobHead* now = jobs_.Known(without_wait.job);
+    if (now == nullptr) return pending->Refuse({ErrorKind::kNotFound, "no such job"});
+    SendResultsOrWait(without_wait, *now, pending);
   };
-  waiting_.emplace(call.job, Waiting{call.after, finish, number});
-  loop_.Later(call.wait, [this, job = call.job, number] {
-    const auto [first, last] = waiting_.equal_range(job);
+  long_polls_.emplace(call.job, LongPoll{call.after, finish, id});
+  loop_.Later(call.wait, [this, job = call.job, id] {
+    const auto [first, last] = long_polls_.equal_range(job);
     for (auto at = first; at != last; ++at) {
-      if (at->second.number != number) continue;
-      const auto answer_now = at->second.answer;
-      waiting_.erase(at);
-      return answer_now();
+      if (at->second.id != id) continue;
+      const auto resume = at->second.pending;
+      long_polls_.erase(at);
+      return resume();
     }
   });
 }
 
 void JobDesk::OnChanged(const JobHead& head) {
   std::vector<std::function<void()>> ready;
-  const auto [first, last] = waiting_.equal_range(head.id);
+  const auto [first, last] = long_polls_.equal_range(head.id);
   for (auto at = first; at != last;) {
     if (at->second.after < head.listed || !head.open()) {
-      ready.push_back(at->second.answer);
-      at = waiting_.erase(at);
+      ready.push_back(at->second.pending);
+      at = long_polls_.erase(at);
     } else {
       ++at;
     }
   }
-  for (const auto& answer : ready) answer();
+  for (const auto& pending : ready) pending();
 }
 
-void JobDesk::On(const JobItemCall& call, std::shared_ptr<Answer> answer) {
-  jobs_.ReadItems(call.job, [call, answer](const Result<std::vector<JobItem>>& items) {
-    if (!IsOk(items)) return answer->Refuse(ErrorOf(items));
+void JobDesk::Handle(const JobItemCall& call, std::shared_ptr<PendingReply> pending) {
+  jobs_.ReadItems(call.job, [call, pending](const Result<std::vector<JobItem>>& items) {
+    if (!IsOk(items)) return pending->Refuse(ErrorOf(items));
     for (const JobItem& item : ValueOf(items)) {
       if (item.id != call.item) continue;
-      return answer->Send({200, "application/octet-stream", {}, item.body});
+      return pending->Send({200, "application/octet-stream", {}, item.body});
     }
-    answer->Refuse({ErrorKind::kNotFound, "no such item"});
+    pending->Refuse({ErrorKind::kNotFound, "no such item"});
   });
 }
 
-void JobDesk::On(const JobEndCall& call, std::shared_ptr<Answer> answer) {
-  jobs_.End(call.job, [answer](const Result<Ok>& ended) {
-    if (!IsOk(ended)) return answer->Refuse(ErrorOf(ended));
-    answer->Send({200, "application/json", {}, "{}"});
+void JobDesk::Handle(const JobEndCall& call, std::shared_ptr<PendingReply> pending) {
+  jobs_.End(call.job, [pending](const Result<Ok>& ended) {
+    if (!IsOk(ended)) return pending->Refuse(ErrorOf(ended));
+    pending->Send({200, "application/json", {}, "{}"});
   });
 }
 
--- a/src/gateway/job_desk.h
+++ b/src/gateway/job_desk.h
@@ -31,29 +31,31 @@
   [[nodiscard]] std::size_t in_flight() const { return in_flight_; }
 
  private:
-  struct Waiting {
+  struct LongPoll {
     std::uint32_t after = 0;
-    std::function<void()> answer;
-    std::uint64_t number = 0;
+    std::function<void()> pending;
+    std::uint64_t id = 0;
   };
   // A response that counts as in flight until it is sent.
-  class Answer;
-
-  void Serve(const JobCall& call, const std::shared_ptr<Answer>& answer);
-  void On(const JobReadCall& call, std::shared_ptr<Answer> answer);
-  void On(const JobItemCall& call, std::shared_ptr<Answer> answer);
-  void On(const JobEndCall& call, std::shared_ptr<Answer> answer);
-  void Read(const JobReadCall& call, const JobHead& head, std::shared_ptr<Answer> answer);
-  void Wait(const JobReadCall& call, std::shared_ptr<Answer> answer);
-  void AnswerNothing(const JobReadCall& call, std::shared_ptr<Answer> answer);
-  void SendResults(const JobReadCall& call, std::uint32_t total, std::shared_ptr<Answer> answer);
+  class PendingReply;
+
+  void Dispatch(const JobCall& call, const std::shared_ptr<PendingReply>& pending);
+  void Handle(const JobReadCall& call, std::shared_ptr<PendingReply> pending);
+  void Handle(const JobItemCall& call, std::shared_ptr<PendingReply> pending);
+  void Handle(const JobEndCall& call, std::shared_ptr<PendingReply> pending);
+  void SendResultsOrWait(const JobReadCall& call, const JobHead& head,
+                         std::shared_ptr<PendingReply> pending);
+  void WaitForResults(const JobReadCall& call, std::shared_ptr<PendingReply> pending);
+  void SendNoResults(const JobReadCall& call, std::shared_ptr<PendingReply> pending);
+  void SendResults(const JobReadCall& call, std::uint32_t total,
+                   std::shared_ptr<PendingReply> pending);
 
   Loop& loop_;
   JobStore& jobs_;
   const StoreClock& clock_;
   const PlatformAdapter& adapter_;
-  std::multimap<JobId, Waiting> waiting_;
-  std::uint64_t next_number_ = 0;
+  std::multimap<JobId, LongPoll> long_polls_;
+  std::uint64_t next_long_poll_id_ = 0;
   std::size_t in_flight_ = 0;
   bool leaving_ = false;
 };
--- a/src/gateway/job_owners.cc
+++ b/src/gateway/job_ownership.cc
@@ -17,15 +17,15 @@
 
 }  // namespace
 
-void JobStore::Own(JobHead head, RowVersion version, std::vector<JobItem> items,
-                   const std::vector<ledger::ProgressPiece>& progress) {
+void JobStore::BecomeOwner(JobHead head, RowVersion version, std::vector<JobItem> items,
+                           const std::vector<ledger::ProgressPiece>& progress) {
   if (leaving_ || owned_.contains(head.id)) return;
   if (items.size() != head.total) {
     Log(LogLevel::kError, "job_items_missing",
         {{"job", head.id.value},
          {"total", std::to_string(head.total)},
          {"found", std::to_string(items.size())}});
-    return LoadLater(head.id);
+    return RetryLoadLater(head.id);
   }
   const JobId id = head.id;
   Log(LogLevel::kInfo, "job_owned",
@@ -38,38 +38,38 @@
   hooks_.owned(*at.first->second, progress);
 }
 
-bool JobStore::IsFree(const KnownJob& job, Time now) const {
+bool JobStore::IsUnowned(const KnownJob& job, Time now) const {
   if (job.head.owner.empty()) return true;
   if (peers_.IsLive(job.head.owner, now)) return false;
-  return now - job.seen_at >= kTakeOverAfter && now - started_at_ >= kTakeOverAfter;
+  return now - job.owner_seen_at >= kTakeoverDelay && now - started_at_ >= kTakeoverDelay;
 }
 
 // The entry that ranks first for a job may be live and yet not take it over: it can't read the
 // table, or the store refuses its writes. Jobs that were left to it alone made no progress for 5 s.
 // Two entries that take a job over at once do no harm: the condition on its row lets one succeed.
-std::optional<Duration> JobStore::Turn(const JobId& job, Time now) const {
-  const std::vector<Peer> line = peers_.RankedFor(job.value, now);
-  const auto self = std::find_if(line.begin(), line.end(), [this](const Peer& peer) {
+std::optional<Duration> JobStore::RankDelay(const JobId& job, Time now) const {
+  const std::vector<Peer> ranked = peers_.RankedFor(job.value, now);
+  const auto self = std::find_if(ranked.begin(), ranked.end(), [this](const Peer& peer) {
     return peer.node == peers_.self().node;
   });
-  if (self == line.end()) return std::nullopt;
-  return kTakeOverAfter * (self - line.begin());
+  if (self == ranked.end()) return std::nullopt;
+  return kTakeoverDelay * (self - ranked.begin());
 }
 
-bool JobStore::ShouldTake(KnownJob& job, Time now) const {
-  if (!job.head.open() || job.taking || IsMine(job.head)) return false;
-  if (now < job.take_again_at) return false;
+bool JobStore::ShouldTakeOver(KnownJob& job, Time now) const {
+  if (!job.head.open() || job.acquiring || IsOwnedHere(job.head)) return false;
+  if (now < job.retry_takeover_at) return false;
   // The condition of the write would fail every time.
   if (IsUnreadable(job.head.id)) return false;
   // The owner is an earlier process of this node, which can't come back.
   if (job.head.owner == peers_.self().node) return true;
-  if (!IsFree(job, now)) {
-    job.free_since.reset();
+  if (!IsUnowned(job, now)) {
+    job.unowned_since.reset();
     return false;
   }
-  if (!job.free_since) job.free_since = now;
-  const std::optional<Duration> turn = Turn(job.head.id, now);
-  return turn && now - *job.free_since >= *turn;
+  if (!job.unowned_since) job.unowned_since = now;
+  const std::optional<Duration> rank_delay = RankDelay(job.head.id, now);
+  return rank_delay && now - *job.unowned_since >= *rank_delay;
 }
 
 void JobStore::CheckOwners() {
@@ -79,19 +79,19 @@
   std::vector<JobId> load;
   for (auto& [id, job] : known_) {
     if (owned_.contains(id)) continue;
-    if (ShouldTake(job, now)) take.push_back(id);
+    if (ShouldTakeOver(job, now)) take.push_back(id);
     // Assigned to this entry by the one that accepted it, or accepted here by a write
     // whose response was lost.
-    const bool may_load = !job.taking && now >= job.load_after && !IsUnreadable(id);
-    if (IsMine(job.head) && job.head.open() && may_load) load.push_back(id);
+    const bool may_load = !job.acquiring && now >= job.retry_load_at && !IsUnreadable(id);
+    if (IsOwnedHere(job.head) && job.head.open() && may_load) load.push_back(id);
   }
-  for (const JobId& id : take) Take(id);
+  for (const JobId& id : take) TakeOver(id);
   for (const JobId& id : load) LoadAndOwn(id);
 }
 
-void JobStore::Take(const JobId& id) {
+void JobStore::TakeOver(const JobId& id) {
   KnownJob& known = known_[id];
-  known.taking = true;
+  known.acquiring = true;
   JobHead head = known.head;
   Log(LogLevel::kInfo, "job_take_over",
       {{"job", id.value},
@@ -104,20 +104,20 @@
   transaction.conditions.push_back({ledger::HeadKey(id), known.version});
   transaction.puts.push_back({ledger::HeadKey(id), ledger::EncodeHead(head)});
   HedgedCommit(loop_, tables_, std::move(transaction),
-               [this, head](const TableOutcome& outcome) { OnTaken(head, outcome); });
+               [this, head](const TableOutcome& outcome) { OnTakeoverWritten(head, outcome); });
 }
 
-void JobStore::OnTaken(const JobHead& head, const TableOutcome& outcome) {
+void JobStore::OnTakeoverWritten(const JobHead& head, const TableOutcome& outcome) {
   KnownJob& known = known_[head.id];
-  known.taking = false;
-  known.take_again_at = Loop::Now() + kTakeAgainAfter;
+  known.acquiring = false;
+  known.retry_takeover_at = Loop::Now() + kTakeoverRetryDelay;
   if (const auto* committed = std::get_if<TableCommitted>(&outcome)) {
-    Learn(head, committed->version);
+    ApplyHead(head, committed->version);
     LoadAndOwn(head.id);
   } else if (const auto* rejected = std::get_if<TableRejected>(&outcome)) {
     const TableRow* row = RowIn(*rejected, ledger::HeadKey(head.id));
     if (row == nullptr) return;
-    (void)LearnRow(*row);
+    (void)ApplyRow(*row);
     const JobHead* now = Known(head.id);
     if (now != nullptr && now->token == head.token) LoadAndOwn(head.id);
   }
@@ -125,20 +125,20 @@
 }
 
 void JobStore::LoadAndOwn(const JobId& id) {
-  known_[id].taking = true;
+  known_[id].acquiring = true;
   ReadItems(id, [this, id](Result<std::vector<JobItem>> items) {
     if (IsOk(items)) return LoadProgress(id, std::move(ValueOf(items)));
     Log(LogLevel::kWarning, "job_items_unread",
         {{"job", id.value}, {"why", ErrorOf(items).detail}});
-    LoadLater(id);
+    RetryLoadLater(id);
   });
 }
 
-void JobStore::LoadLater(const JobId& id) {
+void JobStore::RetryLoadLater(const JobId& id) {
   const auto found = known_.find(id);
   if (found == known_.end()) return;
-  found->second.taking = false;
-  found->second.load_after = Loop::Now() + kReloadPause;
+  found->second.acquiring = false;
+  found->second.retry_load_at = Loop::Now() + kReloadDelay;
 }
 
 void JobStore::LoadProgress(const JobId& id, std::vector<JobItem> items) {
@@ -146,16 +146,16 @@
           [this, id, items = std::move(items)](const Result<std::vector<TableRow>>& rows) mutable {
             const auto found = known_.find(id);
             if (found == known_.end()) return;
-            found->second.taking = false;
+            found->second.acquiring = false;
             if (!IsOk(rows)) {
               // The next check retries.
               Log(LogLevel::kWarning, "job_progress_unread",
                   {{"job", id.value}, {"why", ErrorOf(rows).detail}});
               return;
             }
-            if (!IsMine(found->second.head) || leaving_) return;
-            Own(found->second.head, found->second.version, std::move(items),
-                ledger::DecodeProgress(id, ValueOf(rows), LogProgressRefused));
+            if (!IsOwnedHere(found->second.head) || leaving_) return;
+            BecomeOwner(found->second.head, found->second.version, std::move(items),
+                        ledger::DecodeProgress(id, ValueOf(rows), LogProgressRefused));
           });
 }
 
--- a/src/gateway/job_store.cc
+++ b/src/gateway/job_store.cc
@@ -20,12 +20,12 @@
 
 void JobStore::Start() {
   started_at_ = Loop::Now();
-  follower_.SetPace(kFeedPace);
+  follower_.SetMinInterval(kMinFeedInterval);
   follower_.Start();
-  check_timer_ = loop_.Every(kCheckPeriod, [this] { CheckOwners(); });
+  check_timer_ = loop_.Every(kOwnerCheckPeriod, [this] { CheckOwners(); });
 }
 
-bool JobStore::IsMine(const JobHead& head) const {
+bool JobStore::IsOwnedHere(const JobHead& head) const {
   return head.owner == peers_.self().node && head.owner_incarnation == peers_.self().incarnation;
 }
 
@@ -46,13 +46,13 @@
     const JobId job{change.at.key};
     refused_.Forget(job.value);
     known_.erase(job);
-    if (owned_.contains(job)) Drop(job);
+    if (owned_.contains(job)) DropOwned(job);
     return;
   }
-  (void)LearnRow(*change.row);
+  (void)ApplyRow(*change.row);
 }
 
-Result<JobHead> JobStore::Readable(const TableRow& row) const {
+Result<JobHead> JobStore::DecodeRow(const TableRow& row) const {
   Result<JobHead> head = ledger::DecodeHead(row.value);
   if (!IsOk(head)) return head;
   if (ledger::HeadKey(ValueOf(head).id) != row.at) {
@@ -66,27 +66,27 @@
   return head;
 }
 
-Result<Ok> JobStore::LearnRow(const TableRow& row) {
+Result<Ok> JobStore::ApplyRow(const TableRow& row) {
   const auto known = known_.find(JobId{row.at.key});
   if (known != known_.end() && row.version <= known->second.version) return Ok{};
-  const Result<JobHead> head = Readable(row);
+  const Result<JobHead> head = DecodeRow(row);
   if (!IsOk(head)) {
     refused_.Refuse(row.at.key, row.version, ErrorOf(head).detail);
     return Error{ErrorKind::kStoreUnavailable, ErrorOf(head).detail};
   }
   refused_.Forget(row.at.key);
-  Learn(ValueOf(head), row.version);
+  ApplyHead(ValueOf(head), row.version);
   return Ok{};
 }
 
-void JobStore::Learn(const JobHead& head, RowVersion version) {
+void JobStore::ApplyHead(const JobHead& head, RowVersion version) {
   KnownJob& known = known_[head.id];
   if (version <= known.version) return;
   const bool new_owner = known.version == 0 || known.head.owner != head.owner ||
                          known.head.owner_incarnation != head.owner_incarnation;
   if (new_owner) {
-    known.seen_at = Loop::Now();
-    known.free_since.reset();
+    known.owner_seen_at = Loop::Now();
+    known.unowned_since.reset();
   }
   known.head = head;
   known.version = version;
@@ -96,7 +96,7 @@
           {{"job", head.id.value},
            {"owner", head.owner.value},
            {"row_version", std::to_string(version)}});
-      Drop(head.id);
+      DropOwned(head.id);
     } else if (!head.open()) {
       hooks_.dropped(head.id);
       if (job->settled()) owned_.erase(head.id);
@@ -107,7 +107,7 @@
   hooks_.changed(head);
 }
 
-void JobStore::Drop(const JobId& job) {
+void JobStore::DropOwned(const JobId& job) {
   hooks_.dropped(job);
   owned_.erase(job);
 }
@@ -121,7 +121,7 @@
     return done(Error{ErrorKind::kConflict, "a job with this id and other items was accepted"});
   }
   if (leaving_) return done(Error{ErrorKind::kLeaving, "this entry is shutting down", Ran::kNo});
-  const Peer owner = OwnerOfNew(head.id);
+  const Peer owner = ChooseOwner(head.id);
   head.owner = owner.node;
   head.owner_incarnation = owner.incarnation;
   head.token = FreshToken(random_);
@@ -135,7 +135,7 @@
 }
 
 // This entry, unless its host is too small to do more than serve its callers.
-Peer JobStore::OwnerOfNew(const JobId& job) const {
+Peer JobStore::ChooseOwner(const JobId& job) const {
   const Time now = Loop::Now();
   const std::vector<Peer> capable = peers_.Capable(now);
   const bool am_capable = std::any_of(capable.begin(), capable.end(), [this](const Peer& peer) {
@@ -147,17 +147,17 @@
 
 void JobStore::CommitAll(std::shared_ptr<std::vector<TableTransaction>> transactions,
                          std::size_t next, std::function<void(TableOutcome)> done) {
-  HedgedCommit(
-      loop_, tables_, (*transactions)[next],
-      [this, transactions, next, done = std::move(done)](const TableOutcome& outcome) {
-        const bool last = next + 1 == transactions->size();
-        if (last || !std::holds_alternative<TableCommitted>(outcome)) {
-          // Item rows have no effect without the job's own row.
-          const bool harmless = !last && std::holds_alternative<FateUnknown>(outcome);
-          return done(harmless ? TableOutcome{NotWritten{"the items were not written"}} : outcome);
-        }
-        CommitAll(transactions, next + 1, done);
-      });
+  HedgedCommit(loop_, tables_, (*transactions)[next],
+               [this, transactions, next, done = std::move(done)](const TableOutcome& outcome) {
+                 const bool last = next + 1 == transactions->size();
+                 if (last || !std::holds_alternative<TableCommitted>(outcome)) {
+                   // Item rows have no effect without the job's own row.
+                   const bool not_accepted = !last && std::holds_alternative<FateUnknown>(outcome);
+                   return done(not_accepted ? TableOutcome{NotWritten{"the items were not written"}}
+                                            : outcome);
+                 }
+                 CommitAll(transactions, next + 1, done);
+               });
 }
 
 void JobStore::OnAccepted(const JobHead& head, JobSubmission submission,
@@ -165,8 +165,9 @@
                           const std::function<void(Result<Ok>)>& done) {
   std::visit(Overloaded{
                  [&](const TableCommitted& committed) {
-                   Learn(head, committed.version);
-                   if (IsMine(head)) Own(head, committed.version, std::move(submission.items), {});
+                   ApplyHead(head, committed.version);
+                   if (IsOwnedHere(head))
+                     BecomeOwner(head, committed.version, std::move(submission.items), {});
                    done(Ok{});
                  },
                  [&](const TableRejected& rejected) {
@@ -183,10 +184,10 @@
                      return done(Error{ErrorKind::kConflict,
                                        "a job with this id and other items was accepted"});
                    }
-                   (void)LearnRow(*row);
+                   (void)ApplyRow(*row);
                    // An earlier copy of the same write took effect.
-                   if (ValueOf(there).token == head.token && IsMine(head)) {
-                     Own(head, row->version, std::move(submission.items), {});
+                   if (ValueOf(there).token == head.token && IsOwnedHere(head)) {
+                     BecomeOwner(head, row->version, std::move(submission.items), {});
                    }
                    done(Ok{});
                  },
@@ -213,16 +214,16 @@
 void JobStore::OnWritten(const JobId& id, const TableOutcome& outcome) {
   OwnedJob* job = Owned(id);
   if (job == nullptr) return;
-  bool spoilt = false;
+  bool row_unreadable = false;
   std::visit(Overloaded{
                  [&](const TableCommitted& committed) {
                    job->OnCommitted(committed.version);
-                   Learn(JobHead(job->head()), job->version());
+                   ApplyHead(JobHead(job->head()), job->version());
                  },
                  [&](const TableRejected& rejected) {
                    job->OnFailed();
                    const TableRow* row = RowIn(rejected, ledger::HeadKey(id));
-                   spoilt = row != nullptr && !IsOk(LearnRow(*row));
+                   row_unreadable = row != nullptr && !IsOk(ApplyRow(*row));
                  },
                  [&](const NotWritten& refused) {
                    Log(LogLevel::kWarning, "results_not_written",
@@ -242,15 +243,15 @@
     owned_.erase(id);
     return FinishLeaving();
   }
-  if (leaving_ && (job->settled() || spoilt)) return Release(id);
+  if (leaving_ && (job->settled() || row_unreadable)) return Release(id);
   // Retried once the row can be read: retried at once, the write would be rejected as often as
   // the store can respond.
-  if (spoilt) return;
+  if (row_unreadable) return;
   if (std::holds_alternative<TableCommitted>(outcome) ||
       std::holds_alternative<TableRejected>(outcome)) {
     return Write(*job);
   }
-  loop_.Later(kRetryPause, [this, id] {
+  loop_.Later(kWriteRetryDelay, [this, id] {
     if (OwnedJob* again = Owned(id)) Write(*again);
   });
 }
--- a/src/gateway/job_store.h
+++ b/src/gateway/job_store.h
@@ -22,19 +22,19 @@
   // Delay before a job whose owner isn't live is taken over. That an owner is dead is
   // known after PeerTable::kSilence; this leaves a restarted one time to reclaim its
   // own jobs.
-  static constexpr Duration kTakeOverAfter{800'000};
+  static constexpr Duration kTakeoverDelay{800'000};
   // Delay after a failed takeover. A store that refuses writes does so for seconds, and each
   // attempt costs it up to four calls.
-  static constexpr Duration kTakeAgainAfter{500'000};
-  static constexpr Duration kCheckPeriod{100'000};
+  static constexpr Duration kTakeoverRetryDelay{500'000};
+  static constexpr Duration kOwnerCheckPeriod{100'000};
   // Minimum interval between calls for changes: the rows of jobs change with each result, and
   // each entry receives all changes. An owner knows its own at once; for the others this is soon
   // enough.
-  static constexpr Duration kFeedPace{150'000};
-  static constexpr Duration kRetryPause{100'000};
+  static constexpr Duration kMinFeedInterval{150'000};
+  static constexpr Duration kWriteRetryDelay{100'000};
   // Delay before the items of a job are read again after a failed read: the store was
   // unavailable or another writer corrupted them, and each attempt costs a call.
-  static constexpr Duration kReloadPause{300'000};
+  static constexpr Duration kReloadDelay{300'000};
 
   struct Hooks {
     // A job is owned now and its items are loaded, with the progress that earlier owners
@@ -43,7 +43,7 @@
     // The job isn't owned any more, or has ended: stop its runs.
     std::function<void(const JobId&)> dropped;
     // The job is about to be released: stop its runs and keep their progress.
-    std::function<void(OwnedJob&)> handed_over;
+    std::function<void(OwnedJob&)> releasing;
     std::function<void(const JobHead&)> changed;
   };
 
@@ -79,48 +79,48 @@
   struct KnownJob {
     JobHead head;
     RowVersion version = 0;
-    Time seen_at{};  // when its present owner was first seen
-    bool taking = false;
-    std::optional<Time> free_since;  // since when no live entry has owned it
-    Time take_again_at{};            // after a failed attempt
-    Time load_after{};               // its items could not be read
+    Time owner_seen_at{};  // when its present owner was first seen
+    bool acquiring = false;
+    std::optional<Time> unowned_since;  // since when no live entry has owned it
+    Time retry_takeover_at{};           // after a failed attempt
+    Time retry_load_at{};               // its items could not be read
   };
 
   void OnRow(const TableMirror::Change& change);
-  void Learn(const JobHead& head, RowVersion version);
+  void ApplyHead(const JobHead& head, RowVersion version);
   // Applies a row of the job table. A row that can't be used changes nothing: a valid job is
   // neither dropped nor given up because another writer changed its row. Errors:
   // kStoreUnavailable.
-  Result<Ok> LearnRow(const TableRow& row);
-  [[nodiscard]] Result<JobHead> Readable(const TableRow& row) const;
+  Result<Ok> ApplyRow(const TableRow& row);
+  [[nodiscard]] Result<JobHead> DecodeRow(const TableRow& row) const;
   [[nodiscard]] bool IsUnreadable(const JobId& job) const { return refused_.Contains(job.value); }
-  void LoadLater(const JobId& id);
+  void RetryLoadLater(const JobId& id);
   void CommitAll(std::shared_ptr<std::vector<TableTransaction>> transactions, std::size_t next,
                  std::function<void(TableOutcome)> done);
   void OnAccepted(const JobHead& head, JobSubmission submission, const TableOutcome& outcome,
                   const std::function<void(Result<Ok>)>& done);
   void CheckOwners();
   // Its owner has released it or is gone.
-  [[nodiscard]] bool IsFree(const KnownJob& job, Time now) const;
-  [[nodiscard]] bool ShouldTake(KnownJob& job, Time now) const;
+  [[nodiscard]] bool IsUnowned(const KnownJob& job, Time now) const;
+  [[nodiscard]] bool ShouldTakeOver(KnownJob& job, Time now) const;
   // How long this entry leaves an unowned job to the entries that rank before it.
-  [[nodiscard]] std::optional<Duration> Turn(const JobId& job, Time now) const;
-  void Take(const JobId& job);
-  void OnTaken(const JobHead& head, const TableOutcome& outcome);
-  void Own(JobHead head, RowVersion version, std::vector<JobItem> items,
-           const std::vector<ledger::ProgressPiece>& progress);
+  [[nodiscard]] std::optional<Duration> RankDelay(const JobId& job, Time now) const;
+  void TakeOver(const JobId& job);
+  void OnTakeoverWritten(const JobHead& head, const TableOutcome& outcome);
+  void BecomeOwner(JobHead head, RowVersion version, std::vector<JobItem> items,
+                   const std::vector<ledger::ProgressPiece>& progress);
   void ReadAll(TableRange range, std::shared_ptr<std::vector<TableRow>> rows,
                std::function<void(Result<std::vector<TableRow>>)> done);
   void LoadProgress(const JobId& id, std::vector<JobItem> items);
   void LoadAndOwn(const JobId& id);
-  [[nodiscard]] Peer OwnerOfNew(const JobId& job) const;
-  void Drop(const JobId& job);
+  [[nodiscard]] Peer ChooseOwner(const JobId& job) const;
+  void DropOwned(const JobId& job);
   void OnWritten(const JobId& job, const TableOutcome& outcome);
-  void EndElsewhere(const JobId& job, const JobHead& head, RowVersion version, int tries,
-                    std::function<void(Result<Ok>)> done);
+  void WriteEnd(const JobId& job, const JobHead& head, RowVersion version, int attempts_left,
+                std::function<void(Result<Ok>)> done);
   void Release(const JobId& job);
   void FinishLeaving();
-  [[nodiscard]] bool IsMine(const JobHead& head) const;
+  [[nodiscard]] bool IsOwnedHere(const JobHead& head) const;
 
   Loop& loop_;
   SharedTables& tables_;
@@ -131,7 +131,7 @@
   TableFollower follower_;
   std::map<JobId, KnownJob> known_;
   std::map<JobId, std::unique_ptr<OwnedJob>> owned_;
-  std::function<void()> left_;
+  std::function<void()> on_left_;
   bool leaving_ = false;
   std::size_t releasing_ = 0;
   Time started_at_{};
--- a/src/gateway/job_store_calls.cc
+++ b/src/gateway/job_store_calls.cc
@@ -9,9 +9,9 @@
 namespace {
 
 // A job's row changes with each result; after this many lost races the caller gets an error.
-constexpr int kMaxEndTries = 8;
+constexpr int kMaxEndAttempts = 8;
 
-void LogSpoilt(std::string_view event, const JobId& job, const std::string& why) {
+void LogUnreadable(std::string_view event, const JobId& job, const std::string& why) {
   Log(LogLevel::kError, event, {{"job", job.value}, {"why", why}});
 }
 
@@ -28,41 +28,41 @@
     }
     // Runs continue until the end is written: when the write is refused, the job stays open,
     // and items that were stopped for it would wait forever.
-    EndElsewhere(id, ValueOf(head), known_[id].version, kMaxEndTries, done);
+    WriteEnd(id, ValueOf(head), known_[id].version, kMaxEndAttempts, done);
   });
 }
 
 // Used also for a job that this entry owns: its next write then finds the new row.
-void JobStore::EndElsewhere(const JobId& id, const JobHead& head, RowVersion version, int tries,
-                            std::function<void(Result<Ok>)> done) {
+void JobStore::WriteEnd(const JobId& id, const JobHead& head, RowVersion version, int attempts_left,
+                        std::function<void(Result<Ok>)> done) {
   JobHead next = head;
   next.ended = true;
   next.token = FreshToken(random_);
   TableTransaction transaction;
   transaction.conditions.push_back({ledger::HeadKey(id), version});
   transaction.puts.push_back({ledger::HeadKey(id), ledger::EncodeHead(next)});
-  HedgedCommit(loop_, tables_, std::move(transaction),
-               [this, id, next, tries, done = std::move(done)](const TableOutcome& outcome) {
-                 if (const auto* committed = std::get_if<TableCommitted>(&outcome)) {
-                   Learn(next, committed->version);
-                   return done(Ok{});
-                 }
-                 const auto* rejected = std::get_if<TableRejected>(&outcome);
-                 const TableRow* row =
-                     rejected == nullptr ? nullptr : RowIn(*rejected, ledger::HeadKey(id));
-                 if (row == nullptr || tries == 0) {
-                   return done(Error{ErrorKind::kStoreUnavailable,
-                                     "the end of the job could not be written", Ran::kUnknown});
-                 }
-                 // Written with the version of a row that can't be read, the end would
-                 // overwrite content that no entry has read.
-                 const Result<Ok> learnt = LearnRow(*row);
-                 if (!IsOk(learnt)) return done(ErrorOf(learnt));
-                 const JobHead* now = Known(id);
-                 if (now == nullptr) return done(Error{ErrorKind::kNotFound, "no such job"});
-                 if (now->ended) return done(Ok{});
-                 EndElsewhere(id, *now, row->version, tries - 1, done);
-               });
+  HedgedCommit(
+      loop_, tables_, std::move(transaction),
+      [this, id, next, attempts_left, done = std::move(done)](const TableOutcome& outcome) {
+        if (const auto* committed = std::get_if<TableCommitted>(&outcome)) {
+          ApplyHead(next, committed->version);
+          return done(Ok{});
+        }
+        const auto* rejected = std::get_if<TableRejected>(&outcome);
+        const TableRow* row = rejected == nullptr ? nullptr : RowIn(*rejected, ledger::HeadKey(id));
+        if (row == nullptr || attempts_left == 0) {
+          return done(Error{ErrorKind::kStoreUnavailable, "the end of the job could not be written",
+                            Ran::kUnknown});
+        }
+        // Written with the version of a row that can't be read, the end would
+        // overwrite content that no entry has read.
+        const Result<Ok> applied = ApplyRow(*row);
+        if (!IsOk(applied)) return done(ErrorOf(applied));
+        const JobHead* now = Known(id);
+        if (now == nullptr) return done(Error{ErrorKind::kNotFound, "no such job"});
+        if (now->ended) return done(Ok{});
+        WriteEnd(id, *now, row->version, attempts_left - 1, done);
+      });
 }
 
 // --- Reads --------------------------------------------------------------------------------
@@ -77,11 +77,11 @@
   tables_.Read({at.table, at.part, at.key, at.key + '\0', 1},
                [this, job, done = std::move(done)](const Result<TablePage>& page) {
                  if (!IsOk(page)) return done(ErrorOf(page));
-                 Result<Ok> learnt = Ok{};
-                 for (const TableRow& row : ValueOf(page).rows) learnt = LearnRow(row);
+                 Result<Ok> applied = Ok{};
+                 for (const TableRow& row : ValueOf(page).rows) applied = ApplyRow(row);
                  const JobHead* known = Known(job);
                  // It isn't certain that there is no such job, or no result yet.
-                 if (!IsOk(learnt)) return done(ErrorOf(learnt));
+                 if (!IsOk(applied)) return done(ErrorOf(applied));
                  if (known == nullptr) return done(Error{ErrorKind::kNotFound, "no such job"});
                  done(*known);
                });
@@ -95,7 +95,7 @@
                  Result<std::vector<ItemResult>> results =
                      ledger::DecodeResults(job, from, ValueOf(page).rows);
                  if (!IsOk(results)) {
-                   LogSpoilt("job_results_unread", job, ErrorOf(results).detail);
+                   LogUnreadable("job_results_unread", job, ErrorOf(results).detail);
                    return done(Error{ErrorKind::kStoreUnavailable, ErrorOf(results).detail});
                  }
                  done(std::move(results));
@@ -131,14 +131,14 @@
 
 void JobStore::Leave(std::function<void()> done) {
   leaving_ = true;
-  left_ = std::move(done);
+  on_left_ = std::move(done);
   std::vector<JobId> mine;
   for (const auto& [id, job] : owned_) mine.push_back(id);
   for (const JobId& id : mine) {
     // Results, and the progress of the other items, are written first; OnWritten
     // releases the job after that.
     OwnedJob& job = *owned_[id];
-    hooks_.handed_over(job);
+    hooks_.releasing(job);
     if (job.settled() || IsUnreadable(id)) {
       Release(id);
     } else {
@@ -152,7 +152,7 @@
   const OwnedJob* job = Owned(id);
   JobHead head = job->head();
   const RowVersion version = job->version();
-  Drop(id);
+  DropOwned(id);
   head.owner = NodeId{};
   head.owner_incarnation = 0;
   head.token = FreshToken(random_);
@@ -169,7 +169,7 @@
 }
 
 void JobStore::FinishLeaving() {
-  if (releasing_ == 0 && owned_.empty() && left_) std::exchange(left_, nullptr)();
+  if (releasing_ == 0 && owned_.empty() && on_left_) std::exchange(on_left_, nullptr)();
 }
 
 }  // namespace figmill
--- a/src/gateway/store_caller.cc
+++ b/src/gateway/store_transport.cc
@@ -1,4 +1,4 @@
-#include "gateway/store_caller.h"
+#include "gateway/store_transport.h"
 
 #include <charconv>
 #include <utility>
@@ -10,27 +10,27 @@
 constexpr std::string_view kForwardPath = "/store";
 // Header of the response to a forwarded call that got no response from the store: whether the
 // call was sent.
-constexpr std::string_view kNoAnswer = "Figmill-Store-Answer";
+constexpr std::string_view kNoResponseHeader = "Figmill-Store-Answer";
 constexpr std::string_view kNotSent = "not-sent";
 constexpr std::string_view kLost = "lost";
 // Header of a forwarded call: how long the forwarding entry may wait for the store.
-constexpr std::string_view kTimeLeft = "Figmill-Store-Wait-Ms";
+constexpr std::string_view kWaitHeader = "Figmill-Store-Wait-Ms";
 constexpr Duration kConnectTimeout{400'000};
 // Time for the round trip to the forwarding entry.
-constexpr Duration kWayTime{100'000};
+constexpr Duration kForwardOverhead{100'000};
 
 constexpr int kTooManyRequests = 429;
 constexpr int kServiceUnavailable = 503;
 
-bool IsTurnedAway(int status) {
+bool IsRefused(int status) {
   return status == kTooManyRequests || status == kServiceUnavailable;
 }
 
 // Restores the error of a call whose forwarding entry got no response from the store.
-Result<HttpResponse> Unwrapped(Result<HttpResponse> result) {
+Result<HttpResponse> UnwrapForwarded(Result<HttpResponse> result) {
   if (!IsOk(result)) return result;
   for (const Header& header : ValueOf(result).headers) {
-    if (!SameHeaderName(header.name, kNoAnswer)) continue;
+    if (!SameHeaderName(header.name, kNoResponseHeader)) continue;
     const bool not_sent = header.value == kNotSent;
     return Error{ErrorKind::kBackendFailed, "via a peer: " + ValueOf(result).body,
                  not_sent ? Ran::kNo : Ran::kUnknown};
@@ -43,18 +43,18 @@
     return ErrorOf(result).ran == Ran::kNo ? StorePaths::Outcome::kRefused
                                            : StorePaths::Outcome::kLost;
   }
-  return IsTurnedAway(ValueOf(result).status) ? StorePaths::Outcome::kRefused
-                                              : StorePaths::Outcome::kAnswered;
+  return IsRefused(ValueOf(result).status) ? StorePaths::Outcome::kRefused
+                                           : StorePaths::Outcome::kAnswered;
 }
 
 }  // namespace
 
-void StoreCaller::Fetch(TableCall call, std::function<void(Result<HttpResponse>)> done) {
+void StoreTransport::Fetch(TableCall call, std::function<void(Result<HttpResponse>)> done) {
   const StorePaths::Path path = paths_.Begin(call.waits, Loop::Now());
-  Send(std::move(call), path, /*may_go_other_way=*/true, std::move(done));
+  Send(std::move(call), path, /*may_use_alternative=*/true, std::move(done));
 }
 
-HttpCall StoreCaller::CallFor(const TableCall& call, const StorePaths::Path& path) const {
+HttpCall StoreTransport::CallFor(const TableCall& call, const StorePaths::Path& path) const {
   HttpCall http;
   http.method = call.method;
   http.target = call.target;
@@ -63,45 +63,46 @@
   http.connect_timeout = kConnectTimeout;
   http.total_timeout = call.timeout;
   http.to = store_;
-  const TrafficKind kind = path.peer ? TrafficKind::kStoreByWay : TrafficKind::kStore;
+  const TrafficKind kind = path.peer ? TrafficKind::kStoreViaPeer : TrafficKind::kStore;
   http.bytes = &traffic_.Of(kind, Reach::kUnknown);
   if (path.peer) {
     http.to = *path.peer;
     http.target = std::string(kForwardPath) + call.target;
-    http.total_timeout += kWayTime;
+    http.total_timeout += kForwardOverhead;
     const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(call.timeout).count();
-    http.headers.push_back({std::string(kTimeLeft), std::to_string(ms)});
+    http.headers.push_back({std::string(kWaitHeader), std::to_string(ms)});
   }
   return http;
 }
 
-void StoreCaller::Send(TableCall call, const StorePaths::Path& path, bool may_go_other_way,
-                       std::function<void(Result<HttpResponse>)> done) {
+void StoreTransport::Send(TableCall call, const StorePaths::Path& path, bool may_use_alternative,
+                          std::function<void(Result<HttpResponse>)> done) {
   HttpCall http = CallFor(call, path);
-  client_.Fetch(std::move(http), [this, call = std::move(call), path, may_go_other_way,
+  client_.Fetch(std::move(http), [this, call = std::move(call), path, may_use_alternative,
                                   done = std::move(done)](Result<HttpResponse> raw) mutable {
-    const Result<HttpResponse> result = path.peer ? Unwrapped(std::move(raw)) : std::move(raw);
+    const Result<HttpResponse> result =
+        path.peer ? UnwrapForwarded(std::move(raw)) : std::move(raw);
     const StorePaths::Outcome outcome = OutcomeOf(result);
     paths_.End(path, outcome, Loop::Now());
     // A refused call had no effect, and a read never has one: both may use another path.
-    const bool harmless = outcome == StorePaths::Outcome::kRefused ||
-                          (outcome == StorePaths::Outcome::kLost && call.method == "GET");
-    if (may_go_other_way && harmless) {
+    const bool retry_is_safe = outcome == StorePaths::Outcome::kRefused ||
+                               (outcome == StorePaths::Outcome::kLost && call.method == "GET");
+    if (may_use_alternative && retry_is_safe) {
       if (const auto other = paths_.BeginAlternative(path, Loop::Now())) {
-        return Send(std::move(call), *other, /*may_go_other_way=*/false, std::move(done));
+        return Send(std::move(call), *other, /*may_use_alternative=*/false, std::move(done));
       }
     }
     done(result);
   });
 }
 
-bool StoreCaller::IsForwarded(const HttpRequest& request) {
+bool StoreTransport::IsForwarded(const HttpRequest& request) {
   return request.path.starts_with(kForwardPath);
 }
 
 // Always uses the direct path: two entries that both avoid it must not forward to each
 // other.
-void StoreCaller::Forward(HttpRequest request, std::shared_ptr<HttpReply> reply) {
+void StoreTransport::Forward(HttpRequest request, std::shared_ptr<HttpReply> reply) {
   HttpCall http;
   http.method = std::move(request.method);
   http.to = store_;
@@ -110,9 +111,9 @@
   http.body = std::move(request.body);
   http.connect_timeout = kConnectTimeout;
   std::int64_t ms = 0;
-  const std::string_view left = request.HeaderOr(kTimeLeft);
+  const std::string_view left = request.HeaderOr(kWaitHeader);
   std::from_chars(left.data(), left.data() + left.size(), ms);
-  http.total_timeout = std::max<Duration>(std::chrono::milliseconds(ms), kWayTime);
+  http.total_timeout = std::max<Duration>(std::chrono::milliseconds(ms), kForwardOverhead);
   if (!http.body.empty()) http.headers.push_back({"Content-Type", "application/json"});
   client_.Fetch(std::move(http), [reply](Result<HttpResponse> result) {
     if (IsOk(result)) {
@@ -123,7 +124,7 @@
     const std::string_view fate = error.ran == Ran::kNo ? kNotSent : kLost;
     reply->Send({RowOf(error.kind).http_status,
                  "text/plain",
-                 {{std::string(kNoAnswer), std::string(fate)}},
+                 {{std::string(kNoResponseHeader), std::string(fate)}},
                  error.detail});
   });
 }
--- a/src/gateway/store_caller.h
+++ b/src/gateway/store_transport.h
@@ -14,9 +14,9 @@
 
 namespace figmill {
 
-class StoreCaller final : public TableCalls {
+class StoreTransport final : public TableCalls {
  public:
-  StoreCaller(Loop& loop, ExchangeClient& client, Address store, TrafficMetrics& traffic)
+  StoreTransport(Loop& loop, ExchangeClient& client, Address store, TrafficMetrics& traffic)
       : loop_(loop), client_(client), store_(std::move(store)), traffic_(traffic) {}
 
   void Fetch(TableCall call, std::function<void(Result<HttpResponse>)> done) override;
@@ -27,7 +27,7 @@
   void Forward(HttpRequest request, std::shared_ptr<HttpReply> reply);
 
  private:
-  void Send(TableCall call, const StorePaths::Path& path, bool may_go_other_way,
+  void Send(TableCall call, const StorePaths::Path& path, bool may_use_alternative,
             std::function<void(Result<HttpResponse>)> done);
   [[nodiscard]] HttpCall CallFor(const TableCall& call, const StorePaths::Path& path) const;
 
--- a/src/gateway/table_follower.cc
+++ b/src/gateway/table_follower.cc
@@ -6,12 +6,12 @@
 
 TableFollower::TableFollower(Loop& loop, SharedTables& tables, std::string table,
                              std::vector<std::string> parts, TableMirror::OnChange on_change,
-                             std::function<void()> settled)
+                             std::function<void()> after_response)
     : loop_(loop),
       tables_(tables),
       table_(table),
       mirror_(std::move(table), std::move(parts), std::move(on_change)),
-      settled_(std::move(settled)),
+      after_response_(std::move(after_response)),
       self_(std::make_shared<TableFollower*>(this)) {}
 
 TableFollower::~TableFollower() {
@@ -23,7 +23,7 @@
                  [this](const mirror::ListPart& list) { List(list); },
                  [this](const mirror::FollowFrom& from) { Follow(from); },
                  [this](const mirror::WaitFor& wait) {
-                   pause_ = loop_.After(wait.delay, [this] {
+                   step_timer_ = loop_.After(wait.delay, [this] {
                      mirror_.Waited();
                      Step();
                    });
@@ -40,7 +40,7 @@
 }
 
 void TableFollower::Follow(const mirror::FollowFrom& from) {
-  const Duration wait = Loop::Now() < troubled_until_ ? kTroubledWait : wait_;
+  const Duration wait = Loop::Now() < short_wait_until_ ? kShortWait : wait_;
   tables_.Follow(table_, from.version, wait,
                  [self = self_, asked_at = Loop::SinceBoot()](const FeedOutcome& outcome) {
                    if (*self != nullptr) (*self)->OnFollowed(outcome, asked_at);
@@ -53,12 +53,12 @@
   const std::string why = IsOk(page) ? "" : ErrorOf(page).detail;
   const RowVersion before = mirror_.version();
   mirror_.Listed(part, page);
-  const bool whole = IsOk(page) && list.from.empty() && !ValueOf(page).truncated;
-  if (whole && ValueOf(page).version >= before && mirror_.following()) confirmed_at_ = asked_at;
-  SetPartRead(part, IsOk(page), why);
+  const bool complete = IsOk(page) && list.from.empty() && !ValueOf(page).truncated;
+  if (complete && ValueOf(page).version >= before && mirror_.following()) confirmed_at_ = asked_at;
+  SetPartReadable(part, IsOk(page), why);
   // While changes are received, a part that can't be read doesn't mean that the store is lost.
   if (IsOk(page) || !mirror_.following()) SetConnected(IsOk(page), "part '" + part + "': " + why);
-  GoOn();
+  Continue();
 }
 
 void TableFollower::OnFollowed(const FeedOutcome& outcome, Duration asked_at) {
@@ -70,16 +70,19 @@
   const bool confirms = changes != nullptr && changes->version >= before && mirror_.complete();
   if (confirms) confirmed_at_ = asked_at;
   const Error* error = std::get_if<Error>(&outcome);
-  if (error != nullptr) troubled_until_ = Loop::Now() + kTroubled;
+  if (error != nullptr) short_wait_until_ = Loop::Now() + kShortWaitPeriod;
   SetConnected(error == nullptr, error == nullptr ? "" : error->detail);
-  GoOn();
+  Continue();
 }
 
-void TableFollower::SetPartRead(const std::string& part, bool read, const std::string& why) {
-  if (!read) troubled_until_ = Loop::Now() + kTroubled;
-  const bool changed = read ? unread_parts_.erase(part) > 0 : unread_parts_.insert(part).second;
+void TableFollower::SetPartReadable(const std::string& part, bool readable,
+                                    const std::string& why) {
+  if (!readable) short_wait_until_ = Loop::Now() + kShortWaitPeriod;
+  const bool changed =
+      readable ? unreadable_parts_.erase(part) > 0 : unreadable_parts_.insert(part).second;
   if (!changed) return;
-  Log(read ? LogLevel::kInfo : LogLevel::kWarning, read ? "store_part_read" : "store_part_unread",
+  Log(readable ? LogLevel::kInfo : LogLevel::kWarning,
+      readable ? "store_part_read" : "store_part_unread",
       {{"table", table_}, {"part", part}, {"why", why}});
 }
 
@@ -92,11 +95,11 @@
        {"why", connected ? "" : why}});
 }
 
-void TableFollower::GoOn() {
-  settled_();
+void TableFollower::Continue() {
+  after_response_();
   const bool follows = std::holds_alternative<mirror::FollowFrom>(mirror_.Next());
-  if (pace_.count() == 0 || !follows) return Step();
-  pause_ = loop_.After(pace_, [this] { Step(); });
+  if (min_interval_.count() == 0 || !follows) return Step();
+  step_timer_ = loop_.After(min_interval_, [this] { Step(); });
 }
 
 }  // namespace figmill
--- a/src/gateway/table_follower.h
+++ b/src/gateway/table_follower.h
@@ -23,18 +23,18 @@
   // Used in place of kWait for some time after a failed call: when a store stops
   // responding and recovers, each call that was sent meanwhile has to time out before
   // the next one can receive changes.
-  static constexpr Duration kTroubledWait{300'000};
-  static constexpr Duration kTroubled{10'000'000};
+  static constexpr Duration kShortWait{300'000};
+  static constexpr Duration kShortWaitPeriod{10'000'000};
 
   // `on_change` as for TableMirror; `settled` is called after each response, when the
   // content of the mirror may have changed.
   TableFollower(Loop& loop, SharedTables& tables, std::string table, std::vector<std::string> parts,
-                TableMirror::OnChange on_change, std::function<void()> settled);
+                TableMirror::OnChange on_change, std::function<void()> after_response);
   ~TableFollower();
 
   void Start() { Step(); }
   // Minimum interval between calls, so that changes within it arrive together. 0: none.
-  void SetPace(Duration pace) { pace_ = pace; }
+  void SetMinInterval(Duration interval) { min_interval_ = interval; }
   // Replaces kWait, for a table whose copy must have a known age.
   void SetWait(Duration wait) { wait_ = wait; }
   // For a table of one part: when the last call was sent, by Loop::SinceBoot, whose response
@@ -52,23 +52,23 @@
   void OnListed(const mirror::ListPart& list, const Result<TablePage>& page, Duration asked_at);
   void OnFollowed(const FeedOutcome& outcome, Duration asked_at);
   // Logs once when a part can't be read any more, and when it can be read again.
-  void SetPartRead(const std::string& part, bool read, const std::string& why);
+  void SetPartReadable(const std::string& part, bool readable, const std::string& why);
   // Logs when the store can't be reached any more, and when it can be again.
   void SetConnected(bool connected, const std::string& why);
-  void GoOn();
+  void Continue();
 
   Loop& loop_;
   SharedTables& tables_;
   std::string table_;
   TableMirror mirror_;
-  std::function<void()> settled_;
-  Duration pace_{0};
+  std::function<void()> after_response_;
+  Duration min_interval_{0};
   Duration wait_ = kWait;
   std::optional<Duration> confirmed_at_;
   std::optional<bool> connected_;  // empty before the first response
-  Time troubled_until_{};
-  std::set<std::string> unread_parts_;
-  Timer pause_;
+  Time short_wait_until_{};
+  std::set<std::string> unreadable_parts_;
+  Timer step_timer_;
   std::shared_ptr<TableFollower*> self_;  // null once this is gone
 };
 
--- a/src/gateway/traffic_metrics.h
+++ b/src/gateway/traffic_metrics.h
@@ -12,11 +12,11 @@
 namespace figmill {
 
 enum class TrafficKind : std::uint8_t {
-  kOnline,      // requests of callers at backend servers
-  kBatch,       // batch items at backend servers
-  kStore,       // calls to the platform's store
-  kStoreByWay,  // the same, forwarded by another entry; counted by the entry that makes the call
-  kReport,      // datagrams of this kind and the next ones are counted by their senders
+  kOnline,        // requests of callers at backend servers
+  kBatch,         // batch items at backend servers
+  kStore,         // calls to the platform's store
+  kStoreViaPeer,  // the same, forwarded by another entry; counted by the entry that makes the call
+  kReport,        // datagrams of this kind and the next ones are counted by their senders
   kGrant,
   kAsk,
   kAnswer,
--- a/test/backend-incarnation-test.cc
+++ b/test/backend-incarnation-test.cc
@@ -32,24 +32,26 @@
 }
 
 // A backend pool with the engine in its first incarnation. Its random numbers are all 0.
-struct Book {
-  Book() { book.AddOrUpdate(EngineIn(kFirst)); }
-  AcquiredSlot Take(Time now = kStart) {
-    return book.AcquireSlot(kEngine, WorkClass::kOnline, now);
+struct EnginePool {
+  EnginePool() { pool.AddOrUpdate(EngineIn(kFirst)); }
+  AcquiredSlot Acquire(Time now = kStart) {
+    return pool.AcquireSlot(kEngine, WorkClass::kOnline, now);
   }
-  void Fault(Time now = kStart) { book.ReleaseSlot(Take(now), relay::SendEnd::kBroken, {}, now); }
-  BackendPool book{DataCentre{"dc"}, [] { return std::uint64_t{0}; }};
+  void Fault(Time now = kStart) {
+    pool.ReleaseSlot(Acquire(now), relay::SendEnd::kBroken, {}, now);
+  }
+  BackendPool pool{DataCentre{"dc"}, [] { return std::uint64_t{0}; }};
 };
 
 // A send to the engine, and how often it was ended because its incarnation was outdated.
-struct Watched {
-  explicit Watched(OpenSends& sends, BackendIncarnation incarnation = kFirst)
+struct WatchedSend {
+  explicit WatchedSend(OpenSends& sends, BackendIncarnation incarnation = kFirst)
       : number(sends.Add({kEngine, kAddress, incarnation}, kStart, [this] { ++lost; })) {}
   int lost = 0;
   OpenSends::Number number;
 };
 
-constexpr Time kQuiet = kStart + OpenSends::kSignOfLife;
+constexpr Time kAfterRecentActivity = kStart + OpenSends::kSignOfLife;
 
 }  // namespace
 
@@ -59,12 +61,12 @@
   const std::string entry = R"({"service":"llm","address":"10.0.0.1:80","zone":"dc",)"
                             R"("version":"v1","slots":2,"state":"ready","coldLeftMs":0,)"
                             R"("sequence":3)";
-  const auto told = users::ParseBackend("engine", entry + R"(,"born":1700000000000})");
-  REQUIRE(IsOk(told));
-  CHECK(ValueOf(told) == EngineIn(kFirst));
-  const auto untold = users::ParseBackend("engine", entry + "}");
-  REQUIRE(IsOk(untold));
-  CHECK_FALSE(ValueOf(untold).incarnation.known());
+  const auto with_incarnation = users::ParseBackend("engine", entry + R"(,"born":1700000000000})");
+  REQUIRE(IsOk(with_incarnation));
+  CHECK(ValueOf(with_incarnation) == EngineIn(kFirst));
+  const auto without_incarnation = users::ParseBackend("engine", entry + "}");
+  REQUIRE(IsOk(without_incarnation));
+  CHECK_FALSE(ValueOf(without_incarnation).incarnation.known());
 }
 
 // Guards against a restarted backend server that is used as if it had not restarted, when its
@@ -88,9 +90,9 @@
 
 TEST_CASE("an entry without an incarnation keeps the known one") {
   BackendList list = Listed(kFirst);
-  BackendInfo untold = EngineIn({});
-  untold.state = BackendState::kDraining;
-  CHECK(List(list, BackendInfo(untold)) == ListChange::kUpdated);
+  BackendInfo without_incarnation = EngineIn({});
+  without_incarnation.state = BackendState::kDraining;
+  CHECK(List(list, BackendInfo(without_incarnation)) == ListChange::kUpdated);
   CHECK(list.at(kEngine).state == BackendState::kDraining);
   CHECK(List(list, EngineIn(kSecond)) == ListChange::kRestarted);
 }
@@ -112,93 +114,93 @@
 // Guards against a backend server that has just started and gets no requests, as all its slots
 // count as taken.
 TEST_CASE("slots of an ended incarnation are free, and late releases free none of the new one") {
-  Book b;
-  const AcquiredSlot old = b.Take();
-  b.Take();
-  b.book.AddOrUpdate(EngineIn(kSecond));
-  CHECK(b.book.UsageOf(kEngine).online == 0);
-  const AcquiredSlot taken = b.Take();
-  b.book.ReleaseSlot(old, relay::SendEnd::kAnswered, {}, kStart);
-  CHECK(b.book.UsageOf(kEngine).online == 1);
-  b.book.ReleaseSlot(taken, relay::SendEnd::kAnswered, {}, kStart);
-  CHECK(b.book.UsageOf(kEngine).online == 0);
+  EnginePool b;
+  const AcquiredSlot old = b.Acquire();
+  b.Acquire();
+  b.pool.AddOrUpdate(EngineIn(kSecond));
+  CHECK(b.pool.UsageOf(kEngine).online == 0);
+  const AcquiredSlot taken = b.Acquire();
+  b.pool.ReleaseSlot(old, relay::SendEnd::kAnswered, {}, kStart);
+  CHECK(b.pool.UsageOf(kEngine).online == 1);
+  b.pool.ReleaseSlot(taken, relay::SendEnd::kAnswered, {}, kStart);
+  CHECK(b.pool.UsageOf(kEngine).online == 0);
 }
 
 // Guards against a backend server that has just started and is excluded for seconds, because the
 // requests that ran there failed when its earlier incarnation ended.
 TEST_CASE("faults and inactivity of an ended incarnation don't count for the new one") {
-  Book b;
+  EnginePool b;
   SUBCASE("faults before the restart is known") {
     for (int i = 0; i < 3; ++i) b.Fault();
-    CHECK_FALSE(b.book.IsUsable(kEngine, kStart));
-    b.book.AddOrUpdate(EngineIn(kSecond));
+    CHECK_FALSE(b.pool.IsUsable(kEngine, kStart));
+    b.pool.AddOrUpdate(EngineIn(kSecond));
   }
   SUBCASE("faults after the restart is known") {
-    const std::vector<AcquiredSlot> old{b.Take(), b.Take(), b.Take()};
-    b.book.AddOrUpdate(EngineIn(kSecond));
+    const std::vector<AcquiredSlot> old{b.Acquire(), b.Acquire(), b.Acquire()};
+    b.pool.AddOrUpdate(EngineIn(kSecond));
     for (const AcquiredSlot& each : old)
-      b.book.ReleaseSlot(each, relay::SendEnd::kBroken, {}, kStart);
+      b.pool.ReleaseSlot(each, relay::SendEnd::kBroken, {}, kStart);
   }
   SUBCASE("inactivity") {
-    b.Take();
-    b.book.AddOrUpdate(EngineIn(kSecond));
+    b.Acquire();
+    b.pool.AddOrUpdate(EngineIn(kSecond));
   }
   SUBCASE("a refusal") {
-    b.book.ReleaseSlot(b.Take(), relay::SendEnd::kRejected, {}, kStart);
-    b.book.AddOrUpdate(EngineIn(kSecond));
+    b.pool.ReleaseSlot(b.Acquire(), relay::SendEnd::kRejected, {}, kStart);
+    b.pool.AddOrUpdate(EngineIn(kSecond));
   }
   const Time now = kStart + BackendPool::kMinInactivity + kMillisecond;
-  CHECK(b.book.IsUsable(kEngine, kStart));
-  CHECK(b.book.IsUsable(kEngine, now));
-  CHECK(b.book.UsageOf(kEngine).faults == 0);
+  CHECK(b.pool.IsUsable(kEngine, kStart));
+  CHECK(b.pool.IsUsable(kEngine, now));
+  CHECK(b.pool.UsageOf(kEngine).faults == 0);
 }
 
 TEST_CASE("the usage of other entries and the grant for an ended incarnation are dropped") {
-  Book b;
-  b.book.ApplyGrant(kEngine, {2, 1, 3, true}, kStart);
-  b.book.AddOrUpdate(EngineIn(kSecond));
-  CHECK(b.book.UsageOf(kEngine).online_other == 0);
-  CHECK(b.book.UsageOf(kEngine).batch_allowed == 0);
-  CHECK(b.book.IsUsable(kEngine, kStart));
+  EnginePool b;
+  b.pool.ApplyGrant(kEngine, {2, 1, 3, true}, kStart);
+  b.pool.AddOrUpdate(EngineIn(kSecond));
+  CHECK(b.pool.UsageOf(kEngine).online_other == 0);
+  CHECK(b.pool.UsageOf(kEngine).batch_allowed == 0);
+  CHECK(b.pool.IsUsable(kEngine, kStart));
 }
 
 TEST_CASE("an entry with the same incarnation keeps the slots in use") {
-  Book b;
-  b.Take();
+  EnginePool b;
+  b.Acquire();
   BackendInfo draining = EngineIn(kFirst);
   draining.state = BackendState::kDraining;
-  b.book.AddOrUpdate(draining);
-  CHECK(b.book.UsageOf(kEngine).online == 1);
+  b.pool.AddOrUpdate(draining);
+  CHECK(b.pool.UsageOf(kEngine).online == 1);
 }
 
 // --- Open sends --------------------------------------------------------------------------
 
 TEST_CASE("a send to an ended incarnation is ended when a later one is listed") {
   OpenSends sends;
-  Watched old(sends);
-  Watched untold(sends, {});
-  Watched current(sends, kSecond);
-  CHECK(sends.EndOutdated(Listed(kFirst), kQuiet).lost == 0);
-  CHECK(sends.EndOutdated({}, kQuiet).lost == 0);
-  CHECK(sends.EndOutdated(Listed(kSecond), kQuiet).lost == 1);
+  WatchedSend old(sends);
+  WatchedSend without_incarnation(sends, {});
+  WatchedSend current(sends, kSecond);
+  CHECK(sends.EndOutdated(Listed(kFirst), kAfterRecentActivity).lost == 0);
+  CHECK(sends.EndOutdated({}, kAfterRecentActivity).lost == 0);
+  CHECK(sends.EndOutdated(Listed(kSecond), kAfterRecentActivity).lost == 1);
   CHECK(old.lost == 1);
-  CHECK(untold.lost + current.lost == 0);
-  CHECK(sends.EndOutdated(Listed(kSecond), kQuiet).lost == 0);
+  CHECK(without_incarnation.lost + current.lost == 0);
+  CHECK(sends.EndOutdated(Listed(kSecond), kAfterRecentActivity).lost == 0);
 }
 
 TEST_CASE("a send that is over is not ended again, not even while another one is ended") {
   OpenSends sends;
-  Watched over(sends);
+  WatchedSend over(sends);
   sends.Remove(over.number);
-  Watched* second = nullptr;
+  WatchedSend* second = nullptr;
   int lost = 0;
   (void)sends.Add({kEngine, kAddress, kFirst}, kStart, [&] {
     ++lost;
     sends.Remove(second->number);
   });
-  Watched other(sends);
+  WatchedSend other(sends);
   second = &other;
-  CHECK(sends.EndOutdated(Listed(kSecond), kQuiet).lost == 1);
+  CHECK(sends.EndOutdated(Listed(kSecond), kAfterRecentActivity).lost == 1);
   CHECK(lost == 1);
   CHECK(over.lost + other.lost == 0);
 }
@@ -208,8 +210,8 @@
 // the new incarnation, and only then its entry arrives.
 TEST_CASE("a send that still receives bytes was sent to the new incarnation") {
   OpenSends sends;
-  Watched alive(sends);
-  Watched dead(sends);
+  WatchedSend alive(sends);
+  WatchedSend dead(sends);
   Time now = kStart;
   CHECK(sends.EndOutdated(Listed(kSecond), now).in_doubt == 2);
   for (int i = 0; i < 6; ++i) {
--- a/test/foreign-entries-test.cc
+++ b/test/foreign-entries-test.cc
@@ -101,8 +101,8 @@
 }
 
 // A fleet watch over a table service in memory.
-struct Watched {
-  Watched() { watch.Start(); }
+struct FleetFixture {
+  FleetFixture() { watch.Start(); }
   void Put(const std::string& table, const std::string& key, const std::string& value) {
     Commit({{}, {{{table, "", key}, value}}, {}});
   }
@@ -117,8 +117,8 @@
   void Until(const std::function<bool()>& holds) { fake::RunUntil(loop, holds); }
   // Until all that was written so far has come.
   void Settle() {
-    Put("servers", "settled-" + std::to_string(++settled), GoodBackend().dump());
-    Until([&] { return Is("settled-" + std::to_string(settled), BackendState::kReady); });
+    Put("servers", "settled-" + std::to_string(++settle_count), GoodBackend().dump());
+    Until([&] { return Is("settled-" + std::to_string(settle_count), BackendState::kReady); });
   }
   [[nodiscard]] bool Is(const std::string& id, BackendState state) const {
     if (!view) return false;
@@ -135,7 +135,7 @@
   std::unique_ptr<PlatformAdapter> adapter = users::MakeAdapter();
   Metrics metrics;
   std::shared_ptr<const FleetView> view;
-  int settled = 0;
+  int settle_count = 0;
   FleetWatch watch{loop,
                    tables,
                    *adapter,
@@ -185,7 +185,7 @@
 TEST_CASE("a backend server whose entry became unreadable gets no requests until it is readable") {
   for (const BadEntry& bad : BadEntries()) {
     CAPTURE(bad.name);
-    Watched f;
+    FleetFixture f;
     f.Put("servers", "i-1", GoodBackend().dump());
     f.Put("servers", "i-2", GoodBackend().dump());
     f.Until([&] { return f.Is("i-1", BackendState::kReady); });
@@ -200,7 +200,7 @@
 }
 
 TEST_CASE("an entry that was never readable is no backend server, and hides none") {
-  Watched f;
+  FleetFixture f;
   int number = 0;
   for (const BadEntry& bad : BadEntries()) {
     f.Put("servers", "bad-" + std::to_string(number++), bad.text);
@@ -217,7 +217,7 @@
 // entry: the new entry names a service that doesn't exist and an early start time (`born`), is
 // taken for a late write of the previous incarnation, and the overwritten entry stays in use.
 TEST_CASE("an entry of an earlier incarnation that names another service is no late write") {
-  Watched f;
+  FleetFixture f;
   f.Put("servers", "i-1", GoodBackend().dump());
   f.Until([&] { return f.Is("i-1", BackendState::kReady); });
   Json foreign = GoodBackend();
@@ -232,7 +232,7 @@
 }
 
 TEST_CASE("an unreadable entry that is removed is gone") {
-  Watched f;
+  FleetFixture f;
   f.Put("servers", "i-1", GoodBackend().dump());
   f.Until([&] { return f.Is("i-1", BackendState::kReady); });
   f.Put("servers", "i-1", "spoilt");
@@ -244,46 +244,46 @@
 // A route names a service, so that an entry of another service can't be chosen. It is stored, as
 // the configuration that names its service may arrive later than the entry.
 TEST_CASE("an entry of a service that no configuration names is used once one does") {
-  Watched f;
+  FleetFixture f;
   Json early = GoodBackend();
   early["service"] = "later";
   f.Put("op", "config", foreign::GoodConfig(7).dump());
   f.Put("servers", "i-1", early.dump());
   f.Until([&] { return f.view && f.view->routes && f.Is("i-1", BackendState::kReady); });
   CHECK(f.view->routes->FindService(ServiceName{"later"}) == nullptr);
-  BackendPool book(DataCentre{"north-a"}, SystemRandom());
-  book.AddOrUpdate(f.view->backends.at(kEngine));
-  CHECK_FALSE(IsOk(book.Choose({ServiceName{"llm"}, {}}, Time{})));
+  BackendPool pool(DataCentre{"north-a"}, SystemRandom());
+  pool.AddOrUpdate(f.view->backends.at(kEngine));
+  CHECK_FALSE(IsOk(pool.Choose({ServiceName{"llm"}, {}}, Time{})));
   Json next = foreign::GoodConfig(8);
   next["routes"][0]["service"] = "later";
   next["services"][0]["name"] = "later";
   f.Put("op", "config", next.dump());
   f.Until([&] { return f.view->routes->version() == 8; });
   const ServiceName& service = f.view->routes->Find("farm.example", "/notes/")->split[0].service;
-  CHECK(IsOk(book.Choose({service, {}}, Time{})));
+  CHECK(IsOk(pool.Choose({service, {}}, Time{})));
 }
 
 // Addresses are reused some seconds after a backend server has ended, and its entry may remain
 // as long. The entries don't show which of the two is live: both are used, and the one that
 // listens refuses requests for the other without running them.
 TEST_CASE("two entries with the same address are both used") {
-  Watched f;
+  FleetFixture f;
   f.Put("servers", "i-1", GoodBackend().dump());
   f.Put("servers", "i-2", GoodBackend().dump());
   f.Until([&] { return f.Is("i-1", BackendState::kReady) && f.Is("i-2", BackendState::kReady); });
-  BackendPool book(DataCentre{"north-a"}, SystemRandom());
-  for (const auto& [id, info] : f.view->backends) book.AddOrUpdate(info);
-  const AcquiredSlot place = book.AcquireSlot(kEngine, WorkClass::kOnline, Time{});
-  book.ReleaseSlot(place, relay::SendEnd::kRejected, Duration{1'000}, Time{});
+  BackendPool pool(DataCentre{"north-a"}, SystemRandom());
+  for (const auto& [id, info] : f.view->backends) pool.AddOrUpdate(info);
+  const AcquiredSlot slot = pool.AcquireSlot(kEngine, WorkClass::kOnline, Time{});
+  pool.ReleaseSlot(slot, relay::SendEnd::kRejected, Duration{1'000}, Time{});
   for (int i = 0; i < 20; ++i) {
-    const auto chosen = book.Choose({ServiceName{"llm"}, {}}, Time{});
+    const auto chosen = pool.Choose({ServiceName{"llm"}, {}}, Time{});
     REQUIRE(IsOk(chosen));
     CHECK(ValueOf(chosen).id == BackendId{"i-2"});
   }
 }
 
 TEST_CASE("an unreadable entry is logged once for each reason and counted each time") {
-  Watched f;
+  FleetFixture f;
   f.Put("servers", "i-1", GoodBackend().dump());
   for (int i = 0; i < 5; ++i) f.Put("servers", "i-1", "spoilt");
   f.Settle();
@@ -296,33 +296,34 @@
 TEST_CASE("an allocator keeps the runs of an unreadable backend server and grants no new ones") {
   const ServiceName llm{"llm"};
   const Time start{Duration{10'000'000}};
-  const Time settled = start + SlotAllocator::kTakeoverDelay;
+  const Time settle_count = start + SlotAllocator::kTakeoverDelay;
   const Peer peer{NodeId{"a"}, 1, Address{"10.0.0.1", 1}, DataCentre{"dc"}, 1, false};
-  SlotAllocator keeper{0};
-  keeper.SetOwnedBackends({{kEngine, {llm, 4}}}, start);
+  SlotAllocator allocator{0};
+  allocator.SetOwnedBackends({{kEngine, {llm, 4}}}, start);
   const auto report = [&](std::uint64_t number, int online, int batch, int waiting) {
     const std::vector<WaitingItems> items =
         waiting == 0 ? std::vector<WaitingItems>{}
                      : std::vector<WaitingItems>{{StoreTime{20'000'000}, waiting}};
-    keeper.OnReport(peer, true, {number, 0, {}, items, {{kEngine, online, batch}}}, settled);
+    allocator.OnReport(peer, true, {number, 0, {}, items, {{kEngine, online, batch}}},
+                       settle_count);
   };
   report(1, 1, 2, 5);
-  keeper.SetOwnedBackends({{kEngine, {llm, 4, /*frozen=*/true}}}, settled);
-  CHECK(keeper.AllowedBatch(kEngine, peer.node) == 2);
+  allocator.SetOwnedBackends({{kEngine, {llm, 4, /*frozen=*/true}}}, settle_count);
+  CHECK(allocator.AllowedBatch(kEngine, peer.node) == 2);
   report(2, 4, 2, 5);  // online requests that were on their way when the entry became unreadable
-  CHECK(keeper.AllowedBatch(kEngine, peer.node) == 2);
+  CHECK(allocator.AllowedBatch(kEngine, peer.node) == 2);
   report(3, 0, 1, 5);
-  CHECK(keeper.AllowedBatch(kEngine, peer.node) == 1);
+  CHECK(allocator.AllowedBatch(kEngine, peer.node) == 1);
   PlaceAsk ask;
   ask.number = 1;
   ask.service = llm;
   ask.goal_left = ask.time_left = std::chrono::seconds(5);
-  keeper.OnRequest(peer.node, ask, settled);
-  for (const SlotAllocator::Outgoing& out : keeper.TakeOutgoing(settled)) {
+  allocator.OnRequest(peer.node, ask, settle_count);
+  for (const SlotAllocator::Outgoing& out : allocator.TakeOutgoing(settle_count)) {
     if (out.answer) CHECK(out.answer->kind == PlaceAnswer::Kind::kNotKept);
   }
-  keeper.SetOwnedBackends({{kEngine, {llm, 4}}}, settled);
-  CHECK(keeper.AllowedBatch(kEngine, peer.node) > 1);
+  allocator.SetOwnedBackends({{kEngine, {llm, 4}}}, settle_count);
+  CHECK(allocator.AllowedBatch(kEngine, peer.node) > 1);
 }
 
 // Guards against a table whose changes are not received although the store responds: another
@@ -352,10 +353,10 @@
 TEST_CASE("a corrupted entry is refused, or its values are in their valid ranges") {
   for (unsigned seed = 0; seed < kSeeds; ++seed) {
     CAPTURE(seed);
-    foreign::Spoiler spoil(seed);
+    foreign::Corrupter corrupt(seed);
     const bool bytes = seed % 2 == 0;
     const std::string text =
-        bytes ? spoil.Bytes(GoodBackend().dump()) : spoil.Fields(GoodBackend()).dump();
+        bytes ? corrupt.Bytes(GoodBackend().dump()) : corrupt.Fields(GoodBackend()).dump();
     const auto info = users::ParseBackend("i-1", text);
     if (!IsOk(info)) continue;
     const BackendInfo& backend = ValueOf(info);
@@ -368,12 +369,13 @@
 }
 
 TEST_CASE("corrupted entries don't affect valid ones") {
-  Watched f;
-  foreign::Spoiler spoil(7);
+  FleetFixture f;
+  foreign::Corrupter corrupt(7);
   const std::string good = GoodBackend().dump();
   for (int i = 0; i < 5; ++i) f.Put("servers", "good-" + std::to_string(i), good);
   for (int i = 0; i < 60; ++i) {
-    const std::string text = i % 2 == 0 ? spoil.Bytes(good) : spoil.Fields(GoodBackend()).dump();
+    const std::string text =
+        i % 2 == 0 ? corrupt.Bytes(good) : corrupt.Fields(GoodBackend()).dump();
     f.Put("servers", "bad-" + std::to_string(i % 10), text);
   }
   f.Settle();
@@ -385,9 +387,9 @@
 TEST_CASE("a corrupted configuration is refused as a whole or is valid") {
   for (unsigned seed = 0; seed < kSeeds; ++seed) {
     CAPTURE(seed);
-    foreign::Spoiler spoil(seed);
-    const std::string text = seed % 2 == 0 ? spoil.Bytes(foreign::GoodConfig().dump())
-                                           : spoil.Fields(foreign::GoodConfig()).dump();
+    foreign::Corrupter corrupt(seed);
+    const std::string text = seed % 2 == 0 ? corrupt.Bytes(foreign::GoodConfig().dump())
+                                           : corrupt.Fields(foreign::GoodConfig()).dump();
     const auto config = users::ParseConfig(text);
     if (!IsOk(config)) continue;
     CHECK(IsOk(Validate(ValueOf(config))));
@@ -396,15 +398,15 @@
 }
 
 TEST_CASE("a configuration that can't be read leaves the previous one in force") {
-  Watched f;
+  FleetFixture f;
   f.Put("op", "config", foreign::GoodConfig(7).dump());
   f.Until([&] { return f.view && f.view->routes; });
-  foreign::Spoiler spoil(3);
+  foreign::Corrupter corrupt(3);
   for (int i = 0; i < 40; ++i) {
     Json json = foreign::GoodConfig(7);
     json["version"] = 100 + i;
     json["routes"][0].erase(i % 2 == 0 ? "host" : "timeoutMs");
-    f.Put("op", "config", i % 3 == 0 ? json.dump() : spoil.Bytes(json.dump()));
+    f.Put("op", "config", i % 3 == 0 ? json.dump() : corrupt.Bytes(json.dump()));
   }
   f.Settle();
   CHECK(f.view->routes->version() == 7);
@@ -420,8 +422,8 @@
   int read = 0;
   for (unsigned seed = 0; seed < kSeeds; ++seed) {
     CAPTURE(seed);
-    foreign::Spoiler spoil(seed);
-    const auto message = DecodePeerMessage(spoil.Bytes(good));
+    foreign::Corrupter corrupt(seed);
+    const auto message = DecodePeerMessage(corrupt.Bytes(good));
     if (!IsOk(message)) continue;
     ++read;
     const PeerMessage& back = ValueOf(message);
@@ -443,9 +445,9 @@
 // Guards against slots in use that are granted again, and an entry that takes incarnation 0: a
 // datagram of another program has a negative number, or the largest one.
 TEST_CASE("a datagram with numbers out of range is refused") {
-  const auto refused = [](const std::function<void(PeerMessage&)>& spoil) {
+  const auto refused = [](const std::function<void(PeerMessage&)>& corrupt) {
     PeerMessage message = foreign::GoodMessage();
-    spoil(message);
+    corrupt(message);
     return !IsOk(DecodePeerMessage(Encode(message)));
   };
   CHECK_FALSE(refused([](PeerMessage&) {}));
--- a/test/foreign-entries.h
+++ b/test/foreign-entries.h
@@ -70,10 +70,10 @@
   return head;
 }
 
-inline Json Unpacked(const std::string& cbor) {
+inline Json FromCbor(const std::string& cbor) {
   return Json::from_cbor(cbor);
 }
-inline std::string Packed(const Json& json) {
+inline std::string ToCbor(const Json& json) {
   const std::vector<std::uint8_t> bytes = Json::to_cbor(json);
   return {bytes.begin(), bytes.end()};
 }
@@ -101,23 +101,23 @@
 }
 
 // Corrupts documents at random, always in the same way for the same seed.
-class Spoiler {
+class Corrupter {
  public:
-  explicit Spoiler(unsigned seed) : random_(seed) {}
+  explicit Corrupter(unsigned seed) : random_(seed) {}
 
   // Removes or replaces a value at any depth.
   Json Fields(Json json) {
-    std::vector<Json*> places;
-    Collect(json, places);
+    std::vector<Json*> values;
+    Collect(json, values);
     for (std::size_t changes = 1 + Below(3); changes > 0; --changes) {
-      Json& place = *places[Below(places.size())];
-      if (place.is_object() && !place.empty() && Below(2) == 0) {
-        auto field = place.begin();
-        std::advance(field, static_cast<std::ptrdiff_t>(Below(place.size())));
-        place.erase(field);
+      Json& value = *values[Below(values.size())];
+      if (value.is_object() && !value.empty() && Below(2) == 0) {
+        auto field = value.begin();
+        std::advance(field, static_cast<std::ptrdiff_t>(Below(value.size())));
+        value.erase(field);
         break;  // pointers to values within it are invalid now
       }
-      place = Value();
+      value = RandomValue();
       break;
     }
     return json;
@@ -143,30 +143,30 @@
  private:
   std::size_t Below(std::size_t bound) { return random_() % bound; }
 
-  void Collect(Json& json, std::vector<Json*>& places) {
-    places.push_back(&json);
+  void Collect(Json& json, std::vector<Json*>& values) {
+    values.push_back(&json);
     if (!json.is_structured()) return;
-    for (Json& each : json) Collect(each, places);
+    for (Json& each : json) Collect(each, values);
   }
 
-  Json Value() {
-    const std::vector<Json> values = {nullptr,
-                                      true,
-                                      -1,
-                                      0,
-                                      2.7,
-                                      1e300,
-                                      "",
-                                      "8",
-                                      "ready",
-                                      std::string(100'000, 'z'),
-                                      Json::array(),
-                                      Json::object(),
-                                      std::numeric_limits<std::uint64_t>::max(),
-                                      std::numeric_limits<std::int64_t>::min(),
-                                      Json::array({Json::array({1})}),
-                                      1e-9};
-    return values[Below(values.size())];
+  Json RandomValue() {
+    const std::vector<Json> choices = {nullptr,
+                                       true,
+                                       -1,
+                                       0,
+                                       2.7,
+                                       1e300,
+                                       "",
+                                       "8",
+                                       "ready",
+                                       std::string(100'000, 'z'),
+                                       Json::array(),
+                                       Json::object(),
+                                       std::numeric_limits<std::uint64_t>::max(),
+                                       std::numeric_limits<std::int64_t>::min(),
+                                       Json::array({Json::array({1})}),
+                                       1e-9};
+    return choices[Below(choices.size())];
   }
 
   std::mt19937 random_;
--- a/test/foreign-jobs-test.cc
+++ b/test/foreign-jobs-test.cc
@@ -27,7 +27,7 @@
   // Writes a row as another writer, and waits until the store has responded.
   void Put(const TableKey& at, const std::string& value) {
     bool done = false;
-    others.Commit({{}, {{at, value}}, {}}, [&done](const TableOutcome&) { done = true; });
+    other_writer.Commit({{}, {{at, value}}, {}}, [&done](const TableOutcome&) { done = true; });
     fake::RunUntil(loop, [&done] { return done; });
   }
   void PutHead(const std::string& value) { Put(ledger::HeadKey(kJob), value); }
@@ -42,7 +42,7 @@
     REQUIRE(store.Owned(kJob) != nullptr);
   }
   // Waits until the entry has received all changes.
-  void Settle() { fake::RunFor(loop, 2 * JobStore::kFeedPace + Duration{100'000}); }
+  void Settle() { fake::RunFor(loop, 2 * JobStore::kMinFeedInterval + Duration{100'000}); }
   [[nodiscard]] std::string Stored() { return data.rows[ledger::HeadKey(kJob)].value; }
   ErrorKind KindOf(const std::function<void(std::function<void(Error)>)>& call) {
     std::optional<ErrorKind> kind;
@@ -54,7 +54,7 @@
   Loop loop;
   fake::TableData data;
   fake::Tables tables{loop, data};
-  fake::Tables others{loop, data};
+  fake::Tables other_writer{loop, data};
   PeerTable peers{{NodeId{"a"}, 1, Address{"10.0.0.1", 1}, DataCentre{"dc"}, 1, false}};
   Metrics metrics;
   std::set<std::string> dropped;
@@ -79,14 +79,14 @@
                               {"no CBOR", "hello"},
                               {"cut off", good.substr(0, good.size() - 3)},
                               {"bytes after its end", good + good},
-                              {"a list", foreign::Packed(Json::array({1, 2}))},
+                              {"a list", foreign::ToCbor(Json::array({1, 2}))},
                               {"nested deep", std::string(60'000, '\x81')}};
   const auto with = [&bad, &good](const std::string& field, const Json& value) {
-    Json json = foreign::Unpacked(good);
+    Json json = foreign::FromCbor(good);
     json[field] = value;
-    bad.push_back({field + " as " + value.dump().substr(0, 40), foreign::Packed(json)});
+    bad.push_back({field + " as " + value.dump().substr(0, 40), foreign::ToCbor(json)});
   };
-  const Json head = foreign::Unpacked(good);
+  const Json head = foreign::FromCbor(good);
   for (const auto& [field, value] : head.items()) {
     with(field, Json::array());
     with(field, Json::object());
@@ -96,9 +96,9 @@
     if (value.is_number()) with(field, "1");
     if (!value.is_number()) with(field, 7);
     if (field == "config") continue;
-    Json json = foreign::Unpacked(good);
+    Json json = foreign::FromCbor(good);
     json.erase(field);
-    bad.push_back({"no " + field, foreign::Packed(json)});
+    bad.push_back({"no " + field, foreign::ToCbor(json)});
   }
   with("listed", 2);  // `done` lists one item
   with("listed", 0);
@@ -140,9 +140,10 @@
   int read = 0;
   for (unsigned seed = 0; seed < kSeeds; ++seed) {
     CAPTURE(seed);
-    foreign::Spoiler spoil(seed);
-    const std::string value =
-        seed % 2 == 0 ? spoil.Bytes(good) : foreign::Packed(spoil.Fields(foreign::Unpacked(good)));
+    foreign::Corrupter corrupt(seed);
+    const std::string value = seed % 2 == 0
+                                  ? corrupt.Bytes(good)
+                                  : foreign::ToCbor(corrupt.Fields(foreign::FromCbor(good)));
     const auto head = ledger::DecodeHead(value);
     if (!IsOk(head)) continue;
     ++read;
--- a/test/job-desk-test.cc
+++ b/test/job-desk-test.cc
@@ -3,7 +3,7 @@
 #include <memory>
 #include <string>
 
-#include "gateway/clocked_tables.h"
+#include "gateway/clock_syncing_tables.h"
 #include "gateway/job_desk.h"
 #include "gateway/table_follower.h"
 #include "platform/adapter.h"
@@ -15,24 +15,24 @@
 
 class FakeReply final : public HttpReply {
  public:
-  void Send(HttpResponse response) override { answer = std::move(response); }
+  void Send(HttpResponse response) override { received = std::move(response); }
   void Begin(HttpResponse /*head*/) override {}
   void Write(std::string /*bytes*/) override {}
   void End() override {}
   void OnClosed(std::function<void()> /*closed*/) override {}
-  std::optional<HttpResponse> answer;
+  std::optional<HttpResponse> received;
 };
 
 // The job requests of one entry, over a store that the entries of a test share.
-struct Desk {
-  Desk(Loop& the_loop, fake::TableData& data, const std::string& node)
+struct TestEntry {
+  TestEntry(Loop& the_loop, fake::TableData& data, const std::string& node)
       : loop(the_loop),
         tables(loop, data),
         peers({NodeId{node}, 1, Address{"10.0.0.1", 1}, DataCentre{"dc"}, 1, false}),
-        store(loop, clocked, metrics, peers, SystemRandom(),
+        store(loop, clock_syncing_tables, metrics, peers, SystemRandom(),
               {[](OwnedJob&, const std::vector<ledger::ProgressPiece>&) {}, [](const JobId&) {},
-               [](OwnedJob&) {}, [this](const JobHead& head) { desk.OnChanged(head); }}),
-        desk(loop, store, clock, *adapter) {
+               [](OwnedJob&) {}, [this](const JobHead& head) { job_requests.OnChanged(head); }}),
+        job_requests(loop, store, clock, *adapter) {
     store.Start();
     fake::RunUntil(loop, [this] { return clock.Latest(Loop::SinceBoot()).has_value(); });
     route.name = "r";
@@ -50,17 +50,17 @@
     request.body = R"({"requests":[{"id":"i0","path":"/b/0","headers":{},"body":"YQ=="},)"
                    R"({"id":"i1","path":"/b/1","headers":{},"body":"Yg=="}]})";
     auto reply = std::make_shared<FakeReply>();
-    desk.Submit(route, 1, team, std::move(request), reply);
+    job_requests.Submit(route, 1, team, std::move(request), reply);
     return Await(*reply);
   }
   HttpResponse Call(const JobCall& call) {
     auto reply = std::make_shared<FakeReply>();
-    desk.Call(call, team, reply);
+    job_requests.Call(call, team, reply);
     return Await(*reply);
   }
   HttpResponse Await(const FakeReply& reply) {
-    fake::RunUntil(loop, [&reply] { return reply.answer.has_value(); });
-    return *reply.answer;
+    fake::RunUntil(loop, [&reply] { return reply.received.has_value(); });
+    return *reply.received;
   }
   void Finish(std::size_t item) {
     OwnedJob* job = store.Owned(JobId{"job"});
@@ -76,10 +76,10 @@
   fake::Tables tables;
   PeerTable peers;
   StoreClock clock;
-  ClockedTables clocked{tables, clock};
+  ClockSyncingTables clock_syncing_tables{tables, clock};
   Metrics metrics;
   JobStore store;
-  JobDesk desk;
+  JobDesk job_requests;
   Route route;
   std::optional<TeamId> team;  // whose key all calls have
 };
@@ -89,7 +89,7 @@
 TEST_CASE("a job is accepted with 202 and its results are read in pages") {
   Loop loop;
   fake::TableData data;
-  Desk a(loop, data, "a");
+  TestEntry a(loop, data, "a");
   CHECK(a.Submit("job").status == 202);
   CHECK(a.Submit("job").status == 202);
   a.Finish(1);
@@ -105,12 +105,12 @@
 TEST_CASE("a read waits for the next result") {
   Loop loop;
   fake::TableData data;
-  Desk a(loop, data, "a");
+  TestEntry a(loop, data, "a");
   CHECK(a.Submit("job").status == 202);
   auto reply = std::make_shared<FakeReply>();
-  a.desk.Call(JobReadCall{JobId{"job"}, 0, Duration{2'000'000}}, std::nullopt, reply);
+  a.job_requests.Call(JobReadCall{JobId{"job"}, 0, Duration{2'000'000}}, std::nullopt, reply);
   fake::RunFor(loop, Duration{50'000});
-  CHECK_FALSE(reply->answer);
+  CHECK_FALSE(reply->received);
   a.Finish(0);
   CHECK(a.Await(*reply).body.find(R"("id":"i0")") != std::string::npos);
 }
@@ -122,8 +122,8 @@
 TEST_CASE("an entry whose copy is old doesn't report listed results as missing") {
   Loop loop;
   fake::TableData data;
-  Desk a(loop, data, "a");
-  Desk b(loop, data, "b");
+  TestEntry a(loop, data, "a");
+  TestEntry b(loop, data, "b");
   CHECK(a.Submit("job").status == 202);
   fake::RunUntil(loop, [&] { return b.store.Known(JobId{"job"}) != nullptr; });
   b.tables.deaf = true;
@@ -135,7 +135,7 @@
 TEST_CASE("an entry that doesn't know the outcome responds with an error") {
   Loop loop;
   fake::TableData data;
-  Desk a(loop, data, "a");
+  TestEntry a(loop, data, "a");
   CHECK(a.Submit("job").status == 202);
   a.tables.refuse = true;
   CHECK(a.Call(JobReadCall{JobId{"job"}, 0, Duration{0}}).status == 503);
@@ -151,16 +151,16 @@
 TEST_CASE("the refusal of a malformed job names the position of the error") {
   Loop loop;
   fake::TableData data;
-  Desk a(loop, data, "a");
+  TestEntry a(loop, data, "a");
   HttpRequest request;
   request.headers = {{a.adapter->names().request_id, "job"}};
   request.body = R"({"requests":[{"id":"i0"}]})";
   auto reply = std::make_shared<FakeReply>();
-  a.desk.Submit(a.route, 1, std::nullopt, std::move(request), reply);
-  const HttpResponse answer = a.Await(*reply);
-  CHECK(answer.status == 400);
-  CHECK(answer.body.find("'path' is missing") != std::string::npos);
-  CHECK(answer.body.find(R"("ran":"no")") != std::string::npos);
+  a.job_requests.Submit(a.route, 1, std::nullopt, std::move(request), reply);
+  const HttpResponse response = a.Await(*reply);
+  CHECK(response.status == 400);
+  CHECK(response.body.find("'path' is missing") != std::string::npos);
+  CHECK(response.body.find(R"("ran":"no")") != std::string::npos);
 }
 
 // Guards against an entry that uses an old configuration for seconds after the store has
@@ -179,24 +179,24 @@
   fake::RunUntil(loop, [&] { return !follower.connected(); });
   tables.refuse = false;
   fake::RunUntil(loop, [&] { return follower.connected(); });
-  CHECK(tables.waits.back() == TableFollower::kTroubledWait);
+  CHECK(tables.waits.back() == TableFollower::kShortWait);
 }
 
 TEST_CASE("a job is visible to its own team only") {
   Loop loop;
   fake::TableData data;
-  Desk rye(loop, data, "a");
+  TestEntry rye(loop, data, "a");
   rye.team = TeamId{"rye"};
-  Desk shore(loop, data, "b");
+  TestEntry shore(loop, data, "b");
   shore.team = TeamId{"shore"};
   CHECK(rye.Submit("job").status == 202);
-  const HttpResponse never = shore.Call(JobReadCall{JobId{"none"}, 0, Duration{0}});
+  const HttpResponse unknown_job = shore.Call(JobReadCall{JobId{"none"}, 0, Duration{0}});
   for (const JobCall& call :
        std::initializer_list<JobCall>{JobReadCall{JobId{"job"}, 0, Duration{0}},
                                       JobItemCall{JobId{"job"}, "i0"}, JobEndCall{JobId{"job"}}}) {
-    const HttpResponse theirs = shore.Call(call);
-    CHECK(theirs.status == 404);
-    CHECK(theirs.body == never.body);
+    const HttpResponse other_team = shore.Call(call);
+    CHECK(other_team.status == 404);
+    CHECK(other_team.body == unknown_job.body);
   }
   CHECK(rye.Call(JobItemCall{JobId{"job"}, "i0"}).body == "a");
   CHECK(rye.Call(JobReadCall{JobId{"job"}, 0, Duration{0}}).status == 200);
@@ -206,7 +206,7 @@
 TEST_CASE("another team's job takes as many calls to the store as one that doesn't exist") {
   Loop loop;
   fake::TableData data;
-  Desk rye(loop, data, "a");
+  TestEntry rye(loop, data, "a");
   rye.team = TeamId{"rye"};
   CHECK(rye.Submit("job").status == 202);
   rye.team = TeamId{"shore"};
@@ -223,11 +223,11 @@
   Loop loop;
   fake::TableData data;
   {
-    Desk a(loop, data, "a");
+    TestEntry a(loop, data, "a");
     a.team = TeamId{"rye"};
     CHECK(a.Submit("job").status == 202);
   }
-  Desk b(loop, data, "b");
+  TestEntry b(loop, data, "b");
   b.team = TeamId{"shore"};
   CHECK(b.Call(JobReadCall{JobId{"job"}, 0, Duration{0}}).status == 404);
   b.team = TeamId{"rye"};
--- a/test/job-store-test.cc
+++ b/test/job-store-test.cc
@@ -178,7 +178,7 @@
   CHECK(b.Accept(Submission()) == "accepted");
   const Timer heard =
       f.loop.Every(10 * kMillisecond, [&] { f.a.peers.Heard(PeerNamed("b"), Loop::Now()); });
-  fake::RunFor(f.loop, JobStore::kTakeOverAfter + 500 * kMillisecond);
+  fake::RunFor(f.loop, JobStore::kTakeoverDelay + 500 * kMillisecond);
   CHECK(f.a.owned.empty());
   CHECK(b.owned.contains("job"));
 }
@@ -286,9 +286,10 @@
   // Two entries remain. The one that ranks first is known from the list only and never runs.
   PeerTable ranked(PeerNamed("b"));
   ranked.Named(PeerNamed("c"));
-  const std::string heir = ranked.OwnerOf(job.id.value, std::nullopt, Loop::Now())->node.value;
-  Entry other(loop, data, PeerNamed(heir == "b" ? "c" : "b"));
-  other.peers.Named(PeerNamed(heir));
+  const std::string first_ranked =
+      ranked.OwnerOf(job.id.value, std::nullopt, Loop::Now())->node.value;
+  Entry other(loop, data, PeerNamed(first_ranked == "b" ? "c" : "b"));
+  other.peers.Named(PeerNamed(first_ranked));
   fake::RunUntil(loop, [&] { return other.store.Known(job.id) != nullptr; });
   leaving.store.Leave([] {});
   fake::RunUntil(loop, [&] { return other.owned.contains("job"); });
