--- a/src/gateway/caller_door.cc
+++ b/src/gateway/caller_door.cc
@@ -42,7 +42,7 @@
 
 }  // namespace
 
-CallerDoor::CallerDoor(RelayTools& tools, const PlatformAdapter& adapter, JobDesk& jobs,
+CallerDoor::CallerDoor(RelayTools& tools, const PlatformAdapter& adapter, JobRequestHandler& jobs,
                        RandomBits random)
     : tools_(tools), adapter_(adapter), jobs_(jobs), random_(std::move(random)) {}
 
--- a/src/gateway/caller_door.h
+++ b/src/gateway/caller_door.h
@@ -8,14 +8,15 @@
 #include "figmill/gateway.h"
 #include "figmill/overload.h"
 #include "gateway/fleet_view.h"
-#include "gateway/job_desk.h"
+#include "gateway/job_request_handler.h"
 #include "gateway/relay_call.h"
 
 namespace figmill {
 
 class CallerDoor {
  public:
-  CallerDoor(RelayTools& tools, const PlatformAdapter& adapter, JobDesk& jobs, RandomBits random);
+  CallerDoor(RelayTools& tools, const PlatformAdapter& adapter, JobRequestHandler& jobs,
+             RandomBits random);
 
   void Update(std::shared_ptr<const FleetView> view);
   void OnRequest(HttpRequest request, std::shared_ptr<HttpReply> reply);
@@ -42,7 +43,7 @@
 
   RelayTools& tools_;
   const PlatformAdapter& adapter_;
-  JobDesk& jobs_;
+  JobRequestHandler& jobs_;
   RandomBits random_;
   std::shared_ptr<const FleetView> view_;
   RetryDetector first_tries_;
--- a/src/gateway/crash_watch.cc
+++ b/src/gateway/crash_watch.cc
@@ -111,7 +111,7 @@
 void CrashWatch::OnRow(const TableMirror::Change& change) {
   const std::size_t before = quarantine_.quarantined();
   if (change.row == nullptr) {
-    refused_.Forget(change.at.key);
+    refused_.Clear(change.at.key);
     const Result<Crash> crash = ParseCrashKey(change.at.key);
     if (!IsOk(crash)) return;  // it was refused when it came
     quarantine_.Remove(ValueOf(crash));
@@ -121,7 +121,7 @@
   if (!IsOk(report)) {
     return refused_.Refuse(change.at.key, change.row->version, ErrorOf(report).detail);
   }
-  refused_.Forget(change.at.key);
+  refused_.Clear(change.at.key);
   quarantine_.Add(ValueOf(report), Loop::Now());
   LogChange(ValueOf(report).crash.request, before);
 }
--- a/src/gateway/fleet_watch.cc
+++ b/src/gateway/fleet_watch.cc
@@ -58,7 +58,7 @@
   if (!IsOk(config)) {
     return refused_configs_.Refuse(change.at.key, change.row->version, ErrorOf(config).detail);
   }
-  refused_configs_.Forget(change.at.key);
+  refused_configs_.Clear(change.at.key);
   const std::uint64_t now = view_.routes ? view_.routes->version() : 0;
   const std::uint64_t next = ValueOf(config).version;
   if (view_.routes && next <= now) return;
@@ -76,7 +76,7 @@
     Log(LogLevel::kInfo, "backend_gone",
         {{"backend", id.value}, {"found_by", change.by_listing ? "list" : "feed"}});
     changed_ |= view_.backends.erase(id) > 0;
-    refused_backends_.Forget(id.value);
+    refused_backends_.Clear(id.value);
     return;
   }
   Result<BackendInfo> info = adapter_.ParseBackend(id.value, change.row->value);
@@ -87,7 +87,7 @@
     const Error error{ErrorKind::kBadRequest, "an earlier incarnation of another service"};
     return OnUnreadableBackend(id, change.row->version, error);
   }
-  refused_backends_.Forget(id.value);
+  refused_backends_.Clear(id.value);
   if (made == ListChange::kNone) return;
   const BackendInfo& mine = view_.backends.at(id);
   Log(LogLevel::kInfo, EventOf(made),
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -12,7 +12,7 @@
 #include "gateway/clock_syncing_tables.h"
 #include "gateway/crash_watch.h"
 #include "gateway/fleet_watch.h"
-#include "gateway/job_desk.h"
+#include "gateway/job_request_handler.h"
 #include "gateway/job_store.h"
 #include "gateway/member_watch.h"
 #include "gateway/open_sends.h"
@@ -326,7 +326,7 @@
   RelayTools relay_context_;
   JobStore jobs_;
   BatchRunner runner_;
-  JobDesk job_requests_;
+  JobRequestHandler job_requests_;
   CallerDoor request_dispatcher_;
   std::unique_ptr<HttpServer> callers_, health_, peers_server_, metrics_server_;
   bool leaving_ = false;
--- a/src/gateway/job_desk.cc
+++ b/src/gateway/job_request_handler.cc
@@ -1,4 +1,4 @@
-#include "gateway/job_desk.h"
+#include "gateway/job_request_handler.h"
 
 #include <utility>
 
@@ -17,9 +17,9 @@
 
 }  // namespace
 
-class JobDesk::PendingReply {
+class JobRequestHandler::PendingReply {
  public:
-  PendingReply(JobDesk& desk, std::string call_name, std::string job,
+  PendingReply(JobRequestHandler& desk, std::string call_name, std::string job,
                std::shared_ptr<HttpReply> reply)
       : desk_(desk),
         call_name_(std::move(call_name)),
@@ -55,24 +55,24 @@
   void OnClosed(std::function<void()> closed) { reply_->OnClosed(std::move(closed)); }
 
  private:
-  JobDesk& desk_;
+  JobRequestHandler& desk_;
   std::string call_name_;
   std::string job_;
   std::shared_ptr<HttpReply> reply_;
   bool sent_ = false;
 };
 
-JobDesk::JobDesk(Loop& loop, JobStore& jobs, const StoreClock& clock,
-                 const PlatformAdapter& adapter)
+JobRequestHandler::JobRequestHandler(Loop& loop, JobStore& jobs, const StoreClock& clock,
+                                     const PlatformAdapter& adapter)
     : loop_(loop), jobs_(jobs), clock_(clock), adapter_(adapter) {}
 
-void JobDesk::SetLeaving() {
+void JobRequestHandler::SetLeaving() {
   leaving_ = true;
 }
 
-void JobDesk::Submit(const Route& route, std::uint64_t config_version,
-                     const std::optional<TeamId>& team, HttpRequest request,
-                     std::shared_ptr<HttpReply> reply) {
+void JobRequestHandler::Submit(const Route& route, std::uint64_t config_version,
+                               const std::optional<TeamId>& team, HttpRequest request,
+                               std::shared_ptr<HttpReply> reply) {
   Result<JobSubmission> submission = adapter_.ParseSubmission(request);
   const std::string id(request.HeaderOr(adapter_.names().request_id));
   auto pending = std::make_shared<PendingReply>(*this, "submit", id, std::move(reply));
@@ -100,8 +100,8 @@
   });
 }
 
-void JobDesk::Call(const JobCall& call, const std::optional<TeamId>& team,
-                   std::shared_ptr<HttpReply> reply) {
+void JobRequestHandler::Call(const JobCall& call, const std::optional<TeamId>& team,
+                             std::shared_ptr<HttpReply> reply) {
   const std::string_view name = std::visit([](const auto& each) { return each.kName; }, call);
   const JobId job = std::visit([](const auto& each) { return each.job; }, call);
   const auto pending =
@@ -118,27 +118,28 @@
   });
 }
 
-void JobDesk::Dispatch(const JobCall& call, const std::shared_ptr<PendingReply>& pending) {
+void JobRequestHandler::Dispatch(const JobCall& call,
+                                 const std::shared_ptr<PendingReply>& pending) {
   std::visit([&](const auto& each) { Handle(each, pending); }, call);
 }
 
-void JobDesk::Handle(const JobReadCall& call, std::shared_ptr<PendingReply> pending) {
+void JobRequestHandler::Handle(const JobReadCall& call, std::shared_ptr<PendingReply> pending) {
   jobs_.Find(call.job, [this, call, pending](const Result<JobHead>& head) {
     if (!IsOk(head)) return pending->Refuse(ErrorOf(head));
     SendResultsOrWait(call, ValueOf(head), pending);
   });
 }
 
-void JobDesk::SendResultsOrWait(const JobReadCall& call, const JobHead& head,
-                                std::shared_ptr<PendingReply> pending) {
+void JobRequestHandler::SendResultsOrWait(const JobReadCall& call, const JobHead& head,
+                                          std::shared_ptr<PendingReply> pending) {
   if (call.after < head.listed) return SendResults(call, head.total, std::move(pending));
   const bool may_wait = head.open() && call.wait.count() > 0 && !leaving_;
   if (may_wait) return WaitForResults(call, std::move(pending));
   SendNoResults(call, std::move(pending));
 }
 
-void JobDesk::SendResults(const JobReadCall& call, std::uint32_t total,
-                          std::shared_ptr<PendingReply> pending) {
+void JobRequestHandler::SendResults(const JobReadCall& call, std::uint32_t total,
+                                    std::shared_ptr<PendingReply> pending) {
   jobs_.ReadResults(
       call.job, call.after, [this, call, total, pending](Result<std::vector<ItemResult>> results) {
         if (!IsOk(results)) return pending->Refuse(ErrorOf(results));
@@ -157,7 +158,8 @@
 // "No result yet" is decided by the store's row, not by the local copy: another entry
 // may have sent this caller results that haven't reached this copy, and they would
 // be missing at their positions.
-void JobDesk::SendNoResults(const JobReadCall& call, std::shared_ptr<PendingReply> pending) {
+void JobRequestHandler::SendNoResults(const JobReadCall& call,
+                                      std::shared_ptr<PendingReply> pending) {
   jobs_.Refresh(call.job, [this, call, pending](const Result<JobHead>& head) {
     if (!IsOk(head)) return pending->Refuse(ErrorOf(head));
     if (call.after < ValueOf(head).listed) return SendResults(call, ValueOf(head).total, pending);
@@ -166,7 +168,8 @@
   });
 }
 
-void JobDesk::WaitForResults(const JobReadCall& call, std::shared_ptr<PendingReply> pending) {
+void JobRequestHandler::WaitForResults(const JobReadCall& call,
+                                       std::shared_ptr<PendingReply> pending) {
   const std::uint64_t id = ++next_long_poll_id_;
   JobReadCall without_wait = call;
   without_wait.wait = Duration{0};
@@ -187,7 +190,7 @@
   });
 }
 
-void JobDesk::OnChanged(const JobHead& head) {
+void JobRequestHandler::OnChanged(const JobHead& head) {
   std::vector<std::function<void()>> ready;
   const auto [first, last] = long_polls_.equal_range(head.id);
   for (auto at = first; at != last;) {
@@ -201,7 +204,7 @@
   for (const auto& pending : ready) pending();
 }
 
-void JobDesk::Handle(const JobItemCall& call, std::shared_ptr<PendingReply> pending) {
+void JobRequestHandler::Handle(const JobItemCall& call, std::shared_ptr<PendingReply> pending) {
   jobs_.ReadItems(call.job, [call, pending](const Result<std::vector<JobItem>>& items) {
     if (!IsOk(items)) return pending->Refuse(ErrorOf(items));
     for (const JobItem& item : ValueOf(items)) {
@@ -212,7 +215,7 @@
   });
 }
 
-void JobDesk::Handle(const JobEndCall& call, std::shared_ptr<PendingReply> pending) {
+void JobRequestHandler::Handle(const JobEndCall& call, std::shared_ptr<PendingReply> pending) {
   jobs_.End(call.job, [pending](const Result<Ok>& ended) {
     if (!IsOk(ended)) return pending->Refuse(ErrorOf(ended));
     pending->Send({200, "application/json", {}, "{}"});
--- a/src/gateway/job_desk.h
+++ b/src/gateway/job_request_handler.h
@@ -14,9 +14,10 @@
 
 namespace figmill {
 
-class JobDesk {
+class JobRequestHandler {
  public:
-  JobDesk(Loop& loop, JobStore& jobs, const StoreClock& clock, const PlatformAdapter& adapter);
+  JobRequestHandler(Loop& loop, JobStore& jobs, const StoreClock& clock,
+                    const PlatformAdapter& adapter);
 
   // `config_version`: of the configuration that `route` is from. `team`: empty when callers need
   // no API keys.
--- a/src/gateway/job_store.cc
+++ b/src/gateway/job_store.cc
@@ -44,7 +44,7 @@
 void JobStore::OnRow(const TableMirror::Change& change) {
   if (change.row == nullptr) {
     const JobId job{change.at.key};
-    refused_.Forget(job.value);
+    refused_.Clear(job.value);
     known_.erase(job);
     if (owned_.contains(job)) DropOwned(job);
     return;
@@ -74,7 +74,7 @@
     refused_.Refuse(row.at.key, row.version, ErrorOf(head).detail);
     return Error{ErrorKind::kStoreUnavailable, ErrorOf(head).detail};
   }
-  refused_.Forget(row.at.key);
+  refused_.Clear(row.at.key);
   ApplyHead(ValueOf(head), row.version);
   return Ok{};
 }
--- a/src/gateway/job_store.h
+++ b/src/gateway/job_store.h
@@ -72,7 +72,7 @@
   [[nodiscard]] OwnedJob* Owned(const JobId& job);
   // Writes results and progress that aren't written yet.
   void Write(OwnedJob& job);
-  [[nodiscard]] bool listed() const { return follower_.mirror().complete(); }
+  [[nodiscard]] bool loaded() const { return follower_.mirror().complete(); }
   [[nodiscard]] std::size_t owned() const { return owned_.size(); }
 
  private:
--- a/src/gateway/member_watch.cc
+++ b/src/gateway/member_watch.cc
@@ -78,7 +78,7 @@
 
 void MemberWatch::OnRow(const TableMirror::Change& change) {
   if (change.row == nullptr) {
-    refused_.Forget(change.at.key);
+    refused_.Clear(change.at.key);
     // Somebody could not hear this process; it is there all the same.
     if (change.at.key == self_.node.value) return WriteOwn();
     return hooks_.unlisted(NodeId{change.at.key});
@@ -88,7 +88,7 @@
   if (ValueOf(message).from.node.value != change.at.key) {
     return OnUnreadable(*change.row, "it names another node than its key");
   }
-  refused_.Forget(change.at.key);
+  refused_.Clear(change.at.key);
   hooks_.named(ValueOf(message).from);
 }
 
--- a/src/gateway/peer_link.cc
+++ b/src/gateway/peer_link.cc
@@ -12,8 +12,8 @@
 TrafficKind KindOf(const PeerMessage& message) {
   if (message.report) return TrafficKind::kReport;
   if (message.grant) return TrafficKind::kGrant;
-  if (message.ask) return TrafficKind::kAsk;
-  if (message.answer) return TrafficKind::kAnswer;
+  if (message.ask) return TrafficKind::kSlotRequest;
+  if (message.answer) return TrafficKind::kSlotResponse;
   if (message.quota_ask || message.quota_grant) return TrafficKind::kQuota;
   return TrafficKind::kPresence;
 }
@@ -133,7 +133,7 @@
   datagrams_.Add();
   datagram_bytes_.Add(bytes.size());
   const Reach reach = IsNear(to) ? Reach::kSameCentre : Reach::kOtherCentre;
-  traffic_.Of(KindOf(message), reach).Add(bytes.size());
+  traffic_.CounterFor(KindOf(message), reach).Add(bytes.size());
   socket_->Send(bytes, to.address);
 }
 
--- a/src/gateway/refused_rows.cc
+++ b/src/gateway/refused_rows.cc
@@ -31,7 +31,7 @@
       {{kind_.field, key}, {"row_version", std::to_string(version)}, {"why", std::string(why)}});
 }
 
-void RefusedRows::Forget(const std::string& key) {
+void RefusedRows::Clear(const std::string& key) {
   if (reasons_.erase(key) == 0) return;
   unreadable_.Set(static_cast<double>(reasons_.size()));
 }
--- a/src/gateway/refused_rows.h
+++ b/src/gateway/refused_rows.h
@@ -30,7 +30,7 @@
   // logged, a writer that repeats its row with each heartbeat would hide all other lines.
   void Refuse(const std::string& key, RowVersion version, std::string_view why);
   // Call it when the row can be used again or was removed.
-  void Forget(const std::string& key);
+  void Clear(const std::string& key);
   [[nodiscard]] bool Contains(const std::string& key) const { return reasons_.contains(key); }
 
  private:
--- a/src/gateway/relay_call.cc
+++ b/src/gateway/relay_call.cc
@@ -36,7 +36,7 @@
 
 Counter& BytesOf(RelayTools& tools, TrafficKind kind, const BackendId& backend) {
   const Reach reach = tools.places.IsLocal(backend) ? Reach::kSameCentre : Reach::kOtherCentre;
-  return tools.traffic.Of(kind, reach);
+  return tools.traffic.CounterFor(kind, reach);
 }
 
 RelayCall::RelayCall(RelayTools& tools, RelayPlan plan, RelayedRequest request,
--- a/src/gateway/store_transport.cc
+++ b/src/gateway/store_transport.cc
@@ -64,7 +64,7 @@
   http.total_timeout = call.timeout;
   http.to = store_;
   const TrafficKind kind = path.peer ? TrafficKind::kStoreViaPeer : TrafficKind::kStore;
-  http.bytes = &traffic_.Of(kind, Reach::kUnknown);
+  http.bytes = &traffic_.CounterFor(kind, Reach::kUnknown);
   if (path.peer) {
     http.to = *path.peer;
     http.target = std::string(kForwardPath) + call.target;
--- a/src/gateway/traffic_metrics.cc
+++ b/src/gateway/traffic_metrics.cc
@@ -26,7 +26,7 @@
   }
 }
 
-Counter& TrafficMetrics::Of(TrafficKind kind, Reach reach) {
+Counter& TrafficMetrics::CounterFor(TrafficKind kind, Reach reach) {
   return *counters_[static_cast<std::size_t>(kind)][static_cast<std::size_t>(reach)];
 }
 
--- a/src/gateway/traffic_metrics.h
+++ b/src/gateway/traffic_metrics.h
@@ -18,8 +18,8 @@
   kStoreViaPeer,  // the same, forwarded by another entry; counted by the entry that makes the call
   kReport,        // datagrams of this kind and the next ones are counted by their senders
   kGrant,
-  kAsk,
-  kAnswer,
+  kSlotRequest,
+  kSlotResponse,
   kPresence,  // datagrams that carry membership alone
   kQuota,     // quota credits of teams
 };
@@ -34,7 +34,7 @@
  public:
   explicit TrafficMetrics(Metrics& metrics);
   // Counts bytes, of calls in both directions. Valid as long as the metrics.
-  [[nodiscard]] Counter& Of(TrafficKind kind, Reach reach);
+  [[nodiscard]] Counter& CounterFor(TrafficKind kind, Reach reach);
 
  private:
   static constexpr std::size_t kKinds = 10;
--- a/test/job-desk-test.cc
+++ b/test/job-request-handler-test.cc
@@ -4,7 +4,7 @@
 #include <string>
 
 #include "gateway/clock_syncing_tables.h"
-#include "gateway/job_desk.h"
+#include "gateway/job_request_handler.h"
 #include "gateway/table_follower.h"
 #include "platform/adapter.h"
 #include "test/gateway-fakes.h"
@@ -79,7 +79,7 @@
   ClockSyncingTables clock_syncing_tables{tables, clock};
   Metrics metrics;
   JobStore store;
-  JobDesk job_requests;
+  JobRequestHandler job_requests;
   Route route;
   std::optional<TeamId> team;  // whose key all calls have
 };
