--- a/src/gateway/batch_runner.cc
+++ b/src/gateway/batch_runner.cc
@@ -67,7 +67,7 @@
 
 void BatchRunner::SaveProgress() {
   for (const JobId& id : open_items_.Jobs()) {
-    OwnedJob* job = jobs_.Owned(id);
+    OwnedJob* job = jobs_.FindOwned(id);
     if (job == nullptr || job->writing()) continue;
     SaveProgressOf(*job);
     jobs_.Write(*job);
@@ -75,7 +75,7 @@
 }
 
 void BatchRunner::Enqueue(const JobItemRef& key, Duration delay) {
-  const OwnedJob* job = jobs_.Owned(key.job);
+  const OwnedJob* job = jobs_.FindOwned(key.job);
   if (job == nullptr) return;
   delay = std::max(delay, QuarantineLeft(*job, key));
   open_items_.Enqueue(key, job->head().due, Loop::Now() + delay);
@@ -104,7 +104,7 @@
 }
 
 bool BatchRunner::CanRunOn(const JobItemRef& key, const BackendInfo& backend) const {
-  const OwnedJob* job = jobs_.Owned(key.job);
+  const OwnedJob* job = jobs_.FindOwned(key.job);
   if (job == nullptr) return false;
   const Route* route = RouteOf(job->head(), job->items()[key.item]);
   if (route == nullptr) return false;
@@ -114,7 +114,7 @@
 }
 
 std::string BatchRunner::ItemId(const JobItemRef& key) const {
-  const OwnedJob* job = jobs_.Owned(key.job);
+  const OwnedJob* job = jobs_.FindOwned(key.job);
   return job == nullptr ? std::to_string(key.item) : job->items()[key.item].id;
 }
 
@@ -170,7 +170,7 @@
 }
 
 void BatchRunner::Start(const JobItemRef& key, StoreTime due, const BackendInfo& backend) {
-  const OwnedJob* job = jobs_.Owned(key.job);
+  const OwnedJob* job = jobs_.FindOwned(key.job);
   const JobItem& item = job->items()[key.item];
   const ItemProgress& progress = open_items_.ProgressOf(key);
   HttpCall call = ItemCall(tools_.names, job->head(), item);
@@ -240,7 +240,7 @@
 }
 
 void BatchRunner::OnHead(const JobItemRef& key, const HttpHead& head) {
-  const OwnedJob* job = jobs_.Owned(key.job);
+  const OwnedJob* job = jobs_.FindOwned(key.job);
   if (job == nullptr) return EndRun(key, relay::SendEnd::kAbandoned);
   const WireNames& names = tools_.names;
   const AnswerIdMatch id =
@@ -268,7 +268,7 @@
 }
 
 void BatchRunner::OnFailed(const JobItemRef& key, bool counts_as_failure, const std::string& why) {
-  const OwnedJob* job = jobs_.Owned(key.job);
+  const OwnedJob* job = jobs_.FindOwned(key.job);
   const Route* route = RouteOf(job->head(), job->items()[key.item]);
   int& failures = open_items_.ProgressOf(key).failures;
   if (counts_as_failure) ++failures;
@@ -330,7 +330,7 @@
 }
 
 void BatchRunner::Finish(const JobItemRef& key, ResultState state, std::string_view why) {
-  OwnedJob* job = jobs_.Owned(key.job);
+  OwnedJob* job = jobs_.FindOwned(key.job);
   if (job == nullptr) return;
   const std::string& id = job->items()[key.item].id;
   const ItemProgress progress = open_items_.Remove(key);
--- a/src/gateway/batch_sweep.cc
+++ b/src/gateway/batch_sweep.cc
@@ -18,7 +18,7 @@
   const bool check_routes = std::exchange(check_routes_, false) && routes_;
   std::vector<std::pair<JobItemRef, std::string_view>> given_up;
   for (const auto& [key, progress] : open_items_.open_items()) {
-    const OwnedJob* job = jobs_.Owned(key.job);
+    const OwnedJob* job = jobs_.FindOwned(key.job);
     if (job == nullptr) continue;
     const JobHead& head = job->head();
     const bool has_route =
@@ -37,7 +37,7 @@
 // Logs what the decision is based on: when the job expires by the store's clock, and how long ago
 // the store last reported its time.
 void BatchRunner::LogGivenUp(const JobItemRef& key, std::string_view why) const {
-  const JobHead* head = jobs_.Known(key.job);
+  const JobHead* head = jobs_.KnownHead(key.job);
   const std::optional<StoreTime> now = TimeNow().store;
   const std::optional<Duration> age = clock_.Age(Loop::SinceBoot());
   Log(LogLevel::kInfo, "item_given_up",
--- a/src/gateway/job_ownership.cc
+++ b/src/gateway/job_ownership.cc
@@ -118,7 +118,7 @@
     const TableRow* row = RowIn(*rejected, ledger::HeadKey(head.id));
     if (row == nullptr) return;
     (void)ApplyRow(*row);
-    const JobHead* now = Known(head.id);
+    const JobHead* now = KnownHead(head.id);
     if (now != nullptr && now->token == head.token) LoadAndOwn(head.id);
   }
   // Otherwise a later check retries.
--- a/src/gateway/job_request_handler.cc
+++ b/src/gateway/job_request_handler.cc
@@ -19,23 +19,23 @@
 
 class JobRequestHandler::PendingReply {
  public:
-  PendingReply(JobRequestHandler& desk, std::string call_name, std::string job,
+  PendingReply(JobRequestHandler& handler, std::string call_name, std::string job,
                std::shared_ptr<HttpReply> reply)
-      : desk_(desk),
+      : handler_(handler),
         call_name_(std::move(call_name)),
         job_(std::move(job)),
         reply_(std::move(reply)) {
-    ++desk_.in_flight_;
+    ++handler_.in_flight_;
   }
   ~PendingReply() {
-    if (!sent_) --desk_.in_flight_;
+    if (!sent_) --handler_.in_flight_;
   }
   PendingReply(const PendingReply&) = delete;
   PendingReply& operator=(const PendingReply&) = delete;
 
   void Send(HttpResponse response, const std::string& why = "") {
     if (std::exchange(sent_, true)) return;
-    --desk_.in_flight_;
+    --handler_.in_flight_;
     response.close = true;
     Log(LogLevel::kInfo, "job_call",
         {{"call", call_name_},
@@ -55,7 +55,7 @@
   void OnClosed(std::function<void()> closed) { reply_->OnClosed(std::move(closed)); }
 
  private:
-  JobRequestHandler& desk_;
+  JobRequestHandler& handler_;
   std::string call_name_;
   std::string job_;
   std::shared_ptr<HttpReply> reply_;
@@ -174,7 +174,7 @@
   JobReadCall without_wait = call;
   without_wait.wait = Duration{0};
   const auto finish = [this, without_wait, pending] {
-    const JobHead* now = jobs_.Known(without_wait.job);
+    const JobHead* now = jobs_.KnownHead(without_wait.job);
     if (now == nullptr) return pending->Refuse({ErrorKind::kNotFound, "no such job"});
     SendResultsOrWait(without_wait, *now, pending);
   };
--- a/src/gateway/job_store.cc
+++ b/src/gateway/job_store.cc
@@ -29,12 +29,12 @@
   return head.owner == peers_.self().node && head.owner_incarnation == peers_.self().incarnation;
 }
 
-const JobHead* JobStore::Known(const JobId& job) const {
+const JobHead* JobStore::KnownHead(const JobId& job) const {
   const auto found = known_.find(job);
   return found == known_.end() ? nullptr : &found->second.head;
 }
 
-OwnedJob* JobStore::Owned(const JobId& job) {
+OwnedJob* JobStore::FindOwned(const JobId& job) {
   const auto found = owned_.find(job);
   return found == owned_.end() ? nullptr : found->second.get();
 }
@@ -58,7 +58,7 @@
   if (ledger::HeadKey(ValueOf(head).id) != row.at) {
     return Error{ErrorKind::kBadRequest, "job row: it names another job than its key"};
   }
-  const JobHead* known = Known(ValueOf(head).id);
+  const JobHead* known = KnownHead(ValueOf(head).id);
   if (known == nullptr) return head;
   if (const auto why = ledger::Contradiction(*known, ValueOf(head))) {
     return Error{ErrorKind::kBadRequest, "job row: " + std::string(*why)};
@@ -90,7 +90,7 @@
   }
   known.head = head;
   known.version = version;
-  if (OwnedJob* job = Owned(head.id)) {
+  if (OwnedJob* job = FindOwned(head.id)) {
     if (!job->OnHead(head, version)) {
       Log(LogLevel::kWarning, "job_lost",
           {{"job", head.id.value},
@@ -116,7 +116,7 @@
 
 void JobStore::Accept(JobHead head, JobSubmission submission,
                       std::function<void(Result<Ok>)> done) {
-  if (const JobHead* known = Known(head.id)) {
+  if (const JobHead* known = KnownHead(head.id)) {
     if (known->digest == head.digest) return done(Ok{});
     return done(Error{ErrorKind::kConflict, "a job with this id and other items was accepted"});
   }
@@ -212,7 +212,7 @@
 }
 
 void JobStore::OnWritten(const JobId& id, const TableOutcome& outcome) {
-  OwnedJob* job = Owned(id);
+  OwnedJob* job = FindOwned(id);
   if (job == nullptr) return;
   bool row_unreadable = false;
   std::visit(Overloaded{
@@ -237,7 +237,7 @@
                  },
              },
              outcome);
-  job = Owned(id);
+  job = FindOwned(id);
   if (job == nullptr) return;
   if (!job->head().open() && job->settled()) {
     owned_.erase(id);
@@ -252,7 +252,7 @@
     return Write(*job);
   }
   loop_.Later(kWriteRetryDelay, [this, id] {
-    if (OwnedJob* again = Owned(id)) Write(*again);
+    if (OwnedJob* again = FindOwned(id)) Write(*again);
   });
 }
 
--- a/src/gateway/job_store.h
+++ b/src/gateway/job_store.h
@@ -68,8 +68,8 @@
                    std::function<void(Result<std::vector<ItemResult>>)> done);
   void ReadItems(const JobId& job, std::function<void(Result<std::vector<JobItem>>)> done);
 
-  [[nodiscard]] const JobHead* Known(const JobId& job) const;
-  [[nodiscard]] OwnedJob* Owned(const JobId& job);
+  [[nodiscard]] const JobHead* KnownHead(const JobId& job) const;
+  [[nodiscard]] OwnedJob* FindOwned(const JobId& job);
   // Writes results and progress that aren't written yet.
   void Write(OwnedJob& job);
   [[nodiscard]] bool loaded() const { return follower_.mirror().complete(); }
--- a/src/gateway/job_store_calls.cc
+++ b/src/gateway/job_store_calls.cc
@@ -58,7 +58,7 @@
         // overwrite content that no entry has read.
         const Result<Ok> applied = ApplyRow(*row);
         if (!IsOk(applied)) return done(ErrorOf(applied));
-        const JobHead* now = Known(id);
+        const JobHead* now = KnownHead(id);
         if (now == nullptr) return done(Error{ErrorKind::kNotFound, "no such job"});
         if (now->ended) return done(Ok{});
         WriteEnd(id, *now, row->version, attempts_left - 1, done);
@@ -68,7 +68,7 @@
 // --- Reads --------------------------------------------------------------------------------
 
 void JobStore::Find(const JobId& job, std::function<void(Result<JobHead>)> done) {
-  if (const JobHead* known = Known(job)) return done(*known);
+  if (const JobHead* known = KnownHead(job)) return done(*known);
   Refresh(job, std::move(done));
 }
 
@@ -79,7 +79,7 @@
                  if (!IsOk(page)) return done(ErrorOf(page));
                  Result<Ok> applied = Ok{};
                  for (const TableRow& row : ValueOf(page).rows) applied = ApplyRow(row);
-                 const JobHead* known = Known(job);
+                 const JobHead* known = KnownHead(job);
                  // It isn't certain that there is no such job, or no result yet.
                  if (!IsOk(applied)) return done(ErrorOf(applied));
                  if (known == nullptr) return done(Error{ErrorKind::kNotFound, "no such job"});
@@ -149,7 +149,7 @@
 }
 
 void JobStore::Release(const JobId& id) {
-  const OwnedJob* job = Owned(id);
+  const OwnedJob* job = FindOwned(id);
   JobHead head = job->head();
   const RowVersion version = job->version();
   DropOwned(id);
--- a/test/foreign-entries-test.cc
+++ b/test/foreign-entries-test.cc
@@ -296,7 +296,7 @@
 TEST_CASE("an allocator keeps the runs of an unreadable backend server and grants no new ones") {
   const ServiceName llm{"llm"};
   const Time start{Duration{10'000'000}};
-  const Time settle_count = start + SlotAllocator::kTakeoverDelay;
+  const Time takeover_done = start + SlotAllocator::kTakeoverDelay;
   const Peer peer{NodeId{"a"}, 1, Address{"10.0.0.1", 1}, DataCentre{"dc"}, 1, false};
   SlotAllocator allocator{0};
   allocator.SetOwnedBackends({{kEngine, {llm, 4}}}, start);
@@ -305,10 +305,10 @@
         waiting == 0 ? std::vector<WaitingItems>{}
                      : std::vector<WaitingItems>{{StoreTime{20'000'000}, waiting}};
     allocator.OnReport(peer, true, {number, 0, {}, items, {{kEngine, online, batch}}},
-                       settle_count);
+                       takeover_done);
   };
   report(1, 1, 2, 5);
-  allocator.SetOwnedBackends({{kEngine, {llm, 4, /*frozen=*/true}}}, settle_count);
+  allocator.SetOwnedBackends({{kEngine, {llm, 4, /*frozen=*/true}}}, takeover_done);
   CHECK(allocator.AllowedBatch(kEngine, peer.node) == 2);
   report(2, 4, 2, 5);  // online requests that were on their way when the entry became unreadable
   CHECK(allocator.AllowedBatch(kEngine, peer.node) == 2);
@@ -318,11 +318,11 @@
   ask.number = 1;
   ask.service = llm;
   ask.goal_left = ask.time_left = std::chrono::seconds(5);
-  allocator.OnRequest(peer.node, ask, settle_count);
-  for (const SlotAllocator::Outgoing& out : allocator.TakeOutgoing(settle_count)) {
+  allocator.OnRequest(peer.node, ask, takeover_done);
+  for (const SlotAllocator::Outgoing& out : allocator.TakeOutgoing(takeover_done)) {
     if (out.answer) CHECK(out.answer->kind == PlaceAnswer::Kind::kNotKept);
   }
-  allocator.SetOwnedBackends({{kEngine, {llm, 4}}}, settle_count);
+  allocator.SetOwnedBackends({{kEngine, {llm, 4}}}, takeover_done);
   CHECK(allocator.AllowedBatch(kEngine, peer.node) > 1);
 }
 
--- a/test/foreign-jobs-test.cc
+++ b/test/foreign-jobs-test.cc
@@ -39,7 +39,7 @@
     bool done = false;
     store.Accept(head, submission, [&done](const Result<Ok>& got) { done = IsOk(got); });
     fake::RunUntil(loop, [&done] { return done; });
-    REQUIRE(store.Owned(kJob) != nullptr);
+    REQUIRE(store.FindOwned(kJob) != nullptr);
   }
   // Waits until the entry has received all changes.
   void Settle() { fake::RunFor(loop, 2 * JobStore::kMinFeedInterval + Duration{100'000}); }
@@ -170,21 +170,21 @@
   for (const std::string& row : rows) {
     Entry f;
     f.Accept();
-    const JobHead before = *f.store.Known(kJob);
+    const JobHead before = *f.store.KnownHead(kJob);
     f.PutHead(row);
     f.Settle();
-    REQUIRE(f.store.Owned(kJob) != nullptr);
+    REQUIRE(f.store.FindOwned(kJob) != nullptr);
     CHECK(f.dropped.empty());
-    CHECK(f.store.Known(kJob)->token == before.token);
-    CHECK(f.store.Known(JobId{"other"}) == nullptr);
+    CHECK(f.store.KnownHead(kJob)->token == before.token);
+    CHECK(f.store.KnownHead(JobId{"other"}) == nullptr);
     // Its results are held until the row can be read again.
-    OwnedJob* job = f.store.Owned(kJob);
+    OwnedJob* job = f.store.FindOwned(kJob);
     job->Finish(0, {"i0", ResultState::kComplete, "text"});
     f.store.Write(*job);
     f.Settle();
     CHECK(f.Stored() == row);
     f.PutHead(ledger::EncodeHead(before));
-    fake::RunUntil(f.loop, [&f] { return f.store.Known(kJob)->listed == 1; });
+    fake::RunUntil(f.loop, [&f] { return f.store.KnownHead(kJob)->listed == 1; });
   }
 }
 
@@ -247,7 +247,7 @@
   f.Settle();
   f.tables.deaf = true;
   f.PutHead("spoilt");
-  OwnedJob* job = f.store.Owned(kJob);
+  OwnedJob* job = f.store.FindOwned(kJob);
   job->Finish(0, {"i0", ResultState::kComplete, "text"});
   f.store.Write(*job);
   f.Settle();
--- a/test/job-request-handler-test.cc
+++ b/test/job-request-handler-test.cc
@@ -63,12 +63,12 @@
     return *reply.received;
   }
   void Finish(std::size_t item) {
-    OwnedJob* job = store.Owned(JobId{"job"});
+    OwnedJob* job = store.FindOwned(JobId{"job"});
     REQUIRE(job != nullptr);
     job->Finish(item, {job->items()[item].id, ResultState::kComplete, "text"});
     store.Write(*job);
-    const auto listed = store.Known(JobId{"job"})->listed;
-    fake::RunUntil(loop, [&] { return store.Known(JobId{"job"})->listed > listed; });
+    const auto listed = store.KnownHead(JobId{"job"})->listed;
+    fake::RunUntil(loop, [&] { return store.KnownHead(JobId{"job"})->listed > listed; });
   }
 
   Loop& loop;
@@ -125,7 +125,7 @@
   TestEntry a(loop, data, "a");
   TestEntry b(loop, data, "b");
   CHECK(a.Submit("job").status == 202);
-  fake::RunUntil(loop, [&] { return b.store.Known(JobId{"job"}) != nullptr; });
+  fake::RunUntil(loop, [&] { return b.store.KnownHead(JobId{"job"}) != nullptr; });
   b.tables.deaf = true;
   a.Finish(0);
   const HttpResponse read = b.Call(JobReadCall{JobId{"job"}, 0, Duration{50'000}});
--- a/test/job-store-test.cc
+++ b/test/job-store-test.cc
@@ -43,7 +43,7 @@
         store(loop, tables, metrics, peers, SystemRandom(),
               {[this](OwnedJob& job, const std::vector<ledger::ProgressPiece>& pieces) {
                  owned.insert(job.head().id.value);
-                 known_when_owned = store.Known(job.head().id) != nullptr;
+                 known_when_owned = store.KnownHead(job.head().id) != nullptr;
                  progress = pieces;
                },
                [this](const JobId& job) { owned.erase(job.value); },
@@ -66,7 +66,7 @@
     return got;
   }
   void Finish(const std::string& job, std::size_t item, const std::string& output) {
-    OwnedJob* mine = store.Owned(JobId{job});
+    OwnedJob* mine = store.FindOwned(JobId{job});
     REQUIRE(mine != nullptr);
     mine->Finish(item, {mine->items()[item].id, ResultState::kComplete, output});
     store.Write(*mine);
@@ -82,7 +82,7 @@
     return results;
   }
   std::uint32_t Listed(const std::string& job) {
-    const JobHead* head = store.Known(JobId{job});
+    const JobHead* head = store.KnownHead(JobId{job});
     return head == nullptr ? 0 : head->listed;
   }
 
@@ -162,14 +162,14 @@
   {
     Entry dying(f.loop, f.data, PeerNamed("dying"));
     CHECK(dying.Accept(Submission()) == "accepted");
-    dying.store.Owned(JobId{"job"})->Keep({1, 0, "begun", "4", 4});
+    dying.store.FindOwned(JobId{"job"})->Keep({1, 0, "begun", "4", 4});
     dying.Finish("job", 0, "done");
     fake::RunUntil(f.loop, [&] { return f.a.Listed("job") == 1; });
   }
   fake::RunUntil(f.loop, [&] { return f.a.owned.contains("job"); });
   REQUIRE(f.a.progress.size() == 1);
   CHECK(f.a.progress[0].text == "begun");
-  CHECK_FALSE(f.a.store.Owned(JobId{"job"})->IsOpen(0));
+  CHECK_FALSE(f.a.store.FindOwned(JobId{"job"})->IsOpen(0));
 }
 
 TEST_CASE("a job whose owner is live is left to it") {
@@ -209,7 +209,7 @@
   bool ended = false;
   b.store.End(JobId{"job"}, [&ended](const Result<Ok>& result) { ended = IsOk(result); });
   fake::RunUntil(f.loop, [&] { return ended && f.a.owned.empty(); });
-  CHECK_FALSE(f.a.store.Known(JobId{"job"})->open());
+  CHECK_FALSE(f.a.store.KnownHead(JobId{"job"})->open());
 }
 
 // Guards against a restart that loses the work of all running items.
@@ -271,7 +271,7 @@
   fake::RunUntil(f.loop, [&refused] { return refused; });
   f.a.tables.refuse = false;
   fake::RunUntil(f.loop, [&f] { return f.a.owned.contains("job"); });
-  CHECK(f.a.store.Known(JobId{"job"})->open());
+  CHECK(f.a.store.KnownHead(JobId{"job"})->open());
 }
 
 // Guards against a released job that makes no progress for 5.4 s, until another entry starts:
@@ -290,7 +290,7 @@
       ranked.OwnerOf(job.id.value, std::nullopt, Loop::Now())->node.value;
   Entry other(loop, data, PeerNamed(first_ranked == "b" ? "c" : "b"));
   other.peers.Named(PeerNamed(first_ranked));
-  fake::RunUntil(loop, [&] { return other.store.Known(job.id) != nullptr; });
+  fake::RunUntil(loop, [&] { return other.store.KnownHead(job.id) != nullptr; });
   leaving.store.Leave([] {});
   fake::RunUntil(loop, [&] { return other.owned.contains("job"); });
 }
