--- a/src/gateway/batch_sweep.cc
+++ b/src/gateway/batch_sweep.cc
@@ -1,4 +1,5 @@
-// What a BatchRunner ends by time: runs that are silent, and items that can't be done any more.
+// Periodic checks of a BatchRunner: stops runs that receive no data, and gives up items that can't
+// be completed any more.
 
 #include <vector>
 
@@ -8,40 +9,40 @@
 namespace figmill {
 
 void BatchRunner::Sweep() {
-  StopSilent();
-  GiveUpHopeless();
-  Pump();
+  StopStalledRuns();
+  GiveUpItems();
+  UpdateRuns();
 }
 
-void BatchRunner::GiveUpHopeless() {
+void BatchRunner::GiveUpItems() {
   const bool check_routes = std::exchange(check_routes_, false) && routes_;
-  std::vector<std::pair<JobItemRef, std::string_view>> hopeless;
-  for (const auto& [key, progress] : work_.open_items()) {
-    const OwnedJob* job = jobs_.Owned(key.job);
+  std::vector<std::pair<JobItemRef, std::string_view>> given_up;
+  for (const auto& [key, progress] : open_items_.open_items()) {
+    const OwnedJob* job = jobs_.FindOwned(key.job);
     if (job == nullptr) continue;
     const JobHead& head = job->head();
     const bool has_route =
         !check_routes || routes_->Find(head.host, job->items()[key.item].target) != nullptr;
     const std::uint64_t version = routes_ ? routes_->version() : 0;
     const auto why = GiveUpReason(head, has_route, version, TimeNow().store);
-    if (why) hopeless.emplace_back(key, *why);
+    if (why) given_up.emplace_back(key, *why);
   }
-  for (const auto& [key, why] : hopeless) {
+  for (const auto& [key, why] : given_up) {
     LogGivenUp(key, why);
     EndRun(key, relay::SendEnd::kAbandoned);
     Finish(key, ResultState::kDead, why);
   }
 }
 
-// What the verdict rests on: the end of the job's life by the store's clock, and how
-// long ago the store last told its time.
+// Logs what the decision is based on: when the job expires by the store's clock, and how long ago
+// the store last reported its time.
 void BatchRunner::LogGivenUp(const JobItemRef& key, std::string_view why) const {
-  const JobHead* head = jobs_.Known(key.job);
+  const JobHead* head = jobs_.KnownHead(key.job);
   const std::optional<StoreTime> now = TimeNow().store;
   const std::optional<Duration> age = clock_.Age(Loop::SinceBoot());
   Log(LogLevel::kInfo, "item_given_up",
       {{"job", key.job.value},
-       {"item", IdOf(key)},
+       {"item", ItemId(key)},
        {"why", std::string(why)},
        {"submitted_ms", head == nullptr ? "" : Milliseconds(head->submitted)},
        {"expires_ms", head == nullptr ? "" : Milliseconds(head->expires)},
@@ -50,15 +51,15 @@
        {"config", std::to_string(routes_ ? routes_->version() : 0)}});
 }
 
-void BatchRunner::StopSilent() {
+void BatchRunner::StopStalledRuns() {
   const Time now = Loop::Now();
-  std::vector<JobItemRef> silent;
+  std::vector<JobItemRef> stalled;
   for (const auto& [key, run] : runs_) {
-    const Duration patience = run.answering ? kNextByteSilence : kFirstByteSilence;
-    if (now - run.heard_at >= patience) silent.push_back(key);
+    const Duration timeout = run.answering ? kNextByteTimeout : kFirstByteTimeout;
+    if (now - run.last_activity_at >= timeout) stalled.push_back(key);
   }
-  for (const JobItemRef& key : silent) {
-    Requeue(key, relay::SendEnd::kSilent, "no bytes in time", Duration{0});
+  for (const JobItemRef& key : stalled) {
+    Requeue(key, relay::SendEnd::kSilent, "no data within the timeout", Duration{0});
   }
 }
 
--- a/src/gateway/job_store.cc
+++ b/src/gateway/job_store.cc
@@ -20,45 +20,45 @@
 
 void JobStore::Start() {
   started_at_ = Loop::Now();
-  follower_.SetPace(kFeedPace);
+  follower_.SetMinInterval(kMinFeedInterval);
   follower_.Start();
-  check_timer_ = loop_.Every(kCheckPeriod, [this] { CheckOwners(); });
+  check_timer_ = loop_.Every(kOwnerCheckPeriod, [this] { CheckOwners(); });
 }
 
-bool JobStore::IsMine(const JobHead& head) const {
+bool JobStore::IsOwnedHere(const JobHead& head) const {
   return head.owner == peers_.self().node && head.owner_incarnation == peers_.self().incarnation;
 }
 
-const JobHead* JobStore::Known(const JobId& job) const {
+const JobHead* JobStore::KnownHead(const JobId& job) const {
   const auto found = known_.find(job);
   return found == known_.end() ? nullptr : &found->second.head;
 }
 
-OwnedJob* JobStore::Owned(const JobId& job) {
+OwnedJob* JobStore::FindOwned(const JobId& job) {
   const auto found = owned_.find(job);
   return found == owned_.end() ? nullptr : found->second.get();
 }
 
-// --- What the store says ----------------------------------------------------------
+// --- Rows from the store ----------------------------------------------------------
 
 void JobStore::OnRow(const TableMirror::Change& change) {
   if (change.row == nullptr) {
     const JobId job{change.at.key};
-    refused_.Forget(job.value);
+    refused_.Clear(job.value);
     known_.erase(job);
-    if (owned_.contains(job)) Drop(job);
+    if (owned_.contains(job)) DropOwned(job);
     return;
   }
-  (void)LearnRow(*change.row);
+  (void)ApplyRow(*change.row);
 }
 
-Result<JobHead> JobStore::Readable(const TableRow& row) const {
+Result<JobHead> JobStore::DecodeRow(const TableRow& row) const {
   Result<JobHead> head = ledger::DecodeHead(row.value);
   if (!IsOk(head)) return head;
   if (ledger::HeadKey(ValueOf(head).id) != row.at) {
     return Error{ErrorKind::kBadRequest, "job row: it names another job than its key"};
   }
-  const JobHead* known = Known(ValueOf(head).id);
+  const JobHead* known = KnownHead(ValueOf(head).id);
   if (known == nullptr) return head;
   if (const auto why = ledger::Contradiction(*known, ValueOf(head))) {
     return Error{ErrorKind::kBadRequest, "job row: " + std::string(*why)};
@@ -66,37 +66,37 @@
   return head;
 }
 
-Result<Ok> JobStore::LearnRow(const TableRow& row) {
+Result<Ok> JobStore::ApplyRow(const TableRow& row) {
   const auto known = known_.find(JobId{row.at.key});
   if (known != known_.end() && row.version <= known->second.version) return Ok{};
-  const Result<JobHead> head = Readable(row);
+  const Result<JobHead> head = DecodeRow(row);
   if (!IsOk(head)) {
     refused_.Refuse(row.at.key, row.version, ErrorOf(head).detail);
     return Error{ErrorKind::kStoreUnavailable, ErrorOf(head).detail};
   }
-  refused_.Forget(row.at.key);
-  Learn(ValueOf(head), row.version);
+  refused_.Clear(row.at.key);
+  ApplyHead(ValueOf(head), row.version);
   return Ok{};
 }
 
-void JobStore::Learn(const JobHead& head, RowVersion version) {
+void JobStore::ApplyHead(const JobHead& head, RowVersion version) {
   KnownJob& known = known_[head.id];
   if (version <= known.version) return;
   const bool new_owner = known.version == 0 || known.head.owner != head.owner ||
                          known.head.owner_incarnation != head.owner_incarnation;
   if (new_owner) {
-    known.seen_at = Loop::Now();
-    known.free_since.reset();
+    known.owner_seen_at = Loop::Now();
+    known.unowned_since.reset();
   }
   known.head = head;
   known.version = version;
-  if (OwnedJob* job = Owned(head.id)) {
+  if (OwnedJob* job = FindOwned(head.id)) {
     if (!job->OnHead(head, version)) {
       Log(LogLevel::kWarning, "job_lost",
           {{"job", head.id.value},
            {"owner", head.owner.value},
            {"row_version", std::to_string(version)}});
-      Drop(head.id);
+      DropOwned(head.id);
     } else if (!head.open()) {
       hooks_.dropped(head.id);
       if (job->settled()) owned_.erase(head.id);
@@ -107,7 +107,7 @@
   hooks_.changed(head);
 }
 
-void JobStore::Drop(const JobId& job) {
+void JobStore::DropOwned(const JobId& job) {
   hooks_.dropped(job);
   owned_.erase(job);
 }
@@ -116,12 +116,12 @@
 
 void JobStore::Accept(JobHead head, JobSubmission submission,
                       std::function<void(Result<Ok>)> done) {
-  if (const JobHead* known = Known(head.id)) {
+  if (const JobHead* known = KnownHead(head.id)) {
     if (known->digest == head.digest) return done(Ok{});
     return done(Error{ErrorKind::kConflict, "a job with this id and other items was accepted"});
   }
   if (leaving_) return done(Error{ErrorKind::kLeaving, "this entry is shutting down", Ran::kNo});
-  const Peer owner = OwnerOfNew(head.id);
+  const Peer owner = ChooseOwner(head.id);
   head.owner = owner.node;
   head.owner_incarnation = owner.incarnation;
   head.token = FreshToken(random_);
@@ -134,8 +134,8 @@
             });
 }
 
-// This entry, unless its host is too small for more than its callers.
-Peer JobStore::OwnerOfNew(const JobId& job) const {
+// This entry, unless its host is too small to do more than serve its callers.
+Peer JobStore::ChooseOwner(const JobId& job) const {
   const Time now = Loop::Now();
   const std::vector<Peer> capable = peers_.Capable(now);
   const bool am_capable = std::any_of(capable.begin(), capable.end(), [this](const Peer& peer) {
@@ -147,17 +147,17 @@
 
 void JobStore::CommitAll(std::shared_ptr<std::vector<TableTransaction>> transactions,
                          std::size_t next, std::function<void(TableOutcome)> done) {
-  HedgedCommit(
-      loop_, tables_, (*transactions)[next],
-      [this, transactions, next, done = std::move(done)](const TableOutcome& outcome) {
-        const bool last = next + 1 == transactions->size();
-        if (last || !std::holds_alternative<TableCommitted>(outcome)) {
-          // Rows of items without the job's own row mean nothing.
-          const bool harmless = !last && std::holds_alternative<FateUnknown>(outcome);
-          return done(harmless ? TableOutcome{NotWritten{"the items were not written"}} : outcome);
-        }
-        CommitAll(transactions, next + 1, done);
-      });
+  HedgedCommit(loop_, tables_, (*transactions)[next],
+               [this, transactions, next, done = std::move(done)](const TableOutcome& outcome) {
+                 const bool last = next + 1 == transactions->size();
+                 if (last || !std::holds_alternative<TableCommitted>(outcome)) {
+                   // Item rows have no effect without the job's own row.
+                   const bool not_accepted = !last && std::holds_alternative<FateUnknown>(outcome);
+                   return done(not_accepted ? TableOutcome{NotWritten{"the items were not written"}}
+                                            : outcome);
+                 }
+                 CommitAll(transactions, next + 1, done);
+               });
 }
 
 void JobStore::OnAccepted(const JobHead& head, JobSubmission submission,
@@ -165,14 +165,16 @@
                           const std::function<void(Result<Ok>)>& done) {
   std::visit(Overloaded{
                  [&](const TableCommitted& committed) {
-                   Learn(head, committed.version);
-                   if (IsMine(head)) Own(head, committed.version, std::move(submission.items), {});
+                   ApplyHead(head, committed.version);
+                   if (IsOwnedHere(head))
+                     BecomeOwner(head, committed.version, std::move(submission.items), {});
                    done(Ok{});
                  },
                  [&](const TableRejected& rejected) {
                    const TableRow* row = RowIn(rejected, ledger::HeadKey(head.id));
                    const Result<JobHead> there =
-                       row == nullptr ? Error{ErrorKind::kInternal, "rejected, and no row is there"}
+                       row == nullptr ? Error{ErrorKind::kInternal,
+                                              "the write was rejected, but the job has no row"}
                                       : ledger::DecodeHead(row->value);
                    if (!IsOk(there)) {
                      return done(
@@ -182,10 +184,10 @@
                      return done(Error{ErrorKind::kConflict,
                                        "a job with this id and other items was accepted"});
                    }
-                   (void)LearnRow(*row);
-                   // An earlier copy of this very write took effect.
-                   if (ValueOf(there).token == head.token && IsMine(head)) {
-                     Own(head, row->version, std::move(submission.items), {});
+                   (void)ApplyRow(*row);
+                   // An earlier copy of the same write took effect.
+                   if (ValueOf(there).token == head.token && IsOwnedHere(head)) {
+                     BecomeOwner(head, row->version, std::move(submission.items), {});
                    }
                    done(Ok{});
                  },
@@ -210,18 +212,18 @@
 }
 
 void JobStore::OnWritten(const JobId& id, const TableOutcome& outcome) {
-  OwnedJob* job = Owned(id);
+  OwnedJob* job = FindOwned(id);
   if (job == nullptr) return;
-  bool spoilt = false;
+  bool row_unreadable = false;
   std::visit(Overloaded{
                  [&](const TableCommitted& committed) {
                    job->OnCommitted(committed.version);
-                   Learn(JobHead(job->head()), job->version());
+                   ApplyHead(JobHead(job->head()), job->version());
                  },
                  [&](const TableRejected& rejected) {
                    job->OnFailed();
                    const TableRow* row = RowIn(rejected, ledger::HeadKey(id));
-                   spoilt = row != nullptr && !IsOk(LearnRow(*row));
+                   row_unreadable = row != nullptr && !IsOk(ApplyRow(*row));
                  },
                  [&](const NotWritten& refused) {
                    Log(LogLevel::kWarning, "results_not_written",
@@ -235,22 +237,22 @@
                  },
              },
              outcome);
-  job = Owned(id);
+  job = FindOwned(id);
   if (job == nullptr) return;
   if (!job->head().open() && job->settled()) {
     owned_.erase(id);
     return FinishLeaving();
   }
-  if (leaving_ && (job->settled() || spoilt)) return Release(id);
-  // Written again once the row can be read: sent again at once, the write would be rejected
-  // as fast as the store answers.
-  if (spoilt) return;
+  if (leaving_ && (job->settled() || row_unreadable)) return Release(id);
+  // Retried once the row can be read: retried at once, the write would be rejected as often as
+  // the store can respond.
+  if (row_unreadable) return;
   if (std::holds_alternative<TableCommitted>(outcome) ||
       std::holds_alternative<TableRejected>(outcome)) {
     return Write(*job);
   }
-  loop_.Later(kRetryPause, [this, id] {
-    if (OwnedJob* again = Owned(id)) Write(*again);
+  loop_.Later(kWriteRetryDelay, [this, id] {
+    if (OwnedJob* again = FindOwned(id)) Write(*again);
   });
 }
 
--- a/src/gateway/job_store_calls.cc
+++ b/src/gateway/job_store_calls.cc
@@ -1,4 +1,4 @@
-// What callers ask of jobs: their ends and reads; and how a leaving entry hands them over.
+// The requests of callers for jobs (end and read), and the release of jobs at shutdown.
 
 #include <utility>
 
@@ -8,10 +8,10 @@
 namespace figmill {
 namespace {
 
-// A job's row changes with each result; after so many lost races the caller is told.
-constexpr int kMaxEndTries = 8;
+// A job's row changes with each result; after this many lost races the caller gets an error.
+constexpr int kMaxEndAttempts = 8;
 
-void LogSpoilt(std::string_view event, const JobId& job, const std::string& why) {
+void LogUnreadable(std::string_view event, const JobId& job, const std::string& why) {
   Log(LogLevel::kError, event, {{"job", job.value}, {"why", why}});
 }
 
@@ -24,51 +24,51 @@
     if (!IsOk(head)) return done(ErrorOf(head));
     if (ValueOf(head).ended) return done(Ok{});
     if (IsUnreadable(id)) {
-      return done(Error{ErrorKind::kStoreUnavailable, "the job's row is spoilt"});
+      return done(Error{ErrorKind::kStoreUnavailable, "the job's row can't be read"});
     }
-    // What runs goes on until the end is written: one that is turned away leaves the job
-    // as it was, and items that were stopped for it would wait for ever.
-    EndElsewhere(id, ValueOf(head), known_[id].version, kMaxEndTries, done);
+    // Runs continue until the end is written: when the write is refused, the job stays open,
+    // and items that were stopped for it would wait forever.
+    WriteEnd(id, ValueOf(head), known_[id].version, kMaxEndAttempts, done);
   });
 }
 
-// Also for a job of this entry's own: its next write then finds the new row.
-void JobStore::EndElsewhere(const JobId& id, const JobHead& head, RowVersion version, int tries,
-                            std::function<void(Result<Ok>)> done) {
+// Used also for a job that this entry owns: its next write then finds the new row.
+void JobStore::WriteEnd(const JobId& id, const JobHead& head, RowVersion version, int attempts_left,
+                        std::function<void(Result<Ok>)> done) {
   JobHead next = head;
   next.ended = true;
   next.token = FreshToken(random_);
   TableTransaction transaction;
   transaction.conditions.push_back({ledger::HeadKey(id), version});
   transaction.puts.push_back({ledger::HeadKey(id), ledger::EncodeHead(next)});
-  HedgedCommit(loop_, tables_, std::move(transaction),
-               [this, id, next, tries, done = std::move(done)](const TableOutcome& outcome) {
-                 if (const auto* committed = std::get_if<TableCommitted>(&outcome)) {
-                   Learn(next, committed->version);
-                   return done(Ok{});
-                 }
-                 const auto* rejected = std::get_if<TableRejected>(&outcome);
-                 const TableRow* row =
-                     rejected == nullptr ? nullptr : RowIn(*rejected, ledger::HeadKey(id));
-                 if (row == nullptr || tries == 0) {
-                   return done(Error{ErrorKind::kStoreUnavailable, "the end could not be written",
-                                     Ran::kUnknown});
-                 }
-                 // With the version of a row that can't be read the end would overwrite
-                 // what nobody has seen.
-                 const Result<Ok> learnt = LearnRow(*row);
-                 if (!IsOk(learnt)) return done(ErrorOf(learnt));
-                 const JobHead* now = Known(id);
-                 if (now == nullptr) return done(Error{ErrorKind::kNotFound, "no such job"});
-                 if (now->ended) return done(Ok{});
-                 EndElsewhere(id, *now, row->version, tries - 1, done);
-               });
+  HedgedCommit(
+      loop_, tables_, std::move(transaction),
+      [this, id, next, attempts_left, done = std::move(done)](const TableOutcome& outcome) {
+        if (const auto* committed = std::get_if<TableCommitted>(&outcome)) {
+          ApplyHead(next, committed->version);
+          return done(Ok{});
+        }
+        const auto* rejected = std::get_if<TableRejected>(&outcome);
+        const TableRow* row = rejected == nullptr ? nullptr : RowIn(*rejected, ledger::HeadKey(id));
+        if (row == nullptr || attempts_left == 0) {
+          return done(Error{ErrorKind::kStoreUnavailable, "the end of the job could not be written",
+                            Ran::kUnknown});
+        }
+        // Written with the version of a row that can't be read, the end would
+        // overwrite content that no entry has read.
+        const Result<Ok> applied = ApplyRow(*row);
+        if (!IsOk(applied)) return done(ErrorOf(applied));
+        const JobHead* now = KnownHead(id);
+        if (now == nullptr) return done(Error{ErrorKind::kNotFound, "no such job"});
+        if (now->ended) return done(Ok{});
+        WriteEnd(id, *now, row->version, attempts_left - 1, done);
+      });
 }
 
 // --- Reads --------------------------------------------------------------------------------
 
 void JobStore::Find(const JobId& job, std::function<void(Result<JobHead>)> done) {
-  if (const JobHead* known = Known(job)) return done(*known);
+  if (const JobHead* known = KnownHead(job)) return done(*known);
   Refresh(job, std::move(done));
 }
 
@@ -77,11 +77,11 @@
   tables_.Read({at.table, at.part, at.key, at.key + '\0', 1},
                [this, job, done = std::move(done)](const Result<TablePage>& page) {
                  if (!IsOk(page)) return done(ErrorOf(page));
-                 Result<Ok> learnt = Ok{};
-                 for (const TableRow& row : ValueOf(page).rows) learnt = LearnRow(row);
-                 const JobHead* known = Known(job);
-                 // Neither "no such job" nor "no result yet" is known to be true.
-                 if (!IsOk(learnt)) return done(ErrorOf(learnt));
+                 Result<Ok> applied = Ok{};
+                 for (const TableRow& row : ValueOf(page).rows) applied = ApplyRow(row);
+                 const JobHead* known = KnownHead(job);
+                 // It isn't certain that there is no such job, or no result yet.
+                 if (!IsOk(applied)) return done(ErrorOf(applied));
                  if (known == nullptr) return done(Error{ErrorKind::kNotFound, "no such job"});
                  done(*known);
                });
@@ -95,7 +95,7 @@
                  Result<std::vector<ItemResult>> results =
                      ledger::DecodeResults(job, from, ValueOf(page).rows);
                  if (!IsOk(results)) {
-                   LogSpoilt("job_results_unread", job, ErrorOf(results).detail);
+                   LogUnreadable("job_results_unread", job, ErrorOf(results).detail);
                    return done(Error{ErrorKind::kStoreUnavailable, ErrorOf(results).detail});
                  }
                  done(std::move(results));
@@ -127,18 +127,18 @@
                });
 }
 
-// --- Leaving ------------------------------------------------------------------------------
+// --- Shutdown -----------------------------------------------------------------------------
 
 void JobStore::Leave(std::function<void()> done) {
   leaving_ = true;
-  left_ = std::move(done);
+  on_left_ = std::move(done);
   std::vector<JobId> mine;
   for (const auto& [id, job] : owned_) mine.push_back(id);
   for (const JobId& id : mine) {
-    // What is finished and what has been done of the rest is written first;
-    // OnWritten releases the job after that.
+    // Results, and the progress of the other items, are written first; OnWritten
+    // releases the job after that.
     OwnedJob& job = *owned_[id];
-    hooks_.handed_over(job);
+    hooks_.releasing(job);
     if (job.settled() || IsUnreadable(id)) {
       Release(id);
     } else {
@@ -149,10 +149,10 @@
 }
 
 void JobStore::Release(const JobId& id) {
-  const OwnedJob* job = Owned(id);
+  const OwnedJob* job = FindOwned(id);
   JobHead head = job->head();
   const RowVersion version = job->version();
-  Drop(id);
+  DropOwned(id);
   head.owner = NodeId{};
   head.owner_incarnation = 0;
   head.token = FreshToken(random_);
@@ -162,14 +162,14 @@
   Log(LogLevel::kInfo, "job_released", {{"job", id.value}});
   ++releasing_;
   HedgedCommit(loop_, tables_, std::move(transaction), [this](const TableOutcome& /*outcome*/) {
-    // When it failed, the others take the job over once this process is gone.
+    // If the write failed, other entries take the job over once this process is gone.
     --releasing_;
     FinishLeaving();
   });
 }
 
 void JobStore::FinishLeaving() {
-  if (releasing_ == 0 && owned_.empty() && left_) std::exchange(left_, nullptr)();
+  if (releasing_ == 0 && owned_.empty() && on_left_) std::exchange(on_left_, nullptr)();
 }
 
 }  // namespace figmill
--- a/test/foreign-jobs-test.cc
+++ b/test/foreign-jobs-test.cc
@@ -1,5 +1,5 @@
-// Rows of jobs that another writer made or changed: a sound job is neither lost nor
-// overwritten for them.
+// Job rows that another writer wrote or changed: they cause no valid job to be lost or
+// overwritten.
 
 #include <doctest/doctest.h>
 
@@ -24,10 +24,10 @@
 // An entry named "a" over a table service in memory.
 struct Entry {
   Entry() { store.Start(); }
-  // Returns what the store says of it.
+  // Writes a row as another writer, and waits until the store has responded.
   void Put(const TableKey& at, const std::string& value) {
     bool done = false;
-    others.Commit({{}, {{at, value}}, {}}, [&done](const TableOutcome&) { done = true; });
+    other_writer.Commit({{}, {{at, value}}, {}}, [&done](const TableOutcome&) { done = true; });
     fake::RunUntil(loop, [&done] { return done; });
   }
   void PutHead(const std::string& value) { Put(ledger::HeadKey(kJob), value); }
@@ -39,10 +39,10 @@
     bool done = false;
     store.Accept(head, submission, [&done](const Result<Ok>& got) { done = IsOk(got); });
     fake::RunUntil(loop, [&done] { return done; });
-    REQUIRE(store.Owned(kJob) != nullptr);
+    REQUIRE(store.FindOwned(kJob) != nullptr);
   }
-  // Until the feed has told of all that was written.
-  void Settle() { fake::RunFor(loop, 2 * JobStore::kFeedPace + Duration{100'000}); }
+  // Waits until the entry has received all changes.
+  void Settle() { fake::RunFor(loop, 2 * JobStore::kMinFeedInterval + Duration{100'000}); }
   [[nodiscard]] std::string Stored() { return data.rows[ledger::HeadKey(kJob)].value; }
   ErrorKind KindOf(const std::function<void(std::function<void(Error)>)>& call) {
     std::optional<ErrorKind> kind;
@@ -54,7 +54,7 @@
   Loop loop;
   fake::TableData data;
   fake::Tables tables{loop, data};
-  fake::Tables others{loop, data};
+  fake::Tables other_writer{loop, data};
   PeerTable peers{{NodeId{"a"}, 1, Address{"10.0.0.1", 1}, DataCentre{"dc"}, 1, false}};
   Metrics metrics;
   std::set<std::string> dropped;
@@ -79,14 +79,14 @@
                               {"no CBOR", "hello"},
                               {"cut off", good.substr(0, good.size() - 3)},
                               {"bytes after its end", good + good},
-                              {"a list", foreign::Packed(Json::array({1, 2}))},
+                              {"a list", foreign::ToCbor(Json::array({1, 2}))},
                               {"nested deep", std::string(60'000, '\x81')}};
   const auto with = [&bad, &good](const std::string& field, const Json& value) {
-    Json json = foreign::Unpacked(good);
+    Json json = foreign::FromCbor(good);
     json[field] = value;
-    bad.push_back({field + " as " + value.dump().substr(0, 40), foreign::Packed(json)});
+    bad.push_back({field + " as " + value.dump().substr(0, 40), foreign::ToCbor(json)});
   };
-  const Json head = foreign::Unpacked(good);
+  const Json head = foreign::FromCbor(good);
   for (const auto& [field, value] : head.items()) {
     with(field, Json::array());
     with(field, Json::object());
@@ -96,11 +96,11 @@
     if (value.is_number()) with(field, "1");
     if (!value.is_number()) with(field, 7);
     if (field == "config") continue;
-    Json json = foreign::Unpacked(good);
+    Json json = foreign::FromCbor(good);
     json.erase(field);
-    bad.push_back({"no " + field, foreign::Packed(json)});
+    bad.push_back({"no " + field, foreign::ToCbor(json)});
   }
-  with("listed", 2);  // `done` names one
+  with("listed", 2);  // `done` lists one item
   with("listed", 0);
   with("total", 3);
   with("total", 1'000'000'000);
@@ -125,7 +125,7 @@
 
 }  // namespace
 
-TEST_CASE("a job's row that contradicts itself, or is none, is refused") {
+TEST_CASE("a job row that contradicts itself or isn't valid is refused") {
   REQUIRE(IsOk(ledger::DecodeHead(ledger::EncodeHead(GoodHead()))));
   for (const BadHead& bad : BadHeads()) {
     CAPTURE(bad.name);
@@ -135,14 +135,15 @@
   }
 }
 
-TEST_CASE("a spoilt row of a job is refused, or doesn't contradict itself") {
+TEST_CASE("a corrupted job row is refused, or doesn't contradict itself") {
   const std::string good = ledger::EncodeHead(GoodHead());
   int read = 0;
   for (unsigned seed = 0; seed < kSeeds; ++seed) {
     CAPTURE(seed);
-    foreign::Spoiler spoil(seed);
-    const std::string value =
-        seed % 2 == 0 ? spoil.Bytes(good) : foreign::Packed(spoil.Fields(foreign::Unpacked(good)));
+    foreign::Corrupter corrupt(seed);
+    const std::string value = seed % 2 == 0
+                                  ? corrupt.Bytes(good)
+                                  : foreign::ToCbor(corrupt.Fields(foreign::FromCbor(good)));
     const auto head = ledger::DecodeHead(value);
     if (!IsOk(head)) continue;
     ++read;
@@ -154,11 +155,10 @@
   CHECK(read > 0);
 }
 
-// Symptom: a job that runs is dropped, or the process that runs it ends.
-// Sequence: another writer puts a row in the place of the job's own, which can be read, but
-// is of another job, or takes back what was listed.
-// Cause: any later version of the row that could be read took the place of what was known.
-TEST_CASE("a row that contradicts what is known of its job changes nothing of it") {
+// Guards against a running job that is dropped, or a crash of the process that runs it: another
+// writer replaces the job's row by one that can be read but belongs to another job or withdraws
+// listed results, and any later version that can be read is applied.
+TEST_CASE("a row that contradicts the known state of its job is not applied") {
   const std::vector<std::string> rows = {
       "spoilt",
       Changed([](JobHead& head) { head.id = JobId{"other"}; }),
@@ -170,25 +170,25 @@
   for (const std::string& row : rows) {
     Entry f;
     f.Accept();
-    const JobHead before = *f.store.Known(kJob);
+    const JobHead before = *f.store.KnownHead(kJob);
     f.PutHead(row);
     f.Settle();
-    REQUIRE(f.store.Owned(kJob) != nullptr);
+    REQUIRE(f.store.FindOwned(kJob) != nullptr);
     CHECK(f.dropped.empty());
-    CHECK(f.store.Known(kJob)->token == before.token);
-    CHECK(f.store.Known(JobId{"other"}) == nullptr);
-    // What it finishes is kept until the row can be read again.
-    OwnedJob* job = f.store.Owned(kJob);
+    CHECK(f.store.KnownHead(kJob)->token == before.token);
+    CHECK(f.store.KnownHead(JobId{"other"}) == nullptr);
+    // Its results are held until the row can be read again.
+    OwnedJob* job = f.store.FindOwned(kJob);
     job->Finish(0, {"i0", ResultState::kComplete, "text"});
     f.store.Write(*job);
     f.Settle();
     CHECK(f.Stored() == row);
     f.PutHead(ledger::EncodeHead(before));
-    fake::RunUntil(f.loop, [&f] { return f.store.Known(kJob)->listed == 1; });
+    fake::RunUntil(f.loop, [&f] { return f.store.KnownHead(kJob)->listed == 1; });
   }
 }
 
-TEST_CASE("what is listed or ended stays so, whatever a later row says") {
+TEST_CASE("listed results and the end of a job are final, whatever a later row says") {
   const JobHead known = GoodHead();
   const auto contradicts = [&known](const std::function<void(JobHead&)>& change) {
     JobHead later = known;
@@ -206,10 +206,10 @@
   CHECK(ledger::Contradiction(ended, known).has_value());
 }
 
-// Symptom: a job's sender hears that there is no such job, or reads no result for ever.
-// Sequence: the row of a job can't be read at an entry that did not know the job before.
-// Cause: a row that was refused counted as none.
-TEST_CASE("a job whose row can't be read is neither absent nor without results") {
+// Guards against a job's sender that is told that the job doesn't exist, or never reads a result:
+// the row of the job can't be read at an entry that did not know the job before, and a refused row
+// is handled like a missing one.
+TEST_CASE("a job whose row can't be read is reported neither as absent nor as without results") {
   Entry f;
   f.PutHead("spoilt");
   f.Settle();
@@ -222,14 +222,14 @@
   CHECK(f.Stored() == "spoilt");
 }
 
-// Symptom: the end of a job takes its results away.
-// Sequence: its row is spoilt after this entry last heard of it; its sender ends it.
-// Cause: the end was written again with the version of the row that could not be read.
-TEST_CASE("the end of a job never overwrites a row that nobody could read") {
+// Guards against the end of a job that deletes its results: its row is corrupted after this entry
+// last received it, its sender ends it, and the retry of that write is conditional on the version
+// of the row that can't be read.
+TEST_CASE("the end of a job never overwrites a row that can't be read") {
   Entry f;
   f.Accept();
   f.Settle();
-  f.tables.deaf = true;  // this entry doesn't hear of it
+  f.tables.deaf = true;  // this entry receives no changes
   f.PutHead("spoilt");
   CHECK(f.KindOf([&f](auto done) {
     f.store.End(kJob, [done](const Result<Ok>& ended) {
@@ -239,16 +239,15 @@
   CHECK(f.Stored() == "spoilt");
 }
 
-// Symptom: the store has no time for other calls.
-// Sequence: the row of a job is spoilt while its owner has results to write.
-// Cause: a write that was rejected went out again as soon as the answer came.
-TEST_CASE("a write that a spoilt row rejects is not repeated before the row can be read") {
+// Guards against a store that is overloaded by retries: the row of a job is corrupted while its
+// owner has results to write, and each rejected write is retried as soon as the response comes.
+TEST_CASE("a write that a corrupted row rejects is not retried before the row can be read") {
   Entry f;
   f.Accept();
   f.Settle();
   f.tables.deaf = true;
   f.PutHead("spoilt");
-  OwnedJob* job = f.store.Owned(kJob);
+  OwnedJob* job = f.store.FindOwned(kJob);
   job->Finish(0, {"i0", ResultState::kComplete, "text"});
   f.store.Write(*job);
   f.Settle();
