--- a/include/figmill/gateway.h
+++ b/include/figmill/gateway.h
@@ -24,7 +24,7 @@
 namespace figmill {
 
 // Names of the headers that figmill reads and sets. Others pass through.
-struct WireNames {
+struct HeaderNames {
   std::string request_id = "Figmill-Request-Id";
   std::string deadline_ms = "Figmill-Deadline-Ms";
   std::string expect_backend = "Figmill-Expect-Backend";  // refused by any other
@@ -59,13 +59,13 @@
   std::vector<Header> headers;
   std::string body;
   Duration timeout{1'000'000};
-  bool waits = false;  // the store holds it until something changes
+  bool long_poll = false;  // the store holds it until something changes
 };
 
 // Carries calls to the table service.
-class TableCalls {
+class TableTransport {
  public:
-  virtual ~TableCalls() = default;
+  virtual ~TableTransport() = default;
   // Any status is a value. Errors: kBackendFailed with `ran` no (never sent) or unknown.
   virtual void Fetch(TableCall call, std::function<void(Result<HttpResponse>)> done) = 0;
 };
@@ -73,9 +73,9 @@
 class PlatformAdapter {
  public:
   virtual ~PlatformAdapter() = default;
-  [[nodiscard]] virtual const WireNames& names() const = 0;
+  [[nodiscard]] virtual const HeaderNames& names() const = 0;
   // A client of the table service.
-  [[nodiscard]] virtual std::unique_ptr<SharedTables> Connect(TableCalls& calls) const = 0;
+  [[nodiscard]] virtual std::unique_ptr<SharedTables> Connect(TableTransport& calls) const = 0;
   // Where the operator's configuration lies.
   [[nodiscard]] virtual TableKey config_row() const = 0;
   // Errors: kBadRequest, with the place.
@@ -104,7 +104,7 @@
   bool strict_revocation = false;
   QuotaBounds quota;
 
-  [[nodiscard]] std::optional<Duration> lease() const {
+  [[nodiscard]] std::optional<Duration> key_lease() const {
     return strict_revocation ? std::optional(revoke_within) : std::nullopt;
   }
 };
--- a/src/gateway/batch_runner.cc
+++ b/src/gateway/batch_runner.cc
@@ -7,7 +7,7 @@
 
 namespace figmill {
 
-BatchRunner::BatchRunner(RelayTools& tools, JobStore& jobs, const StoreClock& clock,
+BatchRunner::BatchRunner(RelayContext& tools, JobStore& jobs, const StoreClock& clock,
                          std::function<void()> wanted_changed)
     : tools_(tools), jobs_(jobs), clock_(clock), wanted_changed_(std::move(wanted_changed)) {
   sweep_timer_ = tools_.loop.Every(kSweepPeriod, [this] { Sweep(); });
@@ -84,10 +84,10 @@
 // Until the item may run, for the crashes that followed it. It is not given up before its time:
 // what is listed as dead stays dead, and another request may have been the cause.
 Duration BatchRunner::QuarantineLeft(const OwnedJob& job, const JobItemRef& key) const {
-  if (!tools_.crashes.quarantines()) return Duration{0};
-  const HttpCall call = ItemCall(tools_.names, job.head(), job.items()[key.item]);
+  if (!tools_.crash_tracker.has_quarantined()) return Duration{0};
+  const HttpCall call = MakeItemCall(tools_.names, job.head(), job.items()[key.item]);
   const std::optional<Error> why =
-      tools_.crashes.WhyNot(FingerprintOf(job.head(), call), WorkClass::kBatch);
+      tools_.crash_tracker.QuarantineError(FingerprintOf(job.head(), call), WorkClass::kBatch);
   return why ? why->retry_after.value_or(Duration{0}) : Duration{0};
 }
 
@@ -124,7 +124,7 @@
 // Online has come.
 void BatchRunner::StopExcess() {
   std::vector<std::pair<BackendId, int>> excess;
-  tools_.places.ForEach([&excess](const BackendInfo& info, const SlotUsage& use) {
+  tools_.backends.ForEach([&excess](const BackendInfo& info, const SlotUsage& use) {
     if (info.state == BackendState::kUnreadable) return;  // what runs there is left to end
     if (use.batch > use.batch_allowed) excess.emplace_back(info.id, use.batch - use.batch_allowed);
   });
@@ -143,8 +143,8 @@
   if (work_.backlog().size() == 0) return;
   const Time now = Loop::Now();
   std::vector<std::pair<double, BackendInfo>> open;
-  tools_.places.ForEach([&](const BackendInfo& info, const SlotUsage& use) {
-    if (use.batch >= use.batch_allowed || !tools_.places.IsUsable(info.id, now)) return;
+  tools_.backends.ForEach([&](const BackendInfo& info, const SlotUsage& use) {
+    if (use.batch >= use.batch_allowed || !tools_.backends.IsUsable(info.id, now)) return;
     const int used = use.online + use.batch + use.online_other + use.batch_other;
     for (int i = use.batch; i < use.batch_allowed; ++i) {
       open.emplace_back(static_cast<double>(used + i - use.batch) / info.slots, info);
@@ -170,7 +170,7 @@
   const OwnedJob* job = jobs_.Owned(key.job);
   const JobItem& item = job->items()[key.item];
   const ItemProgress& progress = work_.ProgressOf(key);
-  HttpCall call = ItemCall(tools_.names, job->head(), item);
+  HttpCall call = MakeItemCall(tools_.names, job->head(), item);
   const RequestFingerprint fingerprint = FingerprintOf(job->head(), call);
   call.to = backend.address;
   call.headers.push_back({tools_.names.request_id, item.id});
@@ -178,8 +178,8 @@
   if (progress.text.last_id()) {
     call.headers.push_back({tools_.names.last_event_id, *progress.text.last_id()});
   }
-  call.bytes = &BytesOf(tools_, TrafficKind::kBatch, backend.id);
-  const SlotUsage use = tools_.places.UsageOf(backend.id);
+  call.bytes = &BackendBytesCounter(tools_, TrafficKind::kBatch, backend.id);
+  const SlotUsage use = tools_.backends.UsageOf(backend.id);
   Log(LogLevel::kInfo, "item_run",
       {{"job", key.job.value},
        {"item", item.id},
@@ -194,11 +194,11 @@
   run.backend = AddressOf(backend);
   run.started_at = run.heard_at = Loop::Now();
   run.lost_send = {item.id, fingerprint, run.backend, run.started_at};
-  tools_.crashes.Began(fingerprint);
+  tools_.crash_tracker.RecordStart(fingerprint);
   run.due = due;
-  run.place = tools_.places.AcquireSlot(backend.id, WorkClass::kBatch, run.started_at);
-  run.number = tools_.sends.Add(run.backend, run.started_at, [this, key] {
-    tools_.crashes.Crashed(runs_[key].lost_send);
+  run.place = tools_.backends.AcquireSlot(backend.id, WorkClass::kBatch, run.started_at);
+  run.number = tools_.open_sends.Add(run.backend, run.started_at, [this, key] {
+    tools_.crash_tracker.ReportRestart(runs_[key].lost_send);
     Requeue(key, relay::SendEnd::kBroken, "the backend server has started again", Duration{0});
   });
   run.cancel = tools_.client.Start(
@@ -206,14 +206,14 @@
       [this, key, number = run.number](HttpEvent event) { OnHttp(key, number, std::move(event)); });
 }
 
-void BatchRunner::OnHttp(const JobItemRef& key, OpenSends::Number number, HttpEvent event) {
+void BatchRunner::OnHttp(const JobItemRef& key, OpenSends::Id number, HttpEvent event) {
   const auto found = runs_.find(key);
   if (found == runs_.end() || found->second.number != number) return;
   Run& run = found->second;
   run.heard_at = Loop::Now();
   if (!std::holds_alternative<HttpFailure>(event)) {
-    tools_.places.RecordActivity(run.place, run.heard_at);
-    tools_.sends.Heard(run.number, run.heard_at);
+    tools_.backends.RecordActivity(run.place, run.heard_at);
+    tools_.open_sends.RecordActivity(run.number, run.heard_at);
   }
   std::visit(Overloaded{
                  [&](const HttpHead& head) { OnHead(key, head); },
@@ -229,17 +229,18 @@
 
 void BatchRunner::OnConnectionLost(const JobItemRef& key, std::string why) {
   const Run& run = runs_[key];
-  tools_.crashes.Check(run.lost_send, [this, key, number = run.number, why = std::move(why)] {
-    const auto found = runs_.find(key);
-    const bool current = found != runs_.end() && found->second.number == number;
-    if (current) Requeue(key, relay::SendEnd::kBroken, why, kRetryPause);
-  });
+  tools_.crash_tracker.CheckBackend(
+      run.lost_send, [this, key, number = run.number, why = std::move(why)] {
+        const auto found = runs_.find(key);
+        const bool current = found != runs_.end() && found->second.number == number;
+        if (current) Requeue(key, relay::SendEnd::kBroken, why, kRetryPause);
+      });
 }
 
 void BatchRunner::OnHead(const JobItemRef& key, const HttpHead& head) {
   const OwnedJob* job = jobs_.Owned(key.job);
   if (job == nullptr) return EndRun(key, relay::SendEnd::kAbandoned);
-  const WireNames& names = tools_.names;
+  const HeaderNames& names = tools_.names;
   const AnswerIdMatch id =
       MatchAnswerId(head.HeaderOr(names.request_id), job->items()[key.item].id);
   const bool not_run = !head.HeaderOr(names.not_run).empty();
@@ -290,7 +291,8 @@
   if (!run.answering || !work_.ProgressOf(key).text.at_event_end()) {
     return Requeue(key, relay::SendEnd::kBroken, "ended early", kRetryPause);
   }
-  if (tools_.crashes.has_reports()) tools_.crashes.Completed(run.lost_send.request);
+  if (tools_.crash_tracker.has_reports())
+    tools_.crash_tracker.RecordCompletion(run.lost_send.request);
   EndRun(key, relay::SendEnd::kAnswered);
   work_.OnCompleted(key, TimeNow());
   Finish(key, ResultState::kComplete, "");
@@ -303,9 +305,9 @@
   runs_.erase(found);
   run.cancel();
   const Time now = Loop::Now();
-  tools_.sends.Remove(run.number);
+  tools_.open_sends.Remove(run.number);
   work_.OnRunEnded(key, now);
-  tools_.places.ReleaseSlot(run.place, end, now - run.started_at, now);
+  tools_.backends.ReleaseSlot(run.place, end, now - run.started_at, now);
 }
 
 void BatchRunner::Requeue(const JobItemRef& key, relay::SendEnd end, std::string_view why,
--- a/src/gateway/batch_runner.h
+++ b/src/gateway/batch_runner.h
@@ -31,7 +31,7 @@
   // host that dies loses as much of each run; a write costs a call and its bytes.
   static constexpr Duration kKeepPeriod{1'000'000};
 
-  BatchRunner(RelayTools& tools, JobStore& jobs, const StoreClock& clock,
+  BatchRunner(RelayContext& tools, JobStore& jobs, const StoreClock& clock,
               std::function<void()> wanted_changed);
 
   void SetRoutes(std::shared_ptr<const RouteTable> routes);
@@ -49,13 +49,13 @@
   struct Run {
     BackendAddress backend;
     AcquiredSlot place;
-    OpenSends::Number number = 0;
+    OpenSends::Id number = 0;
     CancelCall cancel;
     bool answering = false;
     Time started_at{};
     Time heard_at{};
     StoreTime due{0};
-    CrashWatch::LostSend lost_send;  // if its connection is lost
+    CrashTracker::LostSend lost_send;  // if its connection is lost
   };
 
   void Queue(const JobItemRef& key, Duration pause);
@@ -68,7 +68,7 @@
   void StartAllowed();
   bool StartOn(const BackendInfo& backend);
   void Start(const JobItemRef& key, StoreTime due, const BackendInfo& backend);
-  void OnHttp(const JobItemRef& key, OpenSends::Number number, HttpEvent event);
+  void OnHttp(const JobItemRef& key, OpenSends::Id number, HttpEvent event);
   void OnConnectionLost(const JobItemRef& key, std::string why);
   void OnHead(const JobItemRef& key, const HttpHead& head);
   void OnBytes(const JobItemRef& key, std::string_view bytes);
@@ -87,7 +87,7 @@
   void KeepProgress();
   void KeepProgressOf(OwnedJob& job);
 
-  RelayTools& tools_;
+  RelayContext& tools_;
   JobStore& jobs_;
   const StoreClock& clock_;
   std::function<void()> wanted_changed_;
--- a/src/gateway/crash_watch.cc
+++ b/src/gateway/crash_tracker.cc
@@ -1,4 +1,4 @@
-#include "gateway/crash_watch.h"
+#include "gateway/crash_tracker.h"
 
 #include <utility>
 
@@ -11,7 +11,7 @@
 
 constexpr const char* kTable = "crash_reports";
 
-void LogLost(const CrashWatch::LostSend& lost, std::string_view found) {
+void LogLost(const CrashTracker::LostSend& lost, std::string_view found) {
   Log(LogLevel::kInfo, "send_lost",
       {{"request", lost.id},
        {"fingerprint", lost.request.value},
@@ -23,8 +23,8 @@
 
 }  // namespace
 
-CrashWatch::CrashWatch(Loop& loop, ExchangeClient& client, SharedTables& tables, Metrics& metrics,
-                       NodeId self)
+CrashTracker::CrashTracker(Loop& loop, ExchangeClient& client, SharedTables& tables,
+                           Metrics& metrics, NodeId self)
     : loop_(loop),
       client_(client),
       tables_(tables),
@@ -39,7 +39,7 @@
           loop, tables, kTable, {""}, [this](const TableMirror::Change& change) { OnRow(change); },
           [] {}) {}
 
-void CrashWatch::Check(LostSend lost, std::function<void()> done) {
+void CrashTracker::CheckBackend(LostSend lost, std::function<void()> done) {
   const Address to = lost.backend.address;
   client_.Dial(to, kDialPatience,
                [this, lost = std::move(lost), done = std::move(done),
@@ -50,12 +50,12 @@
                });
 }
 
-void CrashWatch::Crashed(const LostSend& lost) {
+void CrashTracker::ReportRestart(const LostSend& lost) {
   LogLost(lost, "restarted");
   Report(lost, Loop::Now());
 }
 
-void CrashWatch::Report(const LostSend& lost, Time seen_at) {
+void CrashTracker::Report(const LostSend& lost, Time seen_at) {
   const Crash crash{lost.request, lost.backend.id, lost.backend.incarnation};
   const CrashReport report{crash, quarantine_.ChainOf(lost.request, lost.begun_at)};
   const std::size_t before = quarantine_.quarantined();
@@ -70,7 +70,8 @@
   ShowCount();
 }
 
-std::optional<Error> CrashWatch::WhyNot(const RequestFingerprint& request, WorkClass work) const {
+std::optional<Error> CrashTracker::QuarantineError(const RequestFingerprint& request,
+                                                   WorkClass work) const {
   const std::optional<Duration> left = quarantine_.TimeLeft(request, work, Loop::Now());
   if (!left) return std::nullopt;
   const std::string why = "in quarantine: fingerprint " + request.value + " crashed " +
@@ -79,18 +80,18 @@
   return Error{ErrorKind::kQuarantined, why, Ran::kNo, left};
 }
 
-void CrashWatch::Began(const RequestFingerprint& request) {
+void CrashTracker::RecordStart(const RequestFingerprint& request) {
   quarantine_.Began(request, Loop::Now());
 }
 
-void CrashWatch::Completed(const RequestFingerprint& request) {
+void CrashTracker::RecordCompletion(const RequestFingerprint& request) {
   const std::size_t before = quarantine_.quarantined();
   for (const Crash& crash : quarantine_.Completed(request)) Write(crash, std::nullopt);
   LogChange(request, before);
 }
 
-void CrashWatch::LogChange(const RequestFingerprint& request,
-                           std::size_t quarantined_before) const {
+void CrashTracker::LogChange(const RequestFingerprint& request,
+                             std::size_t quarantined_before) const {
   const std::size_t now = quarantine_.quarantined();
   if (now == quarantined_before) return;
   ShowCount();
@@ -102,13 +103,13 @@
        {"for_ms", left ? Milliseconds(*left) : ""}});
 }
 
-void CrashWatch::ShowCount() const {
+void CrashTracker::ShowCount() const {
   quarantined_.Set(static_cast<double>(quarantine_.quarantined()));
 }
 
 // --- Table ------------------------------------------------------------------------
 
-void CrashWatch::OnRow(const TableMirror::Change& change) {
+void CrashTracker::OnRow(const TableMirror::Change& change) {
   const std::size_t before = quarantine_.quarantined();
   if (change.row == nullptr) {
     refused_.Forget(change.at.key);
@@ -126,13 +127,13 @@
   LogChange(ValueOf(report).crash.request, before);
 }
 
-void CrashWatch::Write(const Crash& crash, std::optional<std::string> value) {
+void CrashTracker::Write(const Crash& crash, std::optional<std::string> value) {
   unwritten_[RowKeyOf(crash)] = std::move(value);
   // What a backend server's end brings up goes out together.
   loop_.Post([this] { Flush(); });
 }
 
-void CrashWatch::Flush() {
+void CrashTracker::Flush() {
   if (writing_ || unwritten_.empty()) return;
   writing_ = true;
   TableTransaction transaction;
@@ -154,8 +155,8 @@
 }
 
 // A write that may have taken effect is repeated: it is the same the second time.
-void CrashWatch::OnWritten(std::map<std::string, std::optional<std::string>> written,
-                           const TableOutcome& outcome) {
+void CrashTracker::OnWritten(std::map<std::string, std::optional<std::string>> written,
+                             const TableOutcome& outcome) {
   writing_ = false;
   if (std::holds_alternative<TableCommitted>(outcome)) return Flush();
   unwritten_.merge(written);  // keeps what is newer
--- a/src/gateway/crash_watch.h
+++ b/src/gateway/crash_tracker.h
@@ -15,7 +15,7 @@
 
 namespace figmill {
 
-class CrashWatch {
+class CrashTracker {
  public:
   // A process that has ended refuses connections within a round trip. A host that doesn't answer
   // may be busy or cut off, and says nothing of the request.
@@ -32,25 +32,25 @@
     Time begun_at{};
   };
 
-  CrashWatch(Loop& loop, ExchangeClient& client, SharedTables& tables, Metrics& metrics,
-             NodeId self);
+  CrashTracker(Loop& loop, ExchangeClient& client, SharedTables& tables, Metrics& metrics,
+               NodeId self);
 
   void Start() { follower_.Start(); }
   // Calls `done` once it is known whether the backend server still listens, never inside this
   // call. If it doesn't, the crash is reported before.
-  void Check(LostSend lost, std::function<void()> done);
+  void CheckBackend(LostSend lost, std::function<void()> done);
   // The backend server has ended, as its entry in the list says.
-  void Crashed(const LostSend& lost);
+  void ReportRestart(const LostSend& lost);
 
   // Callers need no fingerprint while nothing is in quarantine.
-  [[nodiscard]] bool quarantines() const { return quarantine_.quarantined() > 0; }
+  [[nodiscard]] bool has_quarantined() const { return quarantine_.quarantined() > 0; }
   // Why the request may not run now, and until when.
-  [[nodiscard]] std::optional<Error> WhyNot(const RequestFingerprint& request,
-                                            WorkClass work) const;
-  void Began(const RequestFingerprint& request);
+  [[nodiscard]] std::optional<Error> QuarantineError(const RequestFingerprint& request,
+                                                     WorkClass work) const;
+  void RecordStart(const RequestFingerprint& request);
   // A run ended with its whole answer.
   [[nodiscard]] bool has_reports() const { return quarantine_.reports() > 0; }
-  void Completed(const RequestFingerprint& request);
+  void RecordCompletion(const RequestFingerprint& request);
 
  private:
   void Report(const LostSend& lost, Time seen_at);
--- a/src/gateway/member_watch.cc
+++ b/src/gateway/entry_registry.cc
@@ -1,4 +1,4 @@
-#include "gateway/member_watch.h"
+#include "gateway/entry_registry.h"
 
 #include <utility>
 
@@ -13,7 +13,8 @@
 
 }  // namespace
 
-MemberWatch::MemberWatch(Loop& loop, SharedTables& tables, Metrics& metrics, Peer self, Hooks hooks)
+EntryRegistry::EntryRegistry(Loop& loop, SharedTables& tables, Metrics& metrics, Peer self,
+                             Hooks hooks)
     : loop_(loop),
       tables_(tables),
       self_(std::move(self)),
@@ -23,17 +24,17 @@
           [] {}),
       refused_(metrics, {"member", "member_row_refused", "node"}) {}
 
-void MemberWatch::Start() {
+void EntryRegistry::Start() {
   WriteOwn();
   follower_.Start();
 }
 
-void MemberWatch::Rename(Peer self) {
+void EntryRegistry::UpdateSelf(Peer self) {
   self_ = std::move(self);
   WriteOwn();
 }
 
-void MemberWatch::WriteOwn() {
+void EntryRegistry::WriteOwn() {
   if (leaving_) return;
   PeerMessage message;
   message.from = self_;
@@ -46,7 +47,7 @@
                  });
 }
 
-void MemberWatch::Leave() {
+void EntryRegistry::Leave() {
   leaving_ = true;
   tables_.Commit({{}, {}, {KeyOf(self_.node)}}, [](const TableOutcome& outcome) {
     if (!std::holds_alternative<TableCommitted>(outcome)) {
@@ -55,7 +56,7 @@
   });
 }
 
-void MemberWatch::Remove(const Peer& peer) {
+void EntryRegistry::Remove(const Peer& peer) {
   const TableRow* row = follower_.mirror().Find(KeyOf(peer.node));
   if (row == nullptr) return;
   const Result<PeerMessage> listed = DecodePeerMessage(row->value);
@@ -67,7 +68,7 @@
 
 // What is known of the peer stays as it was: its datagrams tell whether it is there. But
 // processes that start later learn of it by its row alone, so that its own is written anew.
-void MemberWatch::OnUnreadable(const TableRow& row, const std::string& why) {
+void EntryRegistry::OnUnreadable(const TableRow& row, const std::string& why) {
   refused_.Refuse(row.at.key, row.version, why);
   if (row.at.key != self_.node.value || std::exchange(rewriting_, true)) return;
   loop_.Later(kRewritePause, [this] {
@@ -76,7 +77,7 @@
   });
 }
 
-void MemberWatch::OnRow(const TableMirror::Change& change) {
+void EntryRegistry::OnRow(const TableMirror::Change& change) {
   if (change.row == nullptr) {
     refused_.Forget(change.at.key);
     // Somebody could not hear this process; it is there all the same.
--- a/src/gateway/member_watch.h
+++ b/src/gateway/entry_registry.h
@@ -10,7 +10,7 @@
 
 namespace figmill {
 
-class MemberWatch {
+class EntryRegistry {
  public:
   static constexpr Duration kRetryPause{300'000};
   // After another writer has spoilt this process's row. Two that write against each other
@@ -22,11 +22,11 @@
     std::function<void(const NodeId&)> unlisted;
   };
 
-  MemberWatch(Loop& loop, SharedTables& tables, Metrics& metrics, Peer self, Hooks hooks);
+  EntryRegistry(Loop& loop, SharedTables& tables, Metrics& metrics, Peer self, Hooks hooks);
 
   void Start();
   // The process goes by another incarnation from now on.
-  void Rename(Peer self);
+  void UpdateSelf(Peer self);
   // Takes this process's own row away.
   void Leave();
   // Takes away the row of a peer that was found silent, unless a later process has
--- a/src/gateway/refusal.cc
+++ b/src/gateway/error_response.cc
@@ -1,10 +1,10 @@
-#include "gateway/refusal.h"
+#include "gateway/error_response.h"
 
 #include <fmt/format.h>
 
 namespace figmill {
 
-HttpResponse RefusalOf(const Error& error) {
+HttpResponse ErrorResponseFor(const Error& error) {
   HttpResponse response = ProblemOf(error);
   if (error.kind == ErrorKind::kUnauthorized) {
     response.headers.push_back({"WWW-Authenticate", "Bearer"});
--- a/src/gateway/refusal.h
+++ b/src/gateway/error_response.h
@@ -9,6 +9,6 @@
 
 // A problem document. A time to come back is said in seconds with a fraction:
 // whole seconds are too coarse for callers who have five of them.
-[[nodiscard]] HttpResponse RefusalOf(const Error& error);
+[[nodiscard]] HttpResponse ErrorResponseFor(const Error& error);
 
 }  // namespace figmill
--- a/src/gateway/fleet_view.cc
+++ b/src/gateway/fleet_view.cc
@@ -18,16 +18,17 @@
 
 }  // namespace
 
-ListChange List(BackendList& backends, BackendInfo&& info) {
+BackendListChange UpdateBackendList(BackendList& backends, BackendInfo&& info) {
   BackendInfo& mine = backends[info.id];
   if (!info.incarnation.known()) info.incarnation = mine.incarnation;
   if (IsLater(mine.incarnation, info.incarnation)) {
-    return info.service == mine.service ? ListChange::kOutdated : ListChange::kForeign;
+    return info.service == mine.service ? BackendListChange::kOutdated
+                                        : BackendListChange::kServiceMismatch;
   }
-  if (mine == info) return ListChange::kNone;
+  if (mine == info) return BackendListChange::kNone;
   const bool restarted = IsLater(info.incarnation, mine.incarnation);
   mine = std::move(info);
-  return restarted ? ListChange::kRestarted : ListChange::kUpdated;
+  return restarted ? BackendListChange::kRestarted : BackendListChange::kUpdated;
 }
 
 std::vector<Address> ChangedAddresses(const BackendList& before, const BackendList& now) {
--- a/src/gateway/fleet_watch.cc
+++ b/src/gateway/fleet_watcher.cc
@@ -1,4 +1,4 @@
-#include "gateway/fleet_watch.h"
+#include "gateway/fleet_watcher.h"
 
 #include <algorithm>
 #include <utility>
@@ -6,15 +6,15 @@
 namespace figmill {
 namespace {
 
-std::string_view EventOf(ListChange change) {
+std::string_view EventOf(BackendListChange change) {
   switch (change) {
-    case ListChange::kRestarted:
+    case BackendListChange::kRestarted:
       return "backend_restarted";
-    case ListChange::kOutdated:
+    case BackendListChange::kOutdated:
       return "backend_outdated";
-    case ListChange::kNone:
-    case ListChange::kUpdated:
-    case ListChange::kForeign:
+    case BackendListChange::kNone:
+    case BackendListChange::kUpdated:
+    case BackendListChange::kServiceMismatch:
       break;
   }
   return "backend_listed";
@@ -22,8 +22,8 @@
 
 }  // namespace
 
-FleetWatch::FleetWatch(Loop& loop, SharedTables& tables, const PlatformAdapter& adapter,
-                       Metrics& metrics, std::optional<Duration> revoke_within, Hooks hooks)
+FleetWatcher::FleetWatcher(Loop& loop, SharedTables& tables, const PlatformAdapter& adapter,
+                           Metrics& metrics, std::optional<Duration> revoke_within, Hooks hooks)
     : loop_(loop),
       adapter_(adapter),
       hooks_(std::move(hooks)),
@@ -45,14 +45,14 @@
   }
 }
 
-void FleetWatch::Start() {
+void FleetWatcher::Start() {
   config_.Start();
   backends_.Start();
 }
 
 // Only a higher version replaces what is in force: the row may be written anew
 // with an older text, and a mirror may hear of it late.
-void FleetWatch::OnConfig(const TableMirror::Change& change) {
+void FleetWatcher::OnConfig(const TableMirror::Change& change) {
   if (change.at.key != adapter_.config_row().key || change.row == nullptr) return;
   Result<RoutingConfig> config = adapter_.ParseConfig(change.row->value);
   if (!IsOk(config)) {
@@ -70,7 +70,7 @@
   changed_ = true;
 }
 
-void FleetWatch::OnBackend(const TableMirror::Change& change) {
+void FleetWatcher::OnBackend(const TableMirror::Change& change) {
   const BackendId id{change.at.key};
   if (change.row == nullptr) {
     Log(LogLevel::kInfo, "backend_gone",
@@ -82,13 +82,13 @@
   Result<BackendInfo> info = adapter_.ParseBackend(id.value, change.row->value);
   if (!IsOk(info)) return OnUnreadableBackend(id, change.row->version, ErrorOf(info));
   const BackendIncarnation told = ValueOf(info).incarnation;
-  const ListChange made = List(view_.backends, std::move(ValueOf(info)));
-  if (made == ListChange::kForeign) {
+  const BackendListChange made = UpdateBackendList(view_.backends, std::move(ValueOf(info)));
+  if (made == BackendListChange::kServiceMismatch) {
     const Error error{ErrorKind::kBadRequest, "an earlier incarnation of another service"};
     return OnUnreadableBackend(id, change.row->version, error);
   }
   refused_backends_.Forget(id.value);
-  if (made == ListChange::kNone) return;
+  if (made == BackendListChange::kNone) return;
   const BackendInfo& mine = view_.backends.at(id);
   Log(LogLevel::kInfo, EventOf(made),
       {{"backend", id.value},
@@ -98,13 +98,14 @@
        {"address", ToString(mine.address)},
        {"state", std::string(ToString(mine.state))},
        {"row_version", std::to_string(change.row->version)}});
-  changed_ |= made != ListChange::kOutdated;
+  changed_ |= made != BackendListChange::kOutdated;
 }
 
 // Left in force as it was, an entry that another writer has spoilt would draw requests to a
 // backend server of which nobody knows whether it is there. Taken for gone, its open work
 // would be forgotten, and its batch items stopped, though it most likely still runs them.
-void FleetWatch::OnUnreadableBackend(const BackendId& id, RowVersion version, const Error& error) {
+void FleetWatcher::OnUnreadableBackend(const BackendId& id, RowVersion version,
+                                       const Error& error) {
   refused_backends_.Refuse(id.value, version, error.detail);
   const auto known = view_.backends.find(id);
   if (known == view_.backends.end()) return;
@@ -113,7 +114,7 @@
   }
 }
 
-void FleetWatch::SchedulePublish() {
+void FleetWatcher::SchedulePublish() {
   if (!changed_ || std::exchange(publish_scheduled_, true)) return;
   loop_.Later(kPublishPause, [this] {
     publish_scheduled_ = false;
@@ -121,16 +122,16 @@
   });
 }
 
-void FleetWatch::Publish() {
-  const bool first_list = backends_.mirror().complete() && !view_.backends_listed;
+void FleetWatcher::Publish() {
+  const bool first_list = backends_.mirror().complete() && !view_.backends_loaded;
   if (!std::exchange(changed_, false) && !first_list) return;
-  view_.backends_listed = backends_.mirror().complete();
+  view_.backends_loaded = backends_.mirror().complete();
   view_.backends_version = backends_.mirror().version();
   hooks_.publish(std::make_shared<const FleetView>(view_));
   Confirm();
 }
 
-void FleetWatch::Confirm() {
+void FleetWatcher::Confirm() {
   const std::optional<Duration> at = config_.confirmed_at();
   if (changed_ || !view_.routes || !at || at == confirmed_at_) return;
   confirmed_at_ = at;
--- a/src/gateway/fleet_watch.h
+++ b/src/gateway/fleet_watcher.h
@@ -14,7 +14,7 @@
 
 namespace figmill {
 
-class FleetWatch {
+class FleetWatcher {
  public:
   // Changes within this time are published together: at the start of a fleet each
   // backend server writes its own row.
@@ -31,9 +31,9 @@
     // Loop::SinceBoot.
     std::function<void(Duration asked_at)> confirmed;
   };
-  // `revoke_within`: see TeamSettings::lease.
-  FleetWatch(Loop& loop, SharedTables& tables, const PlatformAdapter& adapter, Metrics& metrics,
-             std::optional<Duration> revoke_within, Hooks hooks);
+  // `revoke_within`: see TeamSettings::key_lease.
+  FleetWatcher(Loop& loop, SharedTables& tables, const PlatformAdapter& adapter, Metrics& metrics,
+               std::optional<Duration> revoke_within, Hooks hooks);
 
   void Start();
 
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -8,15 +8,15 @@
 #include <utility>
 
 #include "gateway/batch_runner.h"
-#include "gateway/caller_door.h"
 #include "gateway/clocked_tables.h"
-#include "gateway/crash_watch.h"
-#include "gateway/fleet_watch.h"
+#include "gateway/crash_tracker.h"
+#include "gateway/entry_registry.h"
+#include "gateway/fleet_watcher.h"
 #include "gateway/job_desk.h"
 #include "gateway/job_store.h"
-#include "gateway/member_watch.h"
 #include "gateway/open_sends.h"
-#include "gateway/peer_link.h"
+#include "gateway/peer_messenger.h"
+#include "gateway/request_dispatcher.h"
 #include "gateway/store_caller.h"
 #include "gateway/team_access.h"
 
@@ -39,8 +39,8 @@
 class Control {
  public:
   struct Hooks {
-    FleetWatch::Hooks fleet;
-    MemberWatch::Hooks members;
+    FleetWatcher::Hooks fleet;
+    EntryRegistry::Hooks members;
   };
 
   Control(const GatewaySettings& settings, const PlatformAdapter& adapter, Metrics& metrics,
@@ -48,7 +48,8 @@
       : client_(loop_),
         store_(loop_, client_, settings.store, traffic),
         tables_(adapter.Connect(store_)),
-        fleet_(loop_, *tables_, adapter, metrics, settings.teams.lease(), std::move(hooks.fleet)),
+        fleet_(loop_, *tables_, adapter, metrics, settings.teams.key_lease(),
+               std::move(hooks.fleet)),
         members_(loop_, *tables_, metrics, self, std::move(hooks.members)),
         thread_([this] {
           // In this order most have joined by the time at which others hear of them.
@@ -68,7 +69,7 @@
     loop_.Post([this, peer] { members_.Remove(peer); });
   }
   void Rename(const Peer& self) {
-    loop_.Post([this, self] { members_.Rename(self); });
+    loop_.Post([this, self] { members_.UpdateSelf(self); });
   }
   void SetPeers(std::vector<Address> peers) {
     loop_.Post([this, peers = std::move(peers)]() mutable { store_.SetPeers(std::move(peers)); });
@@ -79,8 +80,8 @@
   ExchangeClient client_;
   StoreCaller store_;
   std::unique_ptr<SharedTables> tables_;
-  FleetWatch fleet_;
-  MemberWatch members_;
+  FleetWatcher fleet_;
+  EntryRegistry members_;
   std::thread thread_;
 };
 
@@ -106,8 +107,8 @@
                [this](const PlaceAnswer& answer) { finder_.OnAnswer(answer); },
                [this](const Peer& peer) { control_.RemoveMember(peer); },
                [this](const Peer& self) { control_.Rename(self); },
-               [this](const Peer& from, const QuotaAsk& ask) { teams_.OnAsk(from, ask); },
-               [this](const QuotaGrant& grant) { teams_.OnGrant(grant); }}),
+               [this](const Peer& from, const QuotaAsk& ask) { teams_.OnQuotaRequest(from, ask); },
+               [this](const QuotaGrant& grant) { teams_.OnQuotaGrant(grant); }}),
         teams_(loop_, peers_, link_, metrics_, settings.teams),
         finder_(loop_, places_, link_),
         crashes_(loop_, client_, clocked_tables_, metrics_, settings.node),
@@ -120,11 +121,11 @@
                [this](const JobId& job) { runner_.OnDropped(job); },
                [this](OwnedJob& job) { runner_.OnHandedOver(job); },
                [this](const JobHead& head) { desk_.OnChanged(head); }}),
-        runner_(tools_, jobs_, clock_, [this] { link_.WantedChanged(); }),
+        runner_(tools_, jobs_, clock_, [this] { link_.OnWaitingChanged(); }),
         desk_(loop_, jobs_, clock_, adapter),
         door_(tools_, adapter, desk_, SystemRandom()),
         control_(settings, adapter, metrics_, traffic_, peers_.self(), ControlHooks()) {
-    places_.SetUsageListener([this](const BackendId& backend) { link_.Touch(backend); });
+    places_.SetUsageListener([this](const BackendId& backend) { link_.OnUsageChanged(backend); });
   }
 
   int Run() {
@@ -174,8 +175,8 @@
            loop_.Post([this, view = std::move(view)] { Update(view); });
          },
          [this](Duration asked_at) { loop_.Post([this, asked_at] { teams_.Confirm(asked_at); }); }},
-        {[this](const Peer& peer) { loop_.Post([this, peer] { link_.Named(peer); }); },
-         [this](const NodeId& node) { loop_.Post([this, node] { link_.Unlisted(node); }); }}};
+        {[this](const Peer& peer) { loop_.Post([this, peer] { link_.OnPeerListed(peer); }); },
+         [this](const NodeId& node) { loop_.Post([this, node] { link_.OnPeerUnlisted(node); }); }}};
   }
 
   void OnPeerRequest(HttpRequest request, std::shared_ptr<HttpReply> reply) {
@@ -208,7 +209,7 @@
         SecondsOr(clock_.Age(Loop::SinceBoot()), -1));
     set("figmill_config_confirmed_age_seconds",
         "Since the store was last asked whether the configuration still holds; -1 before it was",
-        SecondsOr(teams_.age(), -1));
+        SecondsOr(teams_.config_age(), -1));
     set("figmill_log_lines_dropped", "Log lines left out or lost since the start",
         static_cast<double>(LogLinesDropped()));
   }
@@ -240,7 +241,7 @@
     backends.reserve(view->backends.size());
     for (const auto& [id, info] : view->backends) backends.push_back(info);
     link_.SetBackends(std::move(backends));
-    if (view->backends_listed) link_.Joined();
+    if (view->backends_loaded) link_.Join();
     EndOutdatedSends();
   }
 
@@ -255,7 +256,7 @@
       runner_.Pump();
     }
     if (ended.in_doubt == 0) return outdated_timer_.Reset();
-    outdated_timer_ = loop_.After(OpenSends::kSignOfLife, [this] { EndOutdatedSends(); });
+    outdated_timer_ = loop_.After(OpenSends::kRecentActivity, [this] { EndOutdatedSends(); });
   }
 
   bool Listen(const Address& at, std::unique_ptr<HttpServer>& server, HttpHandler handler) {
@@ -310,15 +311,15 @@
   BackendList backends_;  // of the view in use
   OpenSends sends_;
   PeerTable peers_;
-  PeerLink link_;
+  PeerMessenger link_;
   TeamAccess teams_;
-  PlaceFinder finder_;
-  CrashWatch crashes_;
-  RelayTools tools_;
+  SlotFinder finder_;
+  CrashTracker crashes_;
+  RelayContext tools_;
   JobStore jobs_;
   BatchRunner runner_;
   JobDesk desk_;
-  CallerDoor door_;
+  RequestDispatcher door_;
   std::unique_ptr<HttpServer> callers_, health_, peers_server_, metrics_server_;
   bool leaving_ = false;
   bool jobs_left_ = false;
--- a/src/gateway/item_call.cc
+++ b/src/gateway/item_call.cc
@@ -7,11 +7,11 @@
 
 }  // namespace
 
-bool TellsTeam(const WireNames& names, std::string_view header) {
+bool IsTeamHeader(const HeaderNames& names, std::string_view header) {
   return SameHeaderName(header, kKeyHeader) || SameHeaderName(header, names.team);
 }
 
-HttpCall ItemCall(const WireNames& names, const JobHead& job, const JobItem& item) {
+HttpCall MakeItemCall(const HeaderNames& names, const JobHead& job, const JobItem& item) {
   HttpCall call;
   call.method = "POST";
   call.target = item.target;
@@ -20,7 +20,7 @@
   call.headers = item.headers;
   if (!job.team.empty()) {
     std::erase_if(call.headers,
-                  [&names](const Header& header) { return TellsTeam(names, header.name); });
+                  [&names](const Header& header) { return IsTeamHeader(names, header.name); });
     call.headers.push_back({names.team, job.team.value});
   }
   call.headers.push_back({"Host", job.host});
--- a/src/gateway/item_call.h
+++ b/src/gateway/item_call.h
@@ -10,10 +10,11 @@
 namespace figmill {
 
 // Whether a header carries a caller's key or says whose request it is.
-[[nodiscard]] bool TellsTeam(const WireNames& names, std::string_view header);
+[[nodiscard]] bool IsTeamHeader(const HeaderNames& names, std::string_view header);
 
 // Without a backend server, and without what differs from run to run.
-[[nodiscard]] HttpCall ItemCall(const WireNames& names, const JobHead& job, const JobItem& item);
+[[nodiscard]] HttpCall MakeItemCall(const HeaderNames& names, const JobHead& job,
+                                    const JobItem& item);
 [[nodiscard]] RequestFingerprint FingerprintOf(const JobHead& job, const HttpCall& call);
 
 }  // namespace figmill
--- a/src/gateway/job_desk.cc
+++ b/src/gateway/job_desk.cc
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-#include "gateway/refusal.h"
+#include "gateway/error_response.h"
 
 namespace figmill {
 namespace {
@@ -46,7 +46,7 @@
       error.kind = ErrorKind::kDeadlineExceeded;
     }
     if (RowOf(error.kind).retry_may_help && !error.retry_after) error.retry_after = kComeBack;
-    Send(RefusalOf(error), error.detail);
+    Send(ErrorResponseFor(error), error.detail);
   }
   void OnClosed(std::function<void()> closed) { reply_->OnClosed(std::move(closed)); }
 
--- a/src/gateway/open_sends.cc
+++ b/src/gateway/open_sends.cc
@@ -5,25 +5,25 @@
 
 namespace figmill {
 
-OpenSends::Number OpenSends::Add(const BackendAddress& backend, Time now, OnLost on_lost) {
+OpenSends::Id OpenSends::Add(const BackendAddress& backend, Time now, OnLost on_lost) {
   sends_[++last_] = {backend.id, backend.incarnation, now, Time{}, std::move(on_lost)};
   return last_;
 }
 
-void OpenSends::Heard(Number send, Time now) {
+void OpenSends::RecordActivity(Id send, Time now) {
   const auto found = sends_.find(send);
   if (found != sends_.end()) found->second.heard_at = now;
 }
 
-void OpenSends::Remove(Number send) {
+void OpenSends::Remove(Id send) {
   sends_.erase(send);
 }
 
 OpenSends::Fate OpenSends::Judge(Send& send, const BackendInfo& listed, Time now) {
   if (!IsLater(listed.incarnation, send.incarnation)) return Fate::kOpen;
-  if (now - send.heard_at >= kSignOfLife) return Fate::kLost;
+  if (now - send.heard_at >= kRecentActivity) return Fate::kLost;
   if (send.doubted_at == Time{}) send.doubted_at = now;
-  if (send.heard_at - send.doubted_at < kSignOfLife) return Fate::kInDoubt;
+  if (send.heard_at - send.doubted_at < kRecentActivity) return Fate::kInDoubt;
   // It goes on giving bytes, so it was sent to the new one.
   send.incarnation = listed.incarnation;
   send.doubted_at = {};
@@ -32,7 +32,7 @@
 
 OpenSends::Ended OpenSends::EndOutdated(const BackendList& listed, Time now) {
   Ended ended;
-  std::vector<Number> lost;
+  std::vector<Id> lost;
   for (auto& [number, send] : sends_) {
     const auto found = listed.find(send.backend);
     if (found == listed.end()) continue;
@@ -41,7 +41,7 @@
     if (fate == Fate::kLost) lost.push_back(number);
   }
   // Not within the loop: what is lost is sent again, and so added.
-  for (const Number number : lost) {
+  for (const Id number : lost) {
     auto send = sends_.extract(number);
     if (send.empty()) continue;
     send.mapped().on_lost();
--- a/src/gateway/open_sends.h
+++ b/src/gateway/open_sends.h
@@ -21,18 +21,18 @@
   // start, and before this entry had heard of it. Ended at once, a request that may not be
   // repeated would fail for nothing. Backend servers give an event each 10 to 40 ms, so that
   // the bytes of an ended one are older than this soon.
-  static constexpr Duration kSignOfLife{100'000};
+  static constexpr Duration kRecentActivity{100'000};
 
-  using Number = std::uint64_t;
+  using Id = std::uint64_t;
   using OnLost = std::function<void()>;
 
-  [[nodiscard]] Number Add(const BackendAddress& backend, Time now, OnLost on_lost);
-  void Heard(Number send, Time now);
-  void Remove(Number send);
+  [[nodiscard]] Id Add(const BackendAddress& backend, Time now, OnLost on_lost);
+  void RecordActivity(Id send, Time now);
+  void Remove(Id send);
 
   struct Ended {
     int lost = 0;
-    int in_doubt = 0;  // call again after kSignOfLife
+    int in_doubt = 0;  // call again after kRecentActivity
   };
   // Calls `on_lost` of those whose incarnation has ended, by the list.
   Ended EndOutdated(const BackendList& listed, Time now);
@@ -48,8 +48,8 @@
   enum class Fate : std::uint8_t { kOpen, kInDoubt, kLost };
   static Fate Judge(Send& send, const BackendInfo& listed, Time now);
 
-  std::map<Number, Send> sends_;
-  Number last_ = 0;
+  std::map<Id, Send> sends_;
+  Id last_ = 0;
 };
 
 }  // namespace figmill
--- a/src/gateway/peer_link.cc
+++ b/src/gateway/peer_messenger.cc
@@ -1,4 +1,4 @@
-#include "gateway/peer_link.h"
+#include "gateway/peer_messenger.h"
 
 #include <algorithm>
 #include <utility>
@@ -20,8 +20,8 @@
 
 }  // namespace
 
-PeerLink::PeerLink(Loop& loop, PeerTable& peers, BackendPool& places, Metrics& metrics,
-                   TrafficMetrics& traffic, Hooks hooks)
+PeerMessenger::PeerMessenger(Loop& loop, PeerTable& peers, BackendPool& places, Metrics& metrics,
+                             TrafficMetrics& traffic, Hooks hooks)
     : loop_(loop),
       peers_(peers),
       places_(places),
@@ -35,7 +35,7 @@
                                "Datagrams that are no message of an entry")),
       hooks_(std::move(hooks)) {}
 
-Result<Ok> PeerLink::Start(const std::vector<Address>& seeds) {
+Result<Ok> PeerMessenger::Start(const std::vector<Address>& seeds) {
   Result<std::unique_ptr<UdpSocket>> socket = UdpSocket::Bind(
       loop_, peers_.self().address,
       [this](std::string_view bytes, const Address& from) { OnDatagram(bytes, from); }, &metrics_);
@@ -56,7 +56,7 @@
 }
 
 // Who they are is not known yet, so that no message to them counts as one to a peer.
-void PeerLink::AskSeeds(const std::vector<Address>& seeds, PeerMessage::Wants wants) {
+void PeerMessenger::AskSeeds(const std::vector<Address>& seeds, PeerMessage::Wants wants) {
   for (const Address& seed : seeds) {
     PeerMessage message;
     message.from = peers_.self();
@@ -65,30 +65,30 @@
   }
 }
 
-void PeerLink::Joined() {
+void PeerMessenger::Join() {
   if (!peers_.Joined()) return;
   Log(LogLevel::kInfo, "joined", {{"node", peers_.self().node.value}});
   TellAll();
   UpdateKeepers();
 }
 
-void PeerLink::TellAll() {
+void PeerMessenger::TellAll() {
   for (const Peer& peer : peers_.others()) Send(peer, PeerMessage{});
 }
 
-void PeerLink::Leave() {
+void PeerMessenger::Leave() {
   peers_.SetLeaving(true);
   TellAll();
   Heartbeat();
 }
 
-void PeerLink::Named(const Peer& peer) {
+void PeerMessenger::OnPeerListed(const Peer& peer) {
   listed_ = true;
   if (peer.node == peers_.self().node) return Outlive(peer.incarnation);
   if (peers_.Named(peer)) SendQuestion(peer, PeerMessage::Wants::kAnswer);
 }
 
-void PeerLink::SendQuestion(const Peer& to, PeerMessage::Wants wants) {
+void PeerMessenger::SendQuestion(const Peer& to, PeerMessage::Wants wants) {
   PeerMessage message;
   message.wants = wants;
   Send(to, std::move(message));
@@ -97,7 +97,7 @@
 // Lists are cut to the size of a datagram, and go on where the last one of them begins its own: so
 // that one alone is asked whom it knows. Asked of all, n entries that start together would send
 // each other n * n full lists: of 110, some 17 MB, most of it between data centres.
-void PeerLink::LearnOf(std::span<const Peer> peers) {
+void PeerMessenger::LearnOf(std::span<const Peer> peers) {
   std::optional<Peer> last;
   for (const Peer& peer : peers) {
     if (peer.node == peers_.self().node) {
@@ -111,7 +111,7 @@
   if (last) SendQuestion(*last, PeerMessage::Wants::kKnown);
 }
 
-void PeerLink::Outlive(Incarnation known) {
+void PeerMessenger::Outlive(Incarnation known) {
   const Incarnation before = peers_.self().incarnation;
   if (!peers_.Outlive(known)) return;
   Log(LogLevel::kWarning, "incarnation_raised",
@@ -123,11 +123,11 @@
   Heartbeat();
 }
 
-void PeerLink::Unlisted(const NodeId& node) {
+void PeerMessenger::OnPeerUnlisted(const NodeId& node) {
   peers_.Unlisted(node);
 }
 
-void PeerLink::Send(const Peer& to, PeerMessage message) {
+void PeerMessenger::Send(const Peer& to, PeerMessage message) {
   message.from = peers_.self();
   const std::string bytes = Encode(message);
   datagrams_.Add();
@@ -137,13 +137,13 @@
   socket_->Send(bytes, to.address);
 }
 
-void PeerLink::SendQuota(const Peer& to, const QuotaAsk& ask) {
+void PeerMessenger::SendQuota(const Peer& to, const QuotaAsk& ask) {
   PeerMessage message;
   message.quota_ask = ask;
   Send(to, std::move(message));
 }
 
-void PeerLink::SendQuota(const Peer& to, const QuotaGrant& grant) {
+void PeerMessenger::SendQuota(const Peer& to, const QuotaGrant& grant) {
   PeerMessage message;
   message.quota_grant = grant;
   Send(to, std::move(message));
@@ -152,7 +152,7 @@
 // --- In ---------------------------------------------------------------------------
 
 // Anybody may send to this port.
-void PeerLink::OnUnreadable(const Address& from, const std::string& why) {
+void PeerMessenger::OnUnreadable(const Address& from, const std::string& why) {
   refused_.Add();
   const Time now = Loop::Now();
   if (why == refused_why_ && now - refused_logged_at_ < kRefusalLogPause) return;
@@ -161,7 +161,7 @@
   Log(LogLevel::kWarning, "peer_message_refused", {{"from", ToString(from)}, {"why", why}});
 }
 
-void PeerLink::OnDatagram(std::string_view bytes, const Address& from) {
+void PeerMessenger::OnDatagram(std::string_view bytes, const Address& from) {
   const Result<PeerMessage> decoded = DecodePeerMessage(bytes);
   if (!IsOk(decoded)) return OnUnreadable(from, ErrorOf(decoded).detail);
   const PeerMessage& message = ValueOf(decoded);
@@ -200,11 +200,11 @@
   if (message.quota_grant) hooks_.quota_granted(*message.quota_grant);
 }
 
-bool PeerLink::IsNear(const Peer& peer) const {
+bool PeerMessenger::IsNear(const Peer& peer) const {
   return peer.data_centre == peers_.self().data_centre;
 }
 
-void PeerLink::WatchPeers() {
+void PeerMessenger::WatchPeers() {
   const PeerTable::Watch watch = peers_.WatchOthers(Loop::Now());
   for (const Peer& peer : watch.to_ask) SendQuestion(peer, PeerMessage::Wants::kAnswer);
   for (const Peer& peer : watch.silent) {
--- a/src/gateway/peer_link.h
+++ b/src/gateway/peer_messenger.h
@@ -16,7 +16,7 @@
 
 namespace figmill {
 
-class PeerLink {
+class PeerMessenger {
  public:
   struct Hooks {
     std::function<std::vector<WaitingItems>()> waiting;  // batch items that could start now
@@ -49,23 +49,23 @@
   // Places kept free of batch at each backend server.
   static constexpr int kReserve = 0;
 
-  PeerLink(Loop& loop, PeerTable& peers, BackendPool& places, Metrics& metrics,
-           TrafficMetrics& traffic, Hooks hooks);
+  PeerMessenger(Loop& loop, PeerTable& peers, BackendPool& places, Metrics& metrics,
+                TrafficMetrics& traffic, Hooks hooks);
 
   // Errors: kInternal, with the cause.
   [[nodiscard]] Result<Ok> Start(const std::vector<Address>& seeds);
   // The list of backend servers has been read: this entry can be a keeper. Tells all.
-  void Joined();
+  void Join();
   // Tells all that this process leaves.
   void Leave();
   // The store lists this peer.
-  void Named(const Peer& peer);
-  void Unlisted(const NodeId& node);
+  void OnPeerListed(const Peer& peer);
+  void OnPeerUnlisted(const NodeId& node);
   // The backend servers that there are now.
   void SetBackends(std::vector<BackendInfo> backends);
   // This entry's use of a backend server, or what it wants, has changed.
-  void Touch(const BackendId& backend);
-  void WantedChanged();
+  void OnUsageChanged(const BackendId& backend);
+  void OnWaitingChanged();
   void Ask(const NodeId& keeper, const PlaceAsk& ask);
   // This entry has acted on the keeper's answer, or wants no place any more.
   void ActedOn(const NodeId& keeper, std::uint64_t ask);
--- a/src/gateway/peer_link_places.cc
+++ b/src/gateway/peer_messenger_slots.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "gateway/peer_link.h"
+#include "gateway/peer_messenger.h"
 
 namespace figmill {
 namespace {
@@ -14,12 +14,12 @@
 
 }  // namespace
 
-void PeerLink::SetBackends(std::vector<BackendInfo> backends) {
+void PeerMessenger::SetBackends(std::vector<BackendInfo> backends) {
   keepers_.SetBackends(std::move(backends));
   UpdateKeepers();
 }
 
-void PeerLink::OnGrant(const Peer& from, const PlaceGrant& grant) {
+void PeerMessenger::OnGrant(const Peer& from, const PlaceGrant& grant) {
   FromKeeper& keeper = from_keeper_[from.node];
   keeper.heard_at = Loop::Now();
   if (grant.number <= keeper.acted) return;
@@ -46,7 +46,7 @@
   ScheduleFlush();
 }
 
-void PeerLink::UpdateKeepers() {
+void PeerMessenger::UpdateKeepers() {
   const Time now = Loop::Now();
   if (!keepers_.Update(peers_, now)) return;
   SyncPlaces();
@@ -64,7 +64,7 @@
   if (!touched_.empty()) ScheduleFlush();
 }
 
-void PeerLink::SyncPlaces() {
+void PeerMessenger::SyncPlaces() {
   std::vector<BackendId> gone;
   places_.ForEach([&](const BackendInfo& info, const SlotUsage& /*use*/) {
     if (!keepers_.used().contains(info.id)) gone.push_back(info.id);
@@ -73,7 +73,7 @@
   for (const BackendInfo& info : keepers_.used_infos()) places_.AddOrUpdate(info);
 }
 
-void PeerLink::SuspectSilentKeepers() {
+void PeerMessenger::SuspectSilentKeepers() {
   const Time now = Loop::Now();
   std::set<NodeId> keepers;
   for (const auto& [backend, keeper] : keeper_of_) keepers.insert(keeper.node);
@@ -89,12 +89,12 @@
 
 // A keeper speaks seldom to an entry that was idle; it is given the time of a busy one
 // from when this entry told it that it is.
-bool PeerLink::IsSilent(const FromKeeper& keeper, Time now) {
+bool PeerMessenger::IsSilent(const FromKeeper& keeper, Time now) {
   if (!keeper.busy_since) return now - keeper.heard_at >= kIdleKeeperSilence;
   return now - std::max(keeper.heard_at, *keeper.busy_since) >= kKeeperSilence;
 }
 
-void PeerLink::Heartbeat() {
+void PeerMessenger::Heartbeat() {
   SuspectSilentKeepers();
   UpdateKeepers();
   const Time now = Loop::Now();
@@ -116,22 +116,22 @@
   }
 }
 
-PlaceReport::Line PeerLink::LineOf(const BackendId& backend) const {
+PlaceReport::Line PeerMessenger::LineOf(const BackendId& backend) const {
   const SlotUsage use = places_.UsageOf(backend);
   return {backend, use.online, use.batch, use.usual_run, use.answers, use.faults, TagOf(backend)};
 }
 
-IncarnationTag PeerLink::TagOf(const BackendId& backend) const {
+IncarnationTag PeerMessenger::TagOf(const BackendId& backend) const {
   const BackendInfo* info = places_.Find(backend);
   return info == nullptr ? IncarnationTag{} : figmill::TagOf(info->incarnation);
 }
 
-void PeerLink::Touch(const BackendId& backend) {
+void PeerMessenger::OnUsageChanged(const BackendId& backend) {
   touched_.insert(backend);
   ScheduleFlush();
 }
 
-void PeerLink::WantedChanged() {
+void PeerMessenger::OnWaitingChanged() {
   if (std::exchange(wanted_scheduled_, true)) return;
   loop_.Later(kTellWanted, [this] {
     wanted_scheduled_ = false;
@@ -141,12 +141,12 @@
 }
 
 // Changes of one pass through the loop go out together.
-void PeerLink::ScheduleFlush() {
+void PeerMessenger::ScheduleFlush() {
   if (std::exchange(flush_scheduled_, true)) return;
   loop_.Post([this] { Flush(); });
 }
 
-void PeerLink::Flush() {
+void PeerMessenger::Flush() {
   flush_scheduled_ = false;
   std::map<NodeId, ReportLines> lines;
   for (const BackendId& backend : std::exchange(touched_, {})) {
@@ -160,7 +160,7 @@
   }
 }
 
-void PeerLink::SendReport(const Peer& keeper, ReportLines lines) {
+void PeerMessenger::SendReport(const Peer& keeper, ReportLines lines) {
   PlaceReport report;
   report.number = ++report_number_;
   FromKeeper& from_keeper = from_keeper_[keeper.node];
@@ -179,7 +179,7 @@
   Send(keeper, std::move(message));
 }
 
-void PeerLink::SendGrants() {
+void PeerMessenger::SendGrants() {
   for (SlotAllocator::Outgoing& outgoing : keeper_.TakeOutgoing(Loop::Now())) {
     const Peer* peer = peers_.Find(outgoing.to);
     if (peer == nullptr) continue;
@@ -198,7 +198,7 @@
   }
 }
 
-void PeerLink::LogEjections() {
+void PeerMessenger::LogEjections() {
   for (const SlotAllocator::Ejection& each : keeper_.TakeEjections()) {
     Log(LogLevel::kWarning, each.ejected ? "backend_ejected" : "backend_readmitted",
         {{"backend", each.backend.value},
@@ -208,7 +208,7 @@
   }
 }
 
-void PeerLink::Ask(const NodeId& keeper, const PlaceAsk& ask) {
+void PeerMessenger::Ask(const NodeId& keeper, const PlaceAsk& ask) {
   if (keeper == peers_.self().node) {
     keeper_.OnRequest(keeper, ask, Loop::Now());
     return SendGrants();
@@ -220,15 +220,15 @@
   Send(*peer, std::move(message));
 }
 
-void PeerLink::ActedOn(const NodeId& keeper, std::uint64_t ask) {
+void PeerMessenger::ActedOn(const NodeId& keeper, std::uint64_t ask) {
   from_keeper_[keeper].asks_acted.push_back(ask);
   owed_.insert(keeper);
   ScheduleFlush();
 }
 
 // What a keeper elsewhere tells of all that it keeps is newer than what it tells line by line.
-void PeerLink::TakeToldUse(const NodeId& keeper, const ServiceName& service,
-                           KeeperShare& share) const {
+void PeerMessenger::TakeToldUse(const NodeId& keeper, const ServiceName& service,
+                                KeeperShare& share) const {
   const auto from = from_keeper_.find(keeper);
   if (from == from_keeper_.end()) return;
   for (const PlaceGrant::ServiceUse& use : from->second.services) {
@@ -238,8 +238,8 @@
   }
 }
 
-std::vector<NodeId> PeerLink::KeepersFor(const ServiceName& service,
-                                         std::span<const BackendId> tried) const {
+std::vector<NodeId> PeerMessenger::KeepersFor(const ServiceName& service,
+                                              std::span<const BackendId> tried) const {
   std::map<NodeId, KeeperShare> shares;
   places_.ForEach([&](const BackendInfo& info, const SlotUsage& use) {
     const auto keeper = keeper_of_.find(info.id);
--- a/src/gateway/relay_call.cc
+++ b/src/gateway/relay_call.cc
@@ -3,8 +3,8 @@
 #include <algorithm>
 #include <utility>
 
+#include "gateway/error_response.h"
 #include "gateway/log_text.h"
-#include "gateway/refusal.h"
 
 namespace figmill {
 namespace {
@@ -34,12 +34,12 @@
 
 }  // namespace
 
-Counter& BytesOf(RelayTools& tools, TrafficKind kind, const BackendId& backend) {
-  const Reach reach = tools.places.IsLocal(backend) ? Reach::kSameCentre : Reach::kOtherCentre;
+Counter& BackendBytesCounter(RelayContext& tools, TrafficKind kind, const BackendId& backend) {
+  const Reach reach = tools.backends.IsLocal(backend) ? Reach::kSameCentre : Reach::kOtherCentre;
   return tools.traffic.Of(kind, reach);
 }
 
-RelayCall::RelayCall(RelayTools& tools, RelayPlan plan, RelayedRequest request,
+RelayCall::RelayCall(RelayContext& tools, RelayPlan plan, RelayedRequest request,
                      std::shared_ptr<HttpReply> reply, std::function<void()> finished)
     : tools_(tools),
       run_(std::move(plan)),
@@ -67,7 +67,7 @@
     return;
   }
   const auto& admitted = std::get<quota::Admitted>(verdict);
-  if (caller_left) return tools_.teams.GiveBack(*request_.team, admitted);
+  if (caller_left) return tools_.teams.Refund(*request_.team, admitted);
   charged_ = admitted;
   Step(relay::Start{});
 }
@@ -83,13 +83,13 @@
 void RelayCall::Do(const relay::ChooseBackend& action) {
   if (const std::optional<Error> why = Quarantined()) return Step(relay::NoBackend{*why});
   const Time now = Loop::Now();
-  PlaceFinder::Need need;
+  SlotFinder::Need need;
   need.query.service = request_.service;
   need.query.tried = action.tried;
   need.time_left = run_.plan().deadline - now;
   need.goal_left = std::max(request_.goal_at - now, Duration{0});
   need.last_chance = request_.last_chance || action.resumes;
-  search_ = tools_.finder.Find(need, [weak = weak_from_this()](Result<BackendAddress> place) {
+  search_ = tools_.slot_finder.Find(need, [weak = weak_from_this()](Result<BackendAddress> place) {
     if (const auto self = weak.lock()) self->OnPlace(std::move(place));
   });
 }
@@ -102,8 +102,8 @@
 }
 
 std::optional<Error> RelayCall::Quarantined() {
-  if (!tools_.crashes.quarantines()) return std::nullopt;
-  return tools_.crashes.WhyNot(Fingerprint(), WorkClass::kOnline);
+  if (!tools_.crash_tracker.has_quarantined()) return std::nullopt;
+  return tools_.crash_tracker.QuarantineError(Fingerprint(), WorkClass::kOnline);
 }
 
 const RequestFingerprint& RelayCall::Fingerprint() {
@@ -126,13 +126,13 @@
   call.headers.push_back({tools_.names.deadline_ms, std::to_string(left.count())});
   call.headers.push_back({tools_.names.expect_backend, action.backend.id.value});
   if (action.after_event) call.headers.push_back({tools_.names.last_event_id, *action.after_event});
-  call.bytes = &BytesOf(tools_, TrafficKind::kOnline, action.backend.id);
+  call.bytes = &BackendBytesCounter(tools_, TrafficKind::kOnline, action.backend.id);
   return call;
 }
 
 void RelayCall::Do(const relay::Send& action) {
   sent_to_ = action.backend;
-  const SlotUsage use = tools_.places.UsageOf(action.backend.id);
+  const SlotUsage use = tools_.backends.UsageOf(action.backend.id);
   Log(LogLevel::kInfo, "placed",
       {{"request", run_.plan().request.value},
        {"send", std::to_string(action.send)},
@@ -148,15 +148,15 @@
 
 void RelayCall::BeginSend(const relay::Send& action) {
   sent_at_ = Loop::Now();
-  if (tools_.crashes.quarantines()) tools_.crashes.Began(Fingerprint());
-  place_ = tools_.places.AcquireSlot(action.backend.id, WorkClass::kOnline, sent_at_);
-  open_send_ =
-      tools_.sends.Add(action.backend, sent_at_, [weak = weak_from_this(), send = action.send] {
-        const auto self = weak.lock();
-        if (!self) return;
-        self->tools_.crashes.Crashed(self->LostSend());
-        self->Step(relay::BackendRestarted{send});
-      });
+  if (tools_.crash_tracker.has_quarantined()) tools_.crash_tracker.RecordStart(Fingerprint());
+  place_ = tools_.backends.AcquireSlot(action.backend.id, WorkClass::kOnline, sent_at_);
+  open_send_ = tools_.open_sends.Add(action.backend, sent_at_,
+                                     [weak = weak_from_this(), send = action.send] {
+                                       const auto self = weak.lock();
+                                       if (!self) return;
+                                       self->tools_.crash_tracker.ReportRestart(self->LostSend());
+                                       self->Step(relay::BackendRestarted{send});
+                                     });
   cancel_ = tools_.client.Start(CallFor(action),
                                 [self = shared_from_this(), send = action.send](HttpEvent event) {
                                   self->OnHttp(send, std::move(event));
@@ -164,10 +164,10 @@
 }
 
 void RelayCall::OnHttp(SendNumber send, HttpEvent event) {
-  const WireNames& names = tools_.names;
+  const HeaderNames& names = tools_.names;
   if (!std::holds_alternative<HttpFailure>(event)) {
-    tools_.places.RecordActivity(place_, Loop::Now());
-    tools_.sends.Heard(open_send_, Loop::Now());
+    tools_.backends.RecordActivity(place_, Loop::Now());
+    tools_.open_sends.RecordActivity(open_send_, Loop::Now());
   }
   std::visit(Overloaded{
                  [&](HttpHead& head) {
@@ -191,25 +191,28 @@
 }
 
 void RelayCall::OnConnectionLost(SendNumber send, std::string why) {
-  tools_.crashes.Check(LostSend(), [weak = weak_from_this(), send, why = std::move(why)] {
-    if (const auto self = weak.lock()) self->Step(relay::SendFailed{send, true, why});
-  });
+  tools_.crash_tracker.CheckBackend(LostSend(),
+                                    [weak = weak_from_this(), send, why = std::move(why)] {
+                                      if (const auto self = weak.lock())
+                                        self->Step(relay::SendFailed{send, true, why});
+                                    });
 }
 
-CrashWatch::LostSend RelayCall::LostSend() {
+CrashTracker::LostSend RelayCall::LostSend() {
   return {run_.plan().request.value, Fingerprint(), sent_to_, sent_at_};
 }
 
 void RelayCall::OnWholeAnswer(int status) {
   const bool success = status >= kFirstSuccess && status <= kLastSuccess;
-  if (success && tools_.crashes.has_reports()) tools_.crashes.Completed(Fingerprint());
+  if (success && tools_.crash_tracker.has_reports())
+    tools_.crash_tracker.RecordCompletion(Fingerprint());
 }
 
 void RelayCall::Do(const relay::CloseSend& action) {
   if (const CancelCall cancel = std::exchange(cancel_, nullptr)) cancel();
   const Time now = Loop::Now();
-  tools_.sends.Remove(open_send_);
-  tools_.places.ReleaseSlot(place_, action.end, now - sent_at_, now);
+  tools_.open_sends.Remove(open_send_);
+  tools_.backends.ReleaseSlot(place_, action.end, now - sent_at_, now);
   tools_.metrics.SendEnded(action.end);
   if (action.end == relay::SendEnd::kAnswered) return;
   Log(LogLevel::kInfo, "send_over",
@@ -255,8 +258,8 @@
 }
 
 void RelayCall::Do(const relay::SendError& action) {
-  if (charged_ && action.error.ran == Ran::kNo) tools_.teams.GiveBack(*request_.team, *charged_);
-  HttpResponse response = RefusalOf(action.error);
+  if (charged_ && action.error.ran == Ran::kNo) tools_.teams.Refund(*request_.team, *charged_);
+  HttpResponse response = ErrorResponseFor(action.error);
   response.close = tools_.leaving;
   status_ = response.status;
   retry_after_ = action.error.retry_after.value_or(Duration{0});
--- a/src/gateway/relay_call.h
+++ b/src/gateway/relay_call.h
@@ -12,32 +12,33 @@
 #include "figmill/fleet.h"
 #include "figmill/gateway.h"
 #include "figmill/relay.h"
-#include "gateway/crash_watch.h"
+#include "gateway/crash_tracker.h"
 #include "gateway/gateway_metrics.h"
 #include "gateway/open_sends.h"
-#include "gateway/place_finder.h"
+#include "gateway/slot_finder.h"
 #include "gateway/team_access.h"
 #include "gateway/traffic_metrics.h"
 
 namespace figmill {
 
 // What all calls share; it outlives them.
-struct RelayTools {
+struct RelayContext {
   Loop& loop;
   ExchangeClient& client;
-  BackendPool& places;
-  PlaceFinder& finder;
-  OpenSends& sends;
-  CrashWatch& crashes;
+  BackendPool& backends;
+  SlotFinder& slot_finder;
+  OpenSends& open_sends;
+  CrashTracker& crash_tracker;
   TeamAccess& teams;
-  const WireNames& names;
+  const HeaderNames& names;
   GatewayMetrics& metrics;
   TrafficMetrics& traffic;
   bool leaving = false;  // answers from now on end their connections
 };
 
 // Where a call's bytes to a backend server are counted.
-[[nodiscard]] Counter& BytesOf(RelayTools& tools, TrafficKind kind, const BackendId& backend);
+[[nodiscard]] Counter& BackendBytesCounter(RelayContext& tools, TrafficKind kind,
+                                           const BackendId& backend);
 
 // One request as its caller sent it.
 struct RelayedRequest {
@@ -55,7 +56,7 @@
 
 class RelayCall : public std::enable_shared_from_this<RelayCall> {
  public:
-  RelayCall(RelayTools& tools, RelayPlan plan, RelayedRequest request,
+  RelayCall(RelayContext& tools, RelayPlan plan, RelayedRequest request,
             std::shared_ptr<HttpReply> reply, std::function<void()> finished);
 
   void Start();
@@ -84,21 +85,21 @@
   void OnWholeAnswer(int status);
   [[nodiscard]] std::optional<Error> Quarantined();
   [[nodiscard]] const RequestFingerprint& Fingerprint();
-  [[nodiscard]] CrashWatch::LostSend LostSend();
+  [[nodiscard]] CrashTracker::LostSend LostSend();
   void Finished(std::string_view outcome, const std::string& why);
   [[nodiscard]] HttpCall CallFor(const relay::Send& action) const;
   [[nodiscard]] HttpResponse ResponseOf(HttpHead head, std::string body) const;
   void ArmTimer();
 
-  RelayTools& tools_;
+  RelayContext& tools_;
   RelayStateMachine run_;
   RelayedRequest request_;
   std::shared_ptr<HttpReply> reply_;
   std::function<void()> finished_;
   CancelCall cancel_;
   AcquiredSlot place_;
-  OpenSends::Number open_send_ = 0;
-  std::shared_ptr<PlaceFinder::Search> search_;
+  OpenSends::Id open_send_ = 0;
+  std::shared_ptr<SlotFinder::Search> search_;
   Timer timer_;
   Time timer_at_{};
   Time wanted_at_{};
--- a/src/gateway/caller_door.cc
+++ b/src/gateway/request_dispatcher.cc
@@ -1,11 +1,11 @@
-#include "gateway/caller_door.h"
+#include "gateway/request_dispatcher.h"
 
 #include <charconv>
 #include <utility>
 
+#include "gateway/error_response.h"
 #include "gateway/item_call.h"
 #include "gateway/log_text.h"
-#include "gateway/refusal.h"
 
 namespace figmill {
 namespace {
@@ -28,7 +28,7 @@
   return std::chrono::milliseconds(ms);
 }
 
-bool IsReplaced(const WireNames& names, std::string_view header) {
+bool IsReplaced(const HeaderNames& names, std::string_view header) {
   for (const std::string_view each :
        {std::string_view("Connection"), std::string_view("Keep-Alive"),
         std::string_view("Transfer-Encoding"), std::string_view("Content-Length"),
@@ -42,11 +42,11 @@
 
 }  // namespace
 
-CallerDoor::CallerDoor(RelayTools& tools, const PlatformAdapter& adapter, JobDesk& jobs,
-                       RandomBits random)
+RequestDispatcher::RequestDispatcher(RelayContext& tools, const PlatformAdapter& adapter,
+                                     JobDesk& jobs, RandomBits random)
     : tools_(tools), adapter_(adapter), jobs_(jobs), random_(std::move(random)) {}
 
-void CallerDoor::Update(std::shared_ptr<const FleetView> view) {
+void RequestDispatcher::Update(std::shared_ptr<const FleetView> view) {
   const bool routes_changed = !view_ || view_->routes != view->routes;
   view_ = std::move(view);
   // Callers may begin with less time under other routes; by what they began with before, all of
@@ -54,11 +54,11 @@
   if (routes_changed) first_tries_ = {};
 }
 
-void CallerDoor::SetLeaving() {
+void RequestDispatcher::SetLeaving() {
   tools_.leaving = true;
 }
 
-void CallerDoor::OnRequest(HttpRequest request, std::shared_ptr<HttpReply> reply) {
+void RequestDispatcher::OnRequest(HttpRequest request, std::shared_ptr<HttpReply> reply) {
   if (refusing_) {
     return Refuse(request, *reply,
                   {ErrorKind::kLeaving, "this entry is shutting down", Ran::kNo, kOtherEntry});
@@ -87,9 +87,10 @@
   Relay(*route, team, std::move(request), std::move(reply));
 }
 
-void CallerDoor::Refuse(const HttpRequest& request, HttpReply& reply, const Error& error) const {
+void RequestDispatcher::Refuse(const HttpRequest& request, HttpReply& reply,
+                               const Error& error) const {
   tools_.metrics.RequestEnded("refused", Duration{0}, Duration{0});
-  HttpResponse response = RefusalOf(error);
+  HttpResponse response = ErrorResponseFor(error);
   response.close = tools_.leaving;
   Log(LogLevel::kInfo, "request",
       {{"request", std::string(request.HeaderOr(tools_.names.request_id))},
@@ -99,12 +100,12 @@
        {"host", std::string(request.HeaderOr("Host"))},
        {"path", request.path},
        {"config", view_ && view_->routes ? std::to_string(view_->routes->version()) : "none"},
-       {"config_age_ms", Milliseconds(tools_.teams.age().value_or(Duration{0}))},
+       {"config_age_ms", Milliseconds(tools_.teams.config_age().value_or(Duration{0}))},
        {"why", error.detail}});
   reply.Send(std::move(response));
 }
 
-RelayPlan CallerDoor::PlanOf(const Route& route, const HttpRequest& request) const {
+RelayPlan RequestDispatcher::PlanOf(const Route& route, const HttpRequest& request) const {
   RelayPlan plan;
   plan.request = RequestId{std::string(request.HeaderOr(tools_.names.request_id))};
   plan.idempotent = IsIdempotent(route);
@@ -123,19 +124,19 @@
   return plan;
 }
 
-std::vector<Header> CallerDoor::HeadersFor(const std::optional<TeamId>& team,
-                                           std::vector<Header> headers) const {
-  const WireNames& names = tools_.names;
+std::vector<Header> RequestDispatcher::HeadersFor(const std::optional<TeamId>& team,
+                                                  std::vector<Header> headers) const {
+  const HeaderNames& names = tools_.names;
   const bool has_teams = view_->routes->teams() != nullptr;
   std::erase_if(headers, [&names, has_teams](const Header& header) {
-    return IsReplaced(names, header.name) || (has_teams && TellsTeam(names, header.name));
+    return IsReplaced(names, header.name) || (has_teams && IsTeamHeader(names, header.name));
   });
   if (team) headers.push_back({names.team, team->value});
   return headers;
 }
 
-void CallerDoor::Relay(const Route& route, std::optional<TeamId> team, HttpRequest request,
-                       std::shared_ptr<HttpReply> reply) {
+void RequestDispatcher::Relay(const Route& route, std::optional<TeamId> team, HttpRequest request,
+                              std::shared_ptr<HttpReply> reply) {
   RelayPlan plan = PlanOf(route, request);
   RelayedRequest relayed;
   relayed.method = std::move(request.method);
--- a/src/gateway/caller_door.h
+++ b/src/gateway/request_dispatcher.h
@@ -13,9 +13,10 @@
 
 namespace figmill {
 
-class CallerDoor {
+class RequestDispatcher {
  public:
-  CallerDoor(RelayTools& tools, const PlatformAdapter& adapter, JobDesk& jobs, RandomBits random);
+  RequestDispatcher(RelayContext& tools, const PlatformAdapter& adapter, JobDesk& jobs,
+                    RandomBits random);
 
   void Update(std::shared_ptr<const FleetView> view);
   void OnRequest(HttpRequest request, std::shared_ptr<HttpReply> reply);
@@ -40,7 +41,7 @@
   void Refuse(const HttpRequest& request, HttpReply& reply, const Error& error) const;
   [[nodiscard]] RelayPlan PlanOf(const Route& route, const HttpRequest& request) const;
 
-  RelayTools& tools_;
+  RelayContext& tools_;
   const PlatformAdapter& adapter_;
   JobDesk& jobs_;
   RandomBits random_;
--- a/src/gateway/place_finder.cc
+++ b/src/gateway/slot_finder.cc
@@ -1,12 +1,12 @@
-#include "gateway/place_finder.h"
+#include "gateway/slot_finder.h"
 
 #include <utility>
 
 namespace figmill {
 
-class PlaceFinder::Search : public std::enable_shared_from_this<Search> {
+class SlotFinder::Search : public std::enable_shared_from_this<Search> {
  public:
-  Search(PlaceFinder& finder, const Need& need, SlotSearch search, Done done)
+  Search(SlotFinder& finder, const Need& need, SlotSearch search, Done done)
       : finder_(finder),
         service_(need.query.service),
         tried_(need.query.tried.begin(), need.query.tried.end()),
@@ -70,7 +70,7 @@
     });
   }
 
-  PlaceFinder& finder_;
+  SlotFinder& finder_;
   ServiceName service_;
   std::vector<BackendId> tried_;
   SlotSearch search_;
@@ -79,10 +79,10 @@
   Timer timer_;
 };
 
-PlaceFinder::PlaceFinder(Loop& loop, BackendPool& places, PeerLink& link)
+SlotFinder::SlotFinder(Loop& loop, BackendPool& places, PeerMessenger& link)
     : loop_(loop), places_(places), link_(link) {}
 
-std::shared_ptr<PlaceFinder::Search> PlaceFinder::Find(const Need& need, Done done) {
+std::shared_ptr<SlotFinder::Search> SlotFinder::Find(const Need& need, Done done) {
   const Time now = Loop::Now();
   if (const auto roomy = places_.ChooseLightlyLoaded(need.query, kRoomy, now)) {
     done(*roomy);
@@ -108,7 +108,7 @@
   return search;
 }
 
-std::vector<BackendId> PlaceFinder::NotThere(const BackendQuery& query, Time now) const {
+std::vector<BackendId> SlotFinder::NotThere(const BackendQuery& query, Time now) const {
   std::vector<BackendId> not_there(query.tried.begin(), query.tried.end());
   for (BackendId& id : places_.ExcludedBackends(query, now)) {
     if (not_there.size() >= kMostNotThere) break;
@@ -117,7 +117,7 @@
   return not_there;
 }
 
-void PlaceFinder::OnAnswer(const PlaceAnswer& answer) {
+void SlotFinder::OnAnswer(const PlaceAnswer& answer) {
   const auto found = searches_.find(answer.number);
   if (found == searches_.end()) return;
   if (const auto search = found->second.lock()) search->OnAnswer(answer);
--- a/src/gateway/place_finder.h
+++ b/src/gateway/slot_finder.h
@@ -10,11 +10,11 @@
 #include "figmill/fleet.h"
 #include "figmill/runtime.h"
 #include "figmill/sharing.h"
-#include "gateway/peer_link.h"
+#include "gateway/peer_messenger.h"
 
 namespace figmill {
 
-class PlaceFinder {
+class SlotFinder {
  public:
   // A backend server of this data centre that is known to use less than this share
   // of its places is taken without asking.
@@ -34,7 +34,7 @@
     bool last_chance = false;
   };
 
-  PlaceFinder(Loop& loop, BackendPool& places, PeerLink& link);
+  SlotFinder(Loop& loop, BackendPool& places, PeerMessenger& link);
 
   // `done` is called once, perhaps within this call; never after the result was
   // destroyed. It is null when `done` was called already. Errors: kNoBackend,
@@ -50,7 +50,7 @@
 
   Loop& loop_;
   BackendPool& places_;
-  PeerLink& link_;
+  PeerMessenger& link_;
   std::uint64_t next_ask_ = 0;
   std::map<std::uint64_t, std::weak_ptr<Search>> searches_;
 };
--- a/src/gateway/store_caller.cc
+++ b/src/gateway/store_caller.cc
@@ -50,7 +50,7 @@
 }  // namespace
 
 void StoreCaller::Fetch(TableCall call, std::function<void(Result<HttpResponse>)> done) {
-  const StorePaths::Path path = paths_.Begin(call.waits, Loop::Now());
+  const StorePaths::Path path = paths_.Begin(call.long_poll, Loop::Now());
   Send(std::move(call), path, /*may_go_other_way=*/true, std::move(done));
 }
 
--- a/src/gateway/store_caller.h
+++ b/src/gateway/store_caller.h
@@ -14,7 +14,7 @@
 
 namespace figmill {
 
-class StoreCaller final : public TableCalls {
+class StoreCaller final : public TableTransport {
  public:
   StoreCaller(Loop& loop, ExchangeClient& client, Address store, TrafficMetrics& traffic)
       : loop_(loop), client_(client), store_(std::move(store)), traffic_(traffic) {}
--- a/src/gateway/team_access.cc
+++ b/src/gateway/team_access.cc
@@ -16,13 +16,13 @@
 
 }  // namespace
 
-TeamAccess::TeamAccess(Loop& loop, PeerTable& peers, PeerLink& link, Metrics& metrics,
+TeamAccess::TeamAccess(Loop& loop, PeerTable& peers, PeerMessenger& link, Metrics& metrics,
                        const TeamSettings& settings)
     : loop_(loop),
       peers_(peers),
       link_(link),
       metrics_(metrics),
-      lease_(settings.lease()),
+      lease_(settings.key_lease()),
       client_(settings.quota),
       owner_(Now()),
       watched_at_(Now()) {
@@ -47,7 +47,7 @@
   return !needs_keys || lease_.Holds(Loop::SinceBoot());
 }
 
-std::optional<Duration> TeamAccess::age() const {
+std::optional<Duration> TeamAccess::config_age() const {
   return lease_.Age(Loop::SinceBoot());
 }
 
@@ -114,11 +114,11 @@
   Flush();
 }
 
-void TeamAccess::GiveBack(const TeamId& team, const quota::Admitted& admitted) {
+void TeamAccess::Refund(const TeamId& team, const quota::Admitted& admitted) {
   client_.GiveBack(team, admitted.charged_at, Now());
 }
 
-void TeamAccess::OnGrant(const QuotaGrant& grant) {
+void TeamAccess::OnQuotaGrant(const QuotaGrant& grant) {
   client_.OnGrant(grant, Now());
   Flush();
 }
@@ -160,7 +160,7 @@
 
 // --- Quotas at their owner --------------------------------------------------------------
 
-void TeamAccess::OnAsk(const Peer& from, const QuotaAsk& ask) {
+void TeamAccess::OnQuotaRequest(const Peer& from, const QuotaAsk& ask) {
   link_.SendQuota(from, GrantOf(ask));
 }
 
--- a/src/gateway/team_access.h
+++ b/src/gateway/team_access.h
@@ -14,7 +14,7 @@
 #include "figmill/quota.h"
 #include "figmill/routes.h"
 #include "figmill/teams.h"
-#include "gateway/peer_link.h"
+#include "gateway/peer_messenger.h"
 
 namespace figmill {
 
@@ -31,7 +31,7 @@
   // After a configuration whose age is over its bound, callers come back this soon.
   static constexpr Duration kUnconfirmedPause{500'000};
 
-  TeamAccess(Loop& loop, PeerTable& peers, PeerLink& link, Metrics& metrics,
+  TeamAccess(Loop& loop, PeerTable& peers, PeerMessenger& link, Metrics& metrics,
              const TeamSettings& settings);
 
   void SetRoutes(std::shared_ptr<const RouteTable> routes);
@@ -39,7 +39,7 @@
   void Confirm(Duration asked_at);
   // Whether keys can be told at all now.
   [[nodiscard]] bool ready() const;
-  [[nodiscard]] std::optional<Duration> age() const;
+  [[nodiscard]] std::optional<Duration> config_age() const;
 
   // The team of a request; nothing when callers need no keys. `route`: null for calls about
   // accepted jobs. Errors: kUnauthorized; kStoreUnavailable while the keys are not known.
@@ -50,11 +50,11 @@
   void Admit(const TeamId& team, Duration time_left,
              std::function<void(const Result<quota::Admitted>&)> done);
   // It was refused and has not run.
-  void GiveBack(const TeamId& team, const quota::Admitted& admitted);
+  void Refund(const TeamId& team, const quota::Admitted& admitted);
 
   // From other entries.
-  void OnAsk(const Peer& from, const QuotaAsk& ask);
-  void OnGrant(const QuotaGrant& grant);
+  void OnQuotaRequest(const Peer& from, const QuotaAsk& ask);
+  void OnQuotaGrant(const QuotaGrant& grant);
 
  private:
   struct Owner {
@@ -79,7 +79,7 @@
 
   Loop& loop_;
   PeerTable& peers_;
-  PeerLink& link_;
+  PeerMessenger& link_;
   Metrics& metrics_;
   std::shared_ptr<const RouteTable> routes_;
   KeyLease lease_;
--- a/test/backend-incarnation-test.cc
+++ b/test/backend-incarnation-test.cc
@@ -46,10 +46,10 @@
   explicit Watched(OpenSends& sends, BackendIncarnation incarnation = kFirst)
       : number(sends.Add({kEngine, kAddress, incarnation}, kStart, [this] { ++lost; })) {}
   int lost = 0;
-  OpenSends::Number number;
+  OpenSends::Id number;
 };
 
-constexpr Time kQuiet = kStart + OpenSends::kSignOfLife;
+constexpr Time kQuiet = kStart + OpenSends::kRecentActivity;
 
 }  // namespace
 
@@ -71,8 +71,8 @@
 // Sequence: its entry changes in nothing but its incarnation.
 TEST_CASE("an entry that differs in its incarnation alone is a change") {
   BackendList list = Listed(kFirst);
-  CHECK(List(list, EngineIn(kFirst)) == ListChange::kNone);
-  CHECK(List(list, EngineIn(kSecond)) == ListChange::kRestarted);
+  CHECK(UpdateBackendList(list, EngineIn(kFirst)) == BackendListChange::kNone);
+  CHECK(UpdateBackendList(list, EngineIn(kSecond)) == BackendListChange::kRestarted);
   CHECK(list.at(kEngine).incarnation == kSecond);
 }
 
@@ -82,7 +82,7 @@
   BackendList list = Listed(kSecond);
   BackendInfo late = EngineIn(kFirst);
   late.address.port = 81;
-  CHECK(List(list, BackendInfo(late)) == ListChange::kOutdated);
+  CHECK(UpdateBackendList(list, BackendInfo(late)) == BackendListChange::kOutdated);
   CHECK(list == Listed(kSecond));
 }
 
@@ -90,14 +90,14 @@
   BackendList list = Listed(kFirst);
   BackendInfo untold = EngineIn({});
   untold.state = BackendState::kDraining;
-  CHECK(List(list, BackendInfo(untold)) == ListChange::kUpdated);
+  CHECK(UpdateBackendList(list, BackendInfo(untold)) == BackendListChange::kUpdated);
   CHECK(list.at(kEngine).state == BackendState::kDraining);
-  CHECK(List(list, EngineIn(kSecond)) == ListChange::kRestarted);
+  CHECK(UpdateBackendList(list, EngineIn(kSecond)) == BackendListChange::kRestarted);
 }
 
 TEST_CASE("the first incarnation that is told is no restart") {
   BackendList list = Listed({});
-  CHECK(List(list, EngineIn(kFirst)) == ListChange::kUpdated);
+  CHECK(UpdateBackendList(list, EngineIn(kFirst)) == BackendListChange::kUpdated);
 }
 
 // Symptom: a request that may not be repeated fails on a connection that was kept.
@@ -212,7 +212,7 @@
   CHECK(sends.EndOutdated(Listed(kSecond), now).in_doubt == 2);
   for (int i = 0; i < 6; ++i) {
     now += 40 * kMillisecond;
-    sends.Heard(alive.number, now);
+    sends.RecordActivity(alive.number, now);
   }
   const OpenSends::Ended ended = sends.EndOutdated(Listed(kSecond), now);
   CHECK(ended.lost == 1);
--- a/test/foreign-entries-test.cc
+++ b/test/foreign-entries-test.cc
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "figmill/encoding.h"
-#include "gateway/fleet_watch.h"
+#include "gateway/fleet_watcher.h"
 #include "platform/adapter.h"
 #include "platform/documents.h"
 #include "platform/tables.h"
@@ -136,13 +136,13 @@
   Metrics metrics;
   std::shared_ptr<const FleetView> view;
   int settled = 0;
-  FleetWatch watch{loop,
-                   tables,
-                   *adapter,
-                   metrics,
-                   std::nullopt,
-                   {[this](std::shared_ptr<const FleetView> next) { view = std::move(next); },
-                    [](Duration /*asked_at*/) {}}};
+  FleetWatcher watch{loop,
+                     tables,
+                     *adapter,
+                     metrics,
+                     std::nullopt,
+                     {[this](std::shared_ptr<const FleetView> next) { view = std::move(next); },
+                      [](Duration /*asked_at*/) {}}};
 };
 
 }  // namespace
@@ -332,7 +332,7 @@
 // Sequence: another writer leaves one row whose value is no base64.
 // Cause: the whole answer was refused for that one row.
 TEST_CASE("a row whose value is no base64 hides no other row") {
-  struct Calls final : TableCalls {
+  struct Calls final : TableTransport {
     std::string body;
     void Fetch(TableCall, std::function<void(Result<HttpResponse>)> done) override {
       done(HttpResponse{200, "application/json", {}, body});
--- a/test/foreign-jobs-test.cc
+++ b/test/foreign-jobs-test.cc
@@ -229,7 +229,7 @@
   Entry f;
   f.Accept();
   f.Settle();
-  f.tables.deaf = true;  // this entry doesn't hear of it
+  f.tables.feed_stalled = true;  // this entry doesn't hear of it
   f.PutHead("spoilt");
   CHECK(f.KindOf([&f](auto done) {
     f.store.End(kJob, [done](const Result<Ok>& ended) {
@@ -246,7 +246,7 @@
   Entry f;
   f.Accept();
   f.Settle();
-  f.tables.deaf = true;
+  f.tables.feed_stalled = true;
   f.PutHead("spoilt");
   OwnedJob* job = f.store.Owned(kJob);
   job->Finish(0, {"i0", ResultState::kComplete, "text"});
--- a/test/gateway-fakes.h
+++ b/test/gateway-fakes.h
@@ -46,19 +46,19 @@
   Tables(Loop& loop, TableData& data) : loop_(loop), data_(data) {}
 
   // What the next commits do.
-  int lose_answers = 0;  // take effect, and no answer comes
-  bool refuse = false;   // say that nothing was done
-  bool silent = false;   // nothing is done, and no answer comes
-  bool deaf = false;     // feeds tell of nothing
+  int lose_answers = 0;       // take effect, and no answer comes
+  bool refuse = false;        // say that nothing was done
+  bool unresponsive = false;  // nothing is done, and no answer comes
+  bool feed_stalled = false;  // feeds tell of nothing
   // What the feed was asked to wait, newest last.
-  std::vector<Duration> waits;
+  std::vector<Duration> feed_waits;
   int reads = 0;
   int commits = 0;
 
   void Commit(TableTransaction transaction, std::function<void(TableOutcome)> done) override {
     ++commits;
     if (refuse) return Later([done] { done(NotWritten{"refused"}); });
-    if (silent) return Later([done] { done(FateUnknown{"no answer"}); }, kSilence);
+    if (unresponsive) return Later([done] { done(FateUnknown{"no answer"}); }, kSilence);
     TableOutcome outcome = Apply(transaction);
     if (lose_answers > 0) {
       --lose_answers;
@@ -69,7 +69,7 @@
 
   void Read(TableRange range, std::function<void(Result<TablePage>)> done) override {
     ++reads;
-    if (refuse || silent) return Later([done] { done(Down()); });
+    if (refuse || unresponsive) return Later([done] { done(Down()); });
     TablePage page;
     for (const auto& [at, row] : data_.rows) {
       if (at.table != range.table || at.part != range.part || at.key < range.from) continue;
@@ -90,7 +90,7 @@
 
   void Follow(std::string table, RowVersion after, Duration wait,
               std::function<void(FeedOutcome)> done) override {
-    waits.push_back(wait);
+    feed_waits.push_back(wait);
     Poll(std::move(table), after, Loop::Now() + wait, std::move(done));
   }
 
@@ -109,9 +109,9 @@
   }
 
   void Poll(std::string table, RowVersion after, Time end, std::function<void(FeedOutcome)> done) {
-    if (refuse || silent) return Later([done] { done(Down()); });
+    if (refuse || unresponsive) return Later([done] { done(Down()); });
     TableChanges changes;
-    if (!deaf) {
+    if (!feed_stalled) {
       for (const TableRow& row : data_.history) {
         if (row.at.table == table && row.version > after) changes.rows.push_back(row);
       }
@@ -120,7 +120,7 @@
       return Later([this, table, after, end, done] { Poll(table, after, end, done); },
                    Duration{2'000});
     }
-    changes.version = deaf ? after : data_.version;
+    changes.version = feed_stalled ? after : data_.version;
     changes.now = Clock();
     Later([done, changes] { done(changes); });
   }
--- a/test/job-desk-test.cc
+++ b/test/job-desk-test.cc
@@ -126,7 +126,7 @@
   Desk b(loop, data, "b");
   CHECK(a.Submit("job").status == 202);
   fake::RunUntil(loop, [&] { return b.store.Known(JobId{"job"}) != nullptr; });
-  b.tables.deaf = true;
+  b.tables.feed_stalled = true;
   a.Finish(0);
   const HttpResponse read = b.Call(JobReadCall{JobId{"job"}, 0, Duration{50'000}});
   CHECK(read.body.find(R"("id":"i0")") != std::string::npos);
@@ -143,7 +143,7 @@
   // Refused for sure: it may come again. Without an answer that can't be said.
   CHECK(a.Submit("other").status == 503);
   a.tables.refuse = false;
-  a.tables.silent = true;
+  a.tables.unresponsive = true;
   CHECK(a.Submit("other").status == 504);
 }
 
@@ -173,13 +173,13 @@
   TableFollower follower(
       loop, tables, "t", {""}, [](const TableMirror::Change&) {}, [] {});
   follower.Start();
-  fake::RunUntil(loop, [&] { return !tables.waits.empty(); });
-  CHECK(tables.waits.back() == TableFollower::kWait);
+  fake::RunUntil(loop, [&] { return !tables.feed_waits.empty(); });
+  CHECK(tables.feed_waits.back() == TableFollower::kWait);
   tables.refuse = true;
   fake::RunUntil(loop, [&] { return !follower.connected(); });
   tables.refuse = false;
   fake::RunUntil(loop, [&] { return follower.connected(); });
-  CHECK(tables.waits.back() == TableFollower::kTroubledWait);
+  CHECK(tables.feed_waits.back() == TableFollower::kTroubledWait);
 }
 
 TEST_CASE("a job is there for its team alone") {
--- a/test/job-store-test.cc
+++ b/test/job-store-test.cc
@@ -138,7 +138,7 @@
   f.a.tables.refuse = true;
   CHECK(f.a.Accept(Submission()) == "store-unavailable no");
   f.a.tables.refuse = false;
-  f.a.tables.silent = true;
+  f.a.tables.unresponsive = true;
   CHECK(f.a.Accept(Submission()) == "store-unavailable unknown");
 }
 
@@ -194,7 +194,7 @@
   Fixture f;
   Entry paused(f.loop, f.data, PeerNamed("paused"));
   CHECK(paused.Accept(Submission()) == "accepted");
-  paused.tables.deaf = true;  // it hears of nothing
+  paused.tables.feed_stalled = true;  // it hears of nothing
   fake::RunUntil(f.loop, [&] { return f.a.owned.contains("job"); });
   f.a.Finish("job", 0, "by a");
   fake::RunUntil(f.loop, [&] { return f.a.Listed("job") == 1; });
