--- a/src/gateway/crash_tracker.cc
+++ b/src/gateway/crash_tracker.cc
@@ -11,14 +11,14 @@
 
 constexpr const char* kTable = "crash_reports";
 
-void LogLost(const CrashTracker::LostSend& lost, std::string_view found) {
+void LogLostSend(const CrashTracker::LostSend& lost, std::string_view found) {
   Log(LogLevel::kInfo, "send_lost",
       {{"request", lost.id},
        {"fingerprint", lost.request.value},
        {"backend", lost.backend.id.value},
        {"incarnation", std::to_string(lost.backend.incarnation.number)},
        {"dialed", std::string(found)},
-       {"ran_ms", Milliseconds(Loop::Now() - lost.begun_at)}});
+       {"ran_ms", Milliseconds(Loop::Now() - lost.started_at)}});
 }
 
 }  // namespace
@@ -30,44 +30,46 @@
       tables_(tables),
       self_(std::move(self)),
       quarantine_(self_),
-      refused_(metrics, {"crash_report", "crash_report_refused", "row"}),
-      reported_(metrics.counter("figmill_crashes_reported_total",
-                                "Requests reported for the end of a backend server that ran them")),
-      quarantined_(metrics.gauge("figmill_requests_quarantined",
-                                 "Requests that are not run for the crashes that followed them")),
+      refused_rows_(metrics, {"crash_report", "crash_report_refused", "row"}),
+      reports_counter_(
+          metrics.counter("figmill_crashes_reported_total",
+                          "Requests reported for the end of a backend server that ran them")),
+      quarantined_gauge_(
+          metrics.gauge("figmill_requests_quarantined",
+                        "Requests that are not run for the crashes that followed them")),
       follower_(
           loop, tables, kTable, {""}, [this](const TableMirror::Change& change) { OnRow(change); },
           [] {}) {}
 
 void CrashTracker::CheckBackend(LostSend lost, std::function<void()> done) {
   const Address to = lost.backend.address;
-  client_.Dial(to, kDialPatience,
+  client_.Dial(to, kDialTimeout,
                [this, lost = std::move(lost), done = std::move(done),
-                lost_at = Loop::Now()](DialResult found) {
-                 LogLost(lost, ToString(found));
-                 if (found == DialResult::kRefused) Report(lost, lost_at);
+                detected_at = Loop::Now()](DialResult found) {
+                 LogLostSend(lost, ToString(found));
+                 if (found == DialResult::kRefused) ReportCrash(lost, detected_at);
                  done();
                });
 }
 
 void CrashTracker::ReportRestart(const LostSend& lost) {
-  LogLost(lost, "restarted");
-  Report(lost, Loop::Now());
+  LogLostSend(lost, "restarted");
+  ReportCrash(lost, Loop::Now());
 }
 
-void CrashTracker::Report(const LostSend& lost, Time seen_at) {
+void CrashTracker::ReportCrash(const LostSend& lost, Time detected_at) {
   const Crash crash{lost.request, lost.backend.id, lost.backend.incarnation};
-  const CrashReport report{crash, quarantine_.ChainOf(lost.request, lost.begun_at)};
+  const CrashReport report{crash, quarantine_.ChainOf(lost.request, lost.started_at)};
   const std::size_t before = quarantine_.quarantined();
-  quarantine_.Add(report, seen_at);
-  reported_.Add();
+  quarantine_.Add(report, detected_at);
+  reports_counter_.Add();
   LogChange(lost.request, before);
   Write(crash, RowValueOf(report, self_, lost.id));
   for (const Crash& surplus : quarantine_.Surplus()) {
     quarantine_.Remove(surplus);
     Write(surplus, std::nullopt);
   }
-  ShowCount();
+  UpdateGauge();
 }
 
 std::optional<Error> CrashTracker::QuarantineError(const RequestFingerprint& request,
@@ -94,7 +96,7 @@
                              std::size_t quarantined_before) const {
   const std::size_t now = quarantine_.quarantined();
   if (now == quarantined_before) return;
-  ShowCount();
+  UpdateGauge();
   const std::optional<Duration> left =
       quarantine_.TimeLeft(request, WorkClass::kOnline, Loop::Now());
   Log(LogLevel::kWarning, now > quarantined_before ? "request_quarantined" : "request_released",
@@ -103,8 +105,8 @@
        {"for_ms", left ? Milliseconds(*left) : ""}});
 }
 
-void CrashTracker::ShowCount() const {
-  quarantined_.Set(static_cast<double>(quarantine_.quarantined()));
+void CrashTracker::UpdateGauge() const {
+  quarantined_gauge_.Set(static_cast<double>(quarantine_.quarantined()));
 }
 
 // --- Table ------------------------------------------------------------------------
@@ -112,7 +114,7 @@
 void CrashTracker::OnRow(const TableMirror::Change& change) {
   const std::size_t before = quarantine_.quarantined();
   if (change.row == nullptr) {
-    refused_.Forget(change.at.key);
+    refused_rows_.Forget(change.at.key);
     const Result<Crash> crash = ParseCrashKey(change.at.key);
     if (!IsOk(crash)) return;  // it was refused when it came
     quarantine_.Remove(ValueOf(crash));
@@ -120,47 +122,47 @@
   }
   const Result<CrashReport> report = ParseCrashRow(*change.row);
   if (!IsOk(report)) {
-    return refused_.Refuse(change.at.key, change.row->version, ErrorOf(report).detail);
+    return refused_rows_.Refuse(change.at.key, change.row->version, ErrorOf(report).detail);
   }
-  refused_.Forget(change.at.key);
+  refused_rows_.Forget(change.at.key);
   quarantine_.Add(ValueOf(report), Loop::Now());
   LogChange(ValueOf(report).crash.request, before);
 }
 
 void CrashTracker::Write(const Crash& crash, std::optional<std::string> value) {
-  unwritten_[RowKeyOf(crash)] = std::move(value);
+  pending_rows_[RowKeyOf(crash)] = std::move(value);
   // What a backend server's end brings up goes out together.
   loop_.Post([this] { Flush(); });
 }
 
 void CrashTracker::Flush() {
-  if (writing_ || unwritten_.empty()) return;
+  if (writing_ || pending_rows_.empty()) return;
   writing_ = true;
   TableTransaction transaction;
-  std::map<std::string, std::optional<std::string>> taken;
-  while (!unwritten_.empty() && taken.size() < kMaxWrites) {
-    auto row = unwritten_.extract(unwritten_.begin());
+  std::map<std::string, std::optional<std::string>> rows;
+  while (!pending_rows_.empty() && rows.size() < kMaxRowsPerTransaction) {
+    auto row = pending_rows_.extract(pending_rows_.begin());
     const TableKey at{kTable, "", row.key()};
     if (row.mapped()) {
       transaction.puts.push_back({at, *row.mapped()});
     } else {
       transaction.removes.push_back(at);
     }
-    taken.insert(std::move(row));
+    rows.insert(std::move(row));
   }
   tables_.Commit(std::move(transaction),
-                 [this, taken = std::move(taken)](const TableOutcome& outcome) mutable {
-                   OnWritten(std::move(taken), outcome);
+                 [this, rows = std::move(rows)](const TableOutcome& outcome) mutable {
+                   OnWritten(std::move(rows), outcome);
                  });
 }
 
-// A write that may have taken effect is repeated: it is the same the second time.
+// A write that may have rows effect is repeated: it is the same the second time.
 void CrashTracker::OnWritten(std::map<std::string, std::optional<std::string>> written,
                              const TableOutcome& outcome) {
   writing_ = false;
   if (std::holds_alternative<TableCommitted>(outcome)) return Flush();
-  unwritten_.merge(written);  // keeps what is newer
-  loop_.Later(kRetryPause, [this] { Flush(); });
+  pending_rows_.merge(written);  // keeps what is newer
+  loop_.Later(kRetryDelay, [this] { Flush(); });
 }
 
 }  // namespace figmill
--- a/src/gateway/crash_tracker.h
+++ b/src/gateway/crash_tracker.h
@@ -19,17 +19,17 @@
  public:
   // A process that has ended refuses connections within a round trip. A host that doesn't answer
   // may be busy or cut off, and says nothing of the request.
-  static constexpr Duration kDialPatience{50'000};
-  static constexpr Duration kRetryPause{300'000};
+  static constexpr Duration kDialTimeout{50'000};
+  static constexpr Duration kRetryDelay{300'000};
   // Rows that one transaction writes.
-  static constexpr std::size_t kMaxWrites = 50;
+  static constexpr std::size_t kMaxRowsPerTransaction = 50;
 
   // A send whose connection was lost before its answer was whole.
   struct LostSend {
     std::string id;  // of the request's attempt, or of the item
     RequestFingerprint request;
     BackendAddress backend;
-    Time begun_at{};
+    Time started_at{};
   };
 
   CrashTracker(Loop& loop, ExchangeClient& client, SharedTables& tables, Metrics& metrics,
@@ -53,10 +53,10 @@
   void RecordCompletion(const RequestFingerprint& request);
 
  private:
-  void Report(const LostSend& lost, Time seen_at);
+  void ReportCrash(const LostSend& lost, Time detected_at);
   void OnRow(const TableMirror::Change& change);
   void LogChange(const RequestFingerprint& request, std::size_t quarantined_before) const;
-  void ShowCount() const;
+  void UpdateGauge() const;
   void Write(const Crash& crash, std::optional<std::string> value);
   void Flush();
   void OnWritten(std::map<std::string, std::optional<std::string>> written,
@@ -67,12 +67,12 @@
   SharedTables& tables_;
   NodeId self_;
   Quarantine quarantine_;
-  RefusedRows refused_;
-  Counter& reported_;
-  Gauge& quarantined_;
+  RefusedRows refused_rows_;
+  Counter& reports_counter_;
+  Gauge& quarantined_gauge_;
   TableFollower follower_;
   // Rows to write, by their keys; nothing: to remove.
-  std::map<std::string, std::optional<std::string>> unwritten_;
+  std::map<std::string, std::optional<std::string>> pending_rows_;
   bool writing_ = false;
 };
 
--- a/src/gateway/entry_registry.cc
+++ b/src/gateway/entry_registry.cc
@@ -22,19 +22,19 @@
       follower_(
           loop, tables, kTable, {""}, [this](const TableMirror::Change& change) { OnRow(change); },
           [] {}),
-      refused_(metrics, {"member", "member_row_refused", "node"}) {}
+      refused_rows_(metrics, {"member", "member_row_refused", "node"}) {}
 
 void EntryRegistry::Start() {
-  WriteOwn();
+  WriteOwnRow();
   follower_.Start();
 }
 
 void EntryRegistry::UpdateSelf(Peer self) {
   self_ = std::move(self);
-  WriteOwn();
+  WriteOwnRow();
 }
 
-void EntryRegistry::WriteOwn() {
+void EntryRegistry::WriteOwnRow() {
   if (leaving_) return;
   PeerMessage message;
   message.from = self_;
@@ -43,7 +43,7 @@
   tables_.Commit({{}, {{KeyOf(self_.node), Encode(message)}}, {}},
                  [this](const TableOutcome& outcome) {
                    if (std::holds_alternative<TableCommitted>(outcome)) return;
-                   loop_.Later(kRetryPause, [this] { WriteOwn(); });
+                   loop_.Later(kRetryDelay, [this] { WriteOwnRow(); });
                  });
 }
 
@@ -68,29 +68,29 @@
 
 // What is known of the peer stays as it was: its datagrams tell whether it is there. But
 // processes that start later learn of it by its row alone, so that its own is written anew.
-void EntryRegistry::OnUnreadable(const TableRow& row, const std::string& why) {
-  refused_.Refuse(row.at.key, row.version, why);
-  if (row.at.key != self_.node.value || std::exchange(rewriting_, true)) return;
-  loop_.Later(kRewritePause, [this] {
-    rewriting_ = false;
-    WriteOwn();
+void EntryRegistry::OnUnreadableRow(const TableRow& row, const std::string& why) {
+  refused_rows_.Refuse(row.at.key, row.version, why);
+  if (row.at.key != self_.node.value || std::exchange(rewrite_scheduled_, true)) return;
+  loop_.Later(kRewriteDelay, [this] {
+    rewrite_scheduled_ = false;
+    WriteOwnRow();
   });
 }
 
 void EntryRegistry::OnRow(const TableMirror::Change& change) {
   if (change.row == nullptr) {
-    refused_.Forget(change.at.key);
+    refused_rows_.Forget(change.at.key);
     // Somebody could not hear this process; it is there all the same.
-    if (change.at.key == self_.node.value) return WriteOwn();
-    return hooks_.unlisted(NodeId{change.at.key});
+    if (change.at.key == self_.node.value) return WriteOwnRow();
+    return hooks_.on_unlisted(NodeId{change.at.key});
   }
   const Result<PeerMessage> message = DecodePeerMessage(change.row->value);
-  if (!IsOk(message)) return OnUnreadable(*change.row, ErrorOf(message).detail);
+  if (!IsOk(message)) return OnUnreadableRow(*change.row, ErrorOf(message).detail);
   if (ValueOf(message).from.node.value != change.at.key) {
-    return OnUnreadable(*change.row, "it names another node than its key");
+    return OnUnreadableRow(*change.row, "it names another node than its key");
   }
-  refused_.Forget(change.at.key);
-  hooks_.named(ValueOf(message).from);
+  refused_rows_.Forget(change.at.key);
+  hooks_.on_listed(ValueOf(message).from);
 }
 
 }  // namespace figmill
--- a/src/gateway/entry_registry.h
+++ b/src/gateway/entry_registry.h
@@ -12,14 +12,14 @@
 
 class EntryRegistry {
  public:
-  static constexpr Duration kRetryPause{300'000};
+  static constexpr Duration kRetryDelay{300'000};
   // After another writer has spoilt this process's row. Two that write against each other
   // cost the store a call in this time.
-  static constexpr Duration kRewritePause{1'000'000};
+  static constexpr Duration kRewriteDelay{1'000'000};
 
   struct Hooks {
-    std::function<void(const Peer&)> named;
-    std::function<void(const NodeId&)> unlisted;
+    std::function<void(const Peer&)> on_listed;
+    std::function<void(const NodeId&)> on_unlisted;
   };
 
   EntryRegistry(Loop& loop, SharedTables& tables, Metrics& metrics, Peer self, Hooks hooks);
@@ -34,18 +34,18 @@
   void Remove(const Peer& peer);
 
  private:
-  void WriteOwn();
+  void WriteOwnRow();
   void OnRow(const TableMirror::Change& change);
-  void OnUnreadable(const TableRow& row, const std::string& why);
+  void OnUnreadableRow(const TableRow& row, const std::string& why);
 
   Loop& loop_;
   SharedTables& tables_;
   Peer self_;
   Hooks hooks_;
   TableFollower follower_;
-  RefusedRows refused_;
+  RefusedRows refused_rows_;
   bool leaving_ = false;
-  bool rewriting_ = false;
+  bool rewrite_scheduled_ = false;
 };
 
 }  // namespace figmill
--- a/src/gateway/fleet_watcher.cc
+++ b/src/gateway/fleet_watcher.cc
@@ -6,7 +6,7 @@
 namespace figmill {
 namespace {
 
-std::string_view EventOf(BackendListChange change) {
+std::string_view LogEventOf(BackendListChange change) {
   switch (change) {
     case BackendListChange::kRestarted:
       return "backend_restarted";
@@ -29,7 +29,7 @@
       hooks_(std::move(hooks)),
       refused_configs_(metrics, {"config", "config_refused", "row"}),
       refused_backends_(metrics, {"backend", "backend_refused", "backend"}),
-      secret_(SystemRandom()()),
+      key_lookup_secret_(SystemRandom()()),
       config_(
           loop, tables, adapter.config_row().table, {adapter.config_row().part},
           [this](const TableMirror::Change& change) { OnConfig(change); },
@@ -41,7 +41,8 @@
           loop, tables, adapter.backend_table(), {""},
           [this](const TableMirror::Change& change) { OnBackend(change); }, [this] { Publish(); }) {
   if (revoke_within) {
-    config_.SetWait(std::min<Duration>(TableFollower::kWait, *revoke_within / kConfirmations));
+    config_.SetWait(
+        std::min<Duration>(TableFollower::kWait, *revoke_within / kPollsPerRevocationPeriod));
   }
 }
 
@@ -66,7 +67,7 @@
       {{"version", std::to_string(next)},
        {"before", std::to_string(now)},
        {"row_version", std::to_string(change.row->version)}});
-  view_.routes = std::make_shared<const RouteTable>(std::move(ValueOf(config)), secret_);
+  view_.routes = std::make_shared<const RouteTable>(std::move(ValueOf(config)), key_lookup_secret_);
   changed_ = true;
 }
 
@@ -81,24 +82,24 @@
   }
   Result<BackendInfo> info = adapter_.ParseBackend(id.value, change.row->value);
   if (!IsOk(info)) return OnUnreadableBackend(id, change.row->version, ErrorOf(info));
-  const BackendIncarnation told = ValueOf(info).incarnation;
-  const BackendListChange made = UpdateBackendList(view_.backends, std::move(ValueOf(info)));
-  if (made == BackendListChange::kServiceMismatch) {
+  const BackendIncarnation reported = ValueOf(info).incarnation;
+  const BackendListChange list_change = UpdateBackendList(view_.backends, std::move(ValueOf(info)));
+  if (list_change == BackendListChange::kServiceMismatch) {
     const Error error{ErrorKind::kBadRequest, "an earlier incarnation of another service"};
     return OnUnreadableBackend(id, change.row->version, error);
   }
   refused_backends_.Forget(id.value);
-  if (made == BackendListChange::kNone) return;
-  const BackendInfo& mine = view_.backends.at(id);
-  Log(LogLevel::kInfo, EventOf(made),
+  if (list_change == BackendListChange::kNone) return;
+  const BackendInfo& current = view_.backends.at(id);
+  Log(LogLevel::kInfo, LogEventOf(list_change),
       {{"backend", id.value},
-       {"told_incarnation", std::to_string(told.number)},
-       {"incarnation", std::to_string(mine.incarnation.number)},
-       {"service", mine.service.value},
-       {"address", ToString(mine.address)},
-       {"state", std::string(ToString(mine.state))},
+       {"told_incarnation", std::to_string(reported.number)},
+       {"incarnation", std::to_string(current.incarnation.number)},
+       {"service", current.service.value},
+       {"address", ToString(current.address)},
+       {"state", std::string(ToString(current.state))},
        {"row_version", std::to_string(change.row->version)}});
-  changed_ |= made != BackendListChange::kOutdated;
+  changed_ |= list_change != BackendListChange::kOutdated;
 }
 
 // Left in force as it was, an entry that another writer has spoilt would draw requests to a
@@ -116,7 +117,7 @@
 
 void FleetWatcher::SchedulePublish() {
   if (!changed_ || std::exchange(publish_scheduled_, true)) return;
-  loop_.Later(kPublishPause, [this] {
+  loop_.Later(kPublishDelay, [this] {
     publish_scheduled_ = false;
     Publish();
   });
@@ -133,8 +134,8 @@
 
 void FleetWatcher::Confirm() {
   const std::optional<Duration> at = config_.confirmed_at();
-  if (changed_ || !view_.routes || !at || at == confirmed_at_) return;
-  confirmed_at_ = at;
+  if (changed_ || !view_.routes || !at || at == last_confirmed_at_) return;
+  last_confirmed_at_ = at;
   hooks_.confirmed(*at);
 }
 
--- a/src/gateway/fleet_watcher.h
+++ b/src/gateway/fleet_watcher.h
@@ -18,11 +18,11 @@
  public:
   // Changes within this time are published together: at the start of a fleet each
   // backend server writes its own row.
-  static constexpr Duration kPublishPause{20'000};
+  static constexpr Duration kPublishDelay{20'000};
 
   // The store is asked so often within the time in which a key must be taken away, so that a lost
   // answer or two don't make the configuration too old.
-  static constexpr int kConfirmations = 5;
+  static constexpr int kPollsPerRevocationPeriod = 5;
 
   // Called on `loop`.
   struct Hooks {
@@ -54,8 +54,8 @@
   FleetView view_;
   bool changed_ = false;
   bool publish_scheduled_ = false;
-  std::uint64_t secret_;  // of the look-up by key
-  std::optional<Duration> confirmed_at_;
+  std::uint64_t key_lookup_secret_;  // of the look-up by key
+  std::optional<Duration> last_confirmed_at_;
   TableFollower config_;
   TableFollower backends_;
 };
--- a/src/gateway/open_sends.cc
+++ b/src/gateway/open_sends.cc
@@ -6,43 +6,43 @@
 namespace figmill {
 
 OpenSends::Id OpenSends::Add(const BackendAddress& backend, Time now, OnLost on_lost) {
-  sends_[++last_] = {backend.id, backend.incarnation, now, Time{}, std::move(on_lost)};
-  return last_;
+  sends_[++last_id_] = {backend.id, backend.incarnation, now, Time{}, std::move(on_lost)};
+  return last_id_;
 }
 
-void OpenSends::RecordActivity(Id send, Time now) {
-  const auto found = sends_.find(send);
+void OpenSends::RecordActivity(Id id, Time now) {
+  const auto found = sends_.find(id);
   if (found != sends_.end()) found->second.heard_at = now;
 }
 
-void OpenSends::Remove(Id send) {
-  sends_.erase(send);
+void OpenSends::Remove(Id id) {
+  sends_.erase(id);
 }
 
-OpenSends::Fate OpenSends::Judge(Send& send, const BackendInfo& listed, Time now) {
-  if (!IsLater(listed.incarnation, send.incarnation)) return Fate::kOpen;
-  if (now - send.heard_at >= kRecentActivity) return Fate::kLost;
-  if (send.doubted_at == Time{}) send.doubted_at = now;
-  if (send.heard_at - send.doubted_at < kRecentActivity) return Fate::kInDoubt;
+OpenSends::State OpenSends::UpdateState(Send& send, const BackendInfo& listed, Time now) {
+  if (!IsLater(listed.incarnation, send.incarnation)) return State::kOpen;
+  if (now - send.heard_at >= kRecentActivity) return State::kLost;
+  if (send.restart_listed_at == Time{}) send.restart_listed_at = now;
+  if (send.heard_at - send.restart_listed_at < kRecentActivity) return State::kInDoubt;
   // It goes on giving bytes, so it was sent to the new one.
   send.incarnation = listed.incarnation;
-  send.doubted_at = {};
-  return Fate::kOpen;
+  send.restart_listed_at = {};
+  return State::kOpen;
 }
 
 OpenSends::Ended OpenSends::EndOutdated(const BackendList& listed, Time now) {
   Ended ended;
   std::vector<Id> lost;
-  for (auto& [number, send] : sends_) {
+  for (auto& [id, send] : sends_) {
     const auto found = listed.find(send.backend);
     if (found == listed.end()) continue;
-    const Fate fate = Judge(send, found->second, now);
-    if (fate == Fate::kInDoubt) ++ended.in_doubt;
-    if (fate == Fate::kLost) lost.push_back(number);
+    const State state = UpdateState(send, found->second, now);
+    if (state == State::kInDoubt) ++ended.in_doubt;
+    if (state == State::kLost) lost.push_back(id);
   }
   // Not within the loop: what is lost is sent again, and so added.
-  for (const Id number : lost) {
-    auto send = sends_.extract(number);
+  for (const Id id : lost) {
+    auto send = sends_.extract(id);
     if (send.empty()) continue;
     send.mapped().on_lost();
     ++ended.lost;
--- a/src/gateway/open_sends.h
+++ b/src/gateway/open_sends.h
@@ -27,8 +27,8 @@
   using OnLost = std::function<void()>;
 
   [[nodiscard]] Id Add(const BackendAddress& backend, Time now, OnLost on_lost);
-  void RecordActivity(Id send, Time now);
-  void Remove(Id send);
+  void RecordActivity(Id id, Time now);
+  void Remove(Id id);
 
   struct Ended {
     int lost = 0;
@@ -42,14 +42,15 @@
     BackendId backend;
     BackendIncarnation incarnation;
     Time heard_at{};
-    Time doubted_at{};  // when a later incarnation was first listed; the start of time: never
+    Time
+        restart_listed_at{};  // when a later incarnation was first listed; the start of time: never
     OnLost on_lost;
   };
-  enum class Fate : std::uint8_t { kOpen, kInDoubt, kLost };
-  static Fate Judge(Send& send, const BackendInfo& listed, Time now);
+  enum class State : std::uint8_t { kOpen, kInDoubt, kLost };
+  static State UpdateState(Send& send, const BackendInfo& listed, Time now);
 
   std::map<Id, Send> sends_;
-  Id last_ = 0;
+  Id last_id_ = 0;
 };
 
 }  // namespace figmill
--- a/src/gateway/peer_messenger.cc
+++ b/src/gateway/peer_messenger.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-TrafficKind KindOf(const PeerMessage& message) {
+TrafficKind TrafficKindOf(const PeerMessage& message) {
   if (message.report) return TrafficKind::kReport;
   if (message.grant) return TrafficKind::kGrant;
   if (message.ask) return TrafficKind::kAsk;
@@ -20,19 +20,19 @@
 
 }  // namespace
 
-PeerMessenger::PeerMessenger(Loop& loop, PeerTable& peers, BackendPool& places, Metrics& metrics,
-                             TrafficMetrics& traffic, Hooks hooks)
+PeerMessenger::PeerMessenger(Loop& loop, PeerTable& peers, BackendPool& backend_pool,
+                             Metrics& metrics, TrafficMetrics& traffic, Hooks hooks)
     : loop_(loop),
       peers_(peers),
-      places_(places),
+      backend_pool_(backend_pool),
       metrics_(metrics),
       traffic_(traffic),
       datagrams_(
           metrics.counter("figmill_peer_datagrams_total", "Datagrams sent to other entries")),
       datagram_bytes_(metrics.counter("figmill_peer_bytes_total",
                                       "Bytes of datagrams sent to other entries, without headers")),
-      refused_(metrics.counter("figmill_peer_messages_refused_total",
-                               "Datagrams that are no message of an entry")),
+      refused_datagrams_(metrics.counter("figmill_peer_messages_refused_total",
+                                         "Datagrams that are no message of an entry")),
       hooks_(std::move(hooks)) {}
 
 Result<Ok> PeerMessenger::Start(const std::vector<Address>& seeds) {
@@ -41,14 +41,14 @@
       [this](std::string_view bytes, const Address& from) { OnDatagram(bytes, from); }, &metrics_);
   if (!IsOk(socket)) return ErrorOf(socket);
   socket_ = std::move(ValueOf(socket));
-  AskSeeds(seeds, PeerMessage::Wants::kAnswer);
-  seeds_timer_ = loop_.After(kStorePatience, [this, seeds] {
-    if (!listed_) AskSeeds(seeds, PeerMessage::Wants::kKnown);
+  QuerySeeds(seeds, PeerMessage::Wants::kAnswer);
+  seeds_timer_ = loop_.After(kSeedQueryDelay, [this, seeds] {
+    if (!peer_listed_) QuerySeeds(seeds, PeerMessage::Wants::kKnown);
   });
   heartbeat_ = loop_.Every(kHeartbeat, [this] { Heartbeat(); });
   watch_timer_ = loop_.Every(PeerTable::kPresence / 2, [this] { WatchPeers(); });
   grant_timer_ = loop_.Every(SlotAllocator::kCoalesce, [this] {
-    keeper_.Tick(Loop::Now());
+    allocator_.Tick(Loop::Now());
     LogEjections();
     SendGrants();
   });
@@ -56,7 +56,7 @@
 }
 
 // Who they are is not known yet, so that no message to them counts as one to a peer.
-void PeerMessenger::AskSeeds(const std::vector<Address>& seeds, PeerMessage::Wants wants) {
+void PeerMessenger::QuerySeeds(const std::vector<Address>& seeds, PeerMessage::Wants wants) {
   for (const Address& seed : seeds) {
     PeerMessage message;
     message.from = peers_.self();
@@ -68,27 +68,27 @@
 void PeerMessenger::Join() {
   if (!peers_.Joined()) return;
   Log(LogLevel::kInfo, "joined", {{"node", peers_.self().node.value}});
-  TellAll();
-  UpdateKeepers();
+  AnnounceToAll();
+  UpdateAllocators();
 }
 
-void PeerMessenger::TellAll() {
+void PeerMessenger::AnnounceToAll() {
   for (const Peer& peer : peers_.others()) Send(peer, PeerMessage{});
 }
 
 void PeerMessenger::Leave() {
   peers_.SetLeaving(true);
-  TellAll();
+  AnnounceToAll();
   Heartbeat();
 }
 
 void PeerMessenger::OnPeerListed(const Peer& peer) {
-  listed_ = true;
-  if (peer.node == peers_.self().node) return Outlive(peer.incarnation);
-  if (peers_.Named(peer)) SendQuestion(peer, PeerMessage::Wants::kAnswer);
+  peer_listed_ = true;
+  if (peer.node == peers_.self().node) return RaiseIncarnation(peer.incarnation);
+  if (peers_.Named(peer)) SendQuery(peer, PeerMessage::Wants::kAnswer);
 }
 
-void PeerMessenger::SendQuestion(const Peer& to, PeerMessage::Wants wants) {
+void PeerMessenger::SendQuery(const Peer& to, PeerMessage::Wants wants) {
   PeerMessage message;
   message.wants = wants;
   Send(to, std::move(message));
@@ -97,29 +97,29 @@
 // Lists are cut to the size of a datagram, and go on where the last one of them begins its own: so
 // that one alone is asked whom it knows. Asked of all, n entries that start together would send
 // each other n * n full lists: of 110, some 17 MB, most of it between data centres.
-void PeerMessenger::LearnOf(std::span<const Peer> peers) {
+void PeerMessenger::AddPeers(std::span<const Peer> peers) {
   std::optional<Peer> last;
   for (const Peer& peer : peers) {
     if (peer.node == peers_.self().node) {
-      Outlive(peer.incarnation);
+      RaiseIncarnation(peer.incarnation);
       continue;
     }
     if (!peers_.Named(peer)) continue;
-    if (last) SendQuestion(*last, PeerMessage::Wants::kAnswer);
+    if (last) SendQuery(*last, PeerMessage::Wants::kAnswer);
     last = peer;
   }
-  if (last) SendQuestion(*last, PeerMessage::Wants::kKnown);
+  if (last) SendQuery(*last, PeerMessage::Wants::kKnown);
 }
 
-void PeerMessenger::Outlive(Incarnation known) {
+void PeerMessenger::RaiseIncarnation(Incarnation known) {
   const Incarnation before = peers_.self().incarnation;
   if (!peers_.Outlive(known)) return;
   Log(LogLevel::kWarning, "incarnation_raised",
       {{"before", std::to_string(before)},
        {"known", std::to_string(known)},
        {"now", std::to_string(peers_.self().incarnation)}});
-  hooks_.renamed(peers_.self());
-  UpdateKeepers();
+  hooks_.self_updated(peers_.self());
+  UpdateAllocators();
   Heartbeat();
 }
 
@@ -132,8 +132,8 @@
   const std::string bytes = Encode(message);
   datagrams_.Add();
   datagram_bytes_.Add(bytes.size());
-  const Reach reach = IsNear(to) ? Reach::kSameCentre : Reach::kOtherCentre;
-  traffic_.Of(KindOf(message), reach).Add(bytes.size());
+  const Reach reach = IsLocal(to) ? Reach::kSameCentre : Reach::kOtherCentre;
+  traffic_.Of(TrafficKindOf(message), reach).Add(bytes.size());
   socket_->Send(bytes, to.address);
 }
 
@@ -152,18 +152,18 @@
 // --- In ---------------------------------------------------------------------------
 
 // Anybody may send to this port.
-void PeerMessenger::OnUnreadable(const Address& from, const std::string& why) {
-  refused_.Add();
+void PeerMessenger::OnMalformedDatagram(const Address& from, const std::string& why) {
+  refused_datagrams_.Add();
   const Time now = Loop::Now();
-  if (why == refused_why_ && now - refused_logged_at_ < kRefusalLogPause) return;
-  refused_why_ = why;
-  refused_logged_at_ = now;
+  if (why == last_refusal_ && now - last_refusal_logged_at_ < kRefusalLogInterval) return;
+  last_refusal_ = why;
+  last_refusal_logged_at_ = now;
   Log(LogLevel::kWarning, "peer_message_refused", {{"from", ToString(from)}, {"why", why}});
 }
 
 void PeerMessenger::OnDatagram(std::string_view bytes, const Address& from) {
   const Result<PeerMessage> decoded = DecodePeerMessage(bytes);
-  if (!IsOk(decoded)) return OnUnreadable(from, ErrorOf(decoded).detail);
+  if (!IsOk(decoded)) return OnMalformedDatagram(from, ErrorOf(decoded).detail);
   const PeerMessage& message = ValueOf(decoded);
   if (const Peer* later = peers_.LaterThan(message.from)) {
     // Either it came late, or its sender has to be told.
@@ -177,40 +177,40 @@
         {{"peer", message.from.node.value},
          {"incarnation", std::to_string(message.from.incarnation)},
          {"address", ToString(message.from.address)}});
-    from_keeper_.erase(message.from.node);
-    UpdateKeepers();
+    allocator_states_.erase(message.from.node);
+    UpdateAllocators();
   }
-  LearnOf(message.known);
+  AddPeers(message.known);
   if (message.wants != PeerMessage::Wants::kNothing) {
     PeerMessage answer;
     if (message.wants == PeerMessage::Wants::kKnown) answer.known = peers_.others();
     Send(message.from, std::move(answer));
   }
   if (message.report) {
-    keeper_.OnReport(message.from, IsNear(message.from), *message.report, now);
+    allocator_.OnReport(message.from, IsLocal(message.from), *message.report, now);
     SendGrants();
   }
   if (message.ask) {
-    keeper_.OnRequest(message.from.node, *message.ask, now);
+    allocator_.OnRequest(message.from.node, *message.ask, now);
     SendGrants();
   }
   if (message.grant) OnGrant(message.from, *message.grant);
-  if (message.answer) hooks_.answered(*message.answer);
-  if (message.quota_ask) hooks_.quota_asked(message.from, *message.quota_ask);
+  if (message.answer) hooks_.slot_answered(*message.answer);
+  if (message.quota_ask) hooks_.quota_requested(message.from, *message.quota_ask);
   if (message.quota_grant) hooks_.quota_granted(*message.quota_grant);
 }
 
-bool PeerMessenger::IsNear(const Peer& peer) const {
+bool PeerMessenger::IsLocal(const Peer& peer) const {
   return peer.data_centre == peers_.self().data_centre;
 }
 
 void PeerMessenger::WatchPeers() {
   const PeerTable::Watch watch = peers_.WatchOthers(Loop::Now());
-  for (const Peer& peer : watch.to_ask) SendQuestion(peer, PeerMessage::Wants::kAnswer);
+  for (const Peer& peer : watch.to_ask) SendQuery(peer, PeerMessage::Wants::kAnswer);
   for (const Peer& peer : watch.silent) {
     Log(LogLevel::kWarning, "peer_silent",
         {{"peer", peer.node.value}, {"incarnation", std::to_string(peer.incarnation)}});
-    hooks_.silent(peer);
+    hooks_.peer_silent(peer);
   }
 }
 
--- a/src/gateway/peer_messenger_slots.cc
+++ b/src/gateway/peer_messenger_slots.cc
@@ -1,4 +1,4 @@
-// How this entry and the keepers of the backend servers that it uses tell each other of places.
+// How this entry and the allocators of the backend servers that it uses tell each other of places.
 
 #include <algorithm>
 #include <utility>
@@ -15,127 +15,128 @@
 }  // namespace
 
 void PeerMessenger::SetBackends(std::vector<BackendInfo> backends) {
-  keepers_.SetBackends(std::move(backends));
-  UpdateKeepers();
+  allocator_map_.SetBackends(std::move(backends));
+  UpdateAllocators();
 }
 
 void PeerMessenger::OnGrant(const Peer& from, const PlaceGrant& grant) {
-  FromKeeper& keeper = from_keeper_[from.node];
-  keeper.heard_at = Loop::Now();
-  if (grant.number <= keeper.acted) return;
-  keeper.acted = grant.number;
-  keeper.services = grant.services;
+  AllocatorState& allocator = allocator_states_[from.node];
+  allocator.heard_at = Loop::Now();
+  if (grant.number <= allocator.applied_grant) return;
+  allocator.applied_grant = grant.number;
+  allocator.services = grant.services;
   bool changed = false;
   for (const PlaceGrant::Line& line : grant.lines) {
-    const auto mine = keeper_of_.find(line.backend);
-    if (mine == keeper_of_.end() || mine->second.node != from.node) continue;
+    const auto mine = allocator_of_.find(line.backend);
+    if (mine == allocator_of_.end() || mine->second.node != from.node) continue;
     if (!MayBeSame(line.incarnation, TagOf(line.backend))) {
-      // One of the two hasn't heard of the restart yet, and the keeper doesn't know what this
+      // One of the two hasn't heard of the restart yet, and the allocator doesn't know what this
       // entry has there: no batch item begins.
-      places_.RevokeBatchGrant(line.backend);
+      backend_pool_.RevokeBatchGrant(line.backend);
       continue;
     }
-    changed |= places_.UsageOf(line.backend).batch_allowed != line.allowed;
-    places_.ApplyGrant(line.backend,
-                       {line.online_other, line.batch_other, line.allowed, line.ejected},
-                       keeper.heard_at);
+    changed |= backend_pool_.UsageOf(line.backend).batch_allowed != line.allowed;
+    backend_pool_.ApplyGrant(line.backend,
+                             {line.online_other, line.batch_other, line.allowed, line.ejected},
+                             allocator.heard_at);
   }
   if (!changed) return;
-  owed_.insert(from.node);
+  reports_due_.insert(from.node);
   hooks_.grants_changed();
   ScheduleFlush();
 }
 
-void PeerMessenger::UpdateKeepers() {
+void PeerMessenger::UpdateAllocators() {
   const Time now = Loop::Now();
-  if (!keepers_.Update(peers_, now)) return;
-  SyncPlaces();
-  for (const auto& [id, keeper] : keepers_.used()) {
-    const auto before = keeper_of_.find(id);
-    const bool changed = before == keeper_of_.end() || before->second.node != keeper.node ||
-                         before->second.incarnation != keeper.incarnation;
+  if (!allocator_map_.Update(peers_, now)) return;
+  SyncBackendPool();
+  for (const auto& [id, allocator] : allocator_map_.used()) {
+    const auto before = allocator_of_.find(id);
+    const bool changed = before == allocator_of_.end() || before->second.node != allocator.node ||
+                         before->second.incarnation != allocator.incarnation;
     if (!changed) continue;
-    places_.RevokeBatchGrant(id);
-    touched_.insert(id);
-    from_keeper_.try_emplace(keeper.node, FromKeeper{0, now, {}, {}, {}, {}, {}});
+    backend_pool_.RevokeBatchGrant(id);
+    changed_backends_.insert(id);
+    allocator_states_.try_emplace(allocator.node, AllocatorState{0, now, {}, {}, {}, {}, {}});
   }
-  keeper_of_ = keepers_.used();
-  keeper_.SetOwnedBackends(keepers_.kept(), now);
-  if (!touched_.empty()) ScheduleFlush();
+  allocator_of_ = allocator_map_.used();
+  allocator_.SetOwnedBackends(allocator_map_.kept(), now);
+  if (!changed_backends_.empty()) ScheduleFlush();
 }
 
-void PeerMessenger::SyncPlaces() {
+void PeerMessenger::SyncBackendPool() {
   std::vector<BackendId> gone;
-  places_.ForEach([&](const BackendInfo& info, const SlotUsage& /*use*/) {
-    if (!keepers_.used().contains(info.id)) gone.push_back(info.id);
+  backend_pool_.ForEach([&](const BackendInfo& info, const SlotUsage& /*use*/) {
+    if (!allocator_map_.used().contains(info.id)) gone.push_back(info.id);
   });
-  for (const BackendId& id : gone) places_.Remove(id);
-  for (const BackendInfo& info : keepers_.used_infos()) places_.AddOrUpdate(info);
+  for (const BackendId& id : gone) backend_pool_.Remove(id);
+  for (const BackendInfo& info : allocator_map_.used_infos()) backend_pool_.AddOrUpdate(info);
 }
 
-void PeerMessenger::SuspectSilentKeepers() {
+void PeerMessenger::SuspectSilentAllocators() {
   const Time now = Loop::Now();
-  std::set<NodeId> keepers;
-  for (const auto& [backend, keeper] : keeper_of_) keepers.insert(keeper.node);
-  for (const NodeId& node : keepers) {
+  std::set<NodeId> allocators;
+  for (const auto& [backend, allocator] : allocator_of_) allocators.insert(allocator.node);
+  for (const NodeId& node : allocators) {
     if (node == peers_.self().node) continue;
-    const auto found = from_keeper_.find(node);
-    if (found == from_keeper_.end() || !IsSilent(found->second, now)) continue;
+    const auto found = allocator_states_.find(node);
+    if (found == allocator_states_.end() || !IsSilent(found->second, now)) continue;
     Log(LogLevel::kWarning, "keeper_silent", {{"peer", node.value}});
     peers_.Suspect(node);
-    from_keeper_.erase(found);
+    allocator_states_.erase(found);
   }
 }
 
-// A keeper speaks seldom to an entry that was idle; it is given the time of a busy one
+// A allocator speaks seldom to an entry that was idle; it is given the time of a busy one
 // from when this entry told it that it is.
-bool PeerMessenger::IsSilent(const FromKeeper& keeper, Time now) {
-  if (!keeper.busy_since) return now - keeper.heard_at >= kIdleKeeperSilence;
-  return now - std::max(keeper.heard_at, *keeper.busy_since) >= kKeeperSilence;
+bool PeerMessenger::IsSilent(const AllocatorState& allocator, Time now) {
+  if (!allocator.busy_since) return now - allocator.heard_at >= kIdleAllocatorTimeout;
+  return now - std::max(allocator.heard_at, *allocator.busy_since) >= kAllocatorTimeout;
 }
 
 void PeerMessenger::Heartbeat() {
-  SuspectSilentKeepers();
-  UpdateKeepers();
+  SuspectSilentAllocators();
+  UpdateAllocators();
   const Time now = Loop::Now();
-  const bool waits = !hooks_.waiting().empty();
+  const bool waits = !hooks_.waiting_items().empty();
   std::map<NodeId, std::vector<PlaceReport::Line>> lines;
-  for (const auto& [backend, keeper] : keeper_of_) lines[keeper.node].push_back(LineOf(backend));
+  for (const auto& [backend, allocator] : allocator_of_)
+    lines[allocator.node].push_back(ReportLineFor(backend));
   for (auto& [node, each] : lines) {
     const Peer* peer = peers_.Find(node);
     if (peer == nullptr) continue;
-    FromKeeper& keeper = from_keeper_[node];
+    AllocatorState& allocator = allocator_states_[node];
     const bool busy = waits || !std::all_of(each.begin(), each.end(), IsUnused);
-    if (!busy) keeper.busy_since.reset();
-    if (busy && !keeper.busy_since) keeper.busy_since = now;
-    const bool all = now - keeper.all_reported_at >= SlotAllocator::kIdleHeartbeat;
+    if (!busy) allocator.busy_since.reset();
+    if (busy && !allocator.busy_since) allocator.busy_since = now;
+    const bool all = now - allocator.full_report_at >= SlotAllocator::kIdleHeartbeat;
     if (!busy && !all) continue;
-    if (all) keeper.all_reported_at = now;
+    if (all) allocator.full_report_at = now;
     if (!all) std::erase_if(each, IsUnused);
     SendReport(*peer, {std::move(each), /*rest_unused=*/true});
   }
 }
 
-PlaceReport::Line PeerMessenger::LineOf(const BackendId& backend) const {
-  const SlotUsage use = places_.UsageOf(backend);
+PlaceReport::Line PeerMessenger::ReportLineFor(const BackendId& backend) const {
+  const SlotUsage use = backend_pool_.UsageOf(backend);
   return {backend, use.online, use.batch, use.usual_run, use.answers, use.faults, TagOf(backend)};
 }
 
 IncarnationTag PeerMessenger::TagOf(const BackendId& backend) const {
-  const BackendInfo* info = places_.Find(backend);
+  const BackendInfo* info = backend_pool_.Find(backend);
   return info == nullptr ? IncarnationTag{} : figmill::TagOf(info->incarnation);
 }
 
 void PeerMessenger::OnUsageChanged(const BackendId& backend) {
-  touched_.insert(backend);
+  changed_backends_.insert(backend);
   ScheduleFlush();
 }
 
 void PeerMessenger::OnWaitingChanged() {
-  if (std::exchange(wanted_scheduled_, true)) return;
-  loop_.Later(kTellWanted, [this] {
-    wanted_scheduled_ = false;
-    for (const auto& [backend, keeper] : keeper_of_) owed_.insert(keeper.node);
+  if (std::exchange(waiting_report_scheduled_, true)) return;
+  loop_.Later(kWaitingReportDelay, [this] {
+    waiting_report_scheduled_ = false;
+    for (const auto& [backend, allocator] : allocator_of_) reports_due_.insert(allocator.node);
     Flush();
   });
 }
@@ -149,45 +150,46 @@
 void PeerMessenger::Flush() {
   flush_scheduled_ = false;
   std::map<NodeId, ReportLines> lines;
-  for (const BackendId& backend : std::exchange(touched_, {})) {
-    const auto keeper = keeper_of_.find(backend);
-    if (keeper != keeper_of_.end()) lines[keeper->second.node].lines.push_back(LineOf(backend));
+  for (const BackendId& backend : std::exchange(changed_backends_, {})) {
+    const auto allocator = allocator_of_.find(backend);
+    if (allocator != allocator_of_.end())
+      lines[allocator->second.node].lines.push_back(ReportLineFor(backend));
   }
-  for (const NodeId& keeper : std::exchange(owed_, {})) lines[keeper];
+  for (const NodeId& allocator : std::exchange(reports_due_, {})) lines[allocator];
   for (auto& [node, each] : lines) {
-    const Peer* keeper = peers_.Find(node);
-    if (keeper != nullptr) SendReport(*keeper, std::move(each));
+    const Peer* allocator = peers_.Find(node);
+    if (allocator != nullptr) SendReport(*allocator, std::move(each));
   }
 }
 
-void PeerMessenger::SendReport(const Peer& keeper, ReportLines lines) {
+void PeerMessenger::SendReport(const Peer& allocator, ReportLines lines) {
   PlaceReport report;
   report.number = ++report_number_;
-  FromKeeper& from_keeper = from_keeper_[keeper.node];
-  report.grant = from_keeper.acted;
-  from_keeper.reported_at = Loop::Now();
-  report.asked = std::exchange(from_keeper.asks_acted, {});
-  report.waiting = hooks_.waiting();
+  AllocatorState& state = allocator_states_[allocator.node];
+  report.grant = state.applied_grant;
+  state.reported_at = Loop::Now();
+  report.asked = std::exchange(state.unreported_acks, {});
+  report.waiting = hooks_.waiting_items();
   report.lines = std::move(lines.lines);
   report.rest_unused = lines.rest_unused;
-  if (keeper.node == peers_.self().node) {
-    keeper_.OnReport(keeper, /*near=*/true, report, Loop::Now());
+  if (allocator.node == peers_.self().node) {
+    allocator_.OnReport(allocator, /*local=*/true, report, Loop::Now());
     return SendGrants();
   }
   PeerMessage message;
   message.report = std::move(report);
-  Send(keeper, std::move(message));
+  Send(allocator, std::move(message));
 }
 
 void PeerMessenger::SendGrants() {
-  for (SlotAllocator::Outgoing& outgoing : keeper_.TakeOutgoing(Loop::Now())) {
+  for (SlotAllocator::Outgoing& outgoing : allocator_.TakeOutgoing(Loop::Now())) {
     const Peer* peer = peers_.Find(outgoing.to);
     if (peer == nullptr) continue;
     if (peer->node == peers_.self().node) {
       if (outgoing.grant) OnGrant(*peer, *outgoing.grant);
       if (outgoing.answer) {
         // Not within the ask itself.
-        loop_.Post([this, answer = *outgoing.answer] { hooks_.answered(answer); });
+        loop_.Post([this, answer = *outgoing.answer] { hooks_.slot_answered(answer); });
       }
       continue;
     }
@@ -199,7 +201,7 @@
 }
 
 void PeerMessenger::LogEjections() {
-  for (const SlotAllocator::Ejection& each : keeper_.TakeEjections()) {
+  for (const SlotAllocator::Ejection& each : allocator_.TakeEjections()) {
     Log(LogLevel::kWarning, each.ejected ? "backend_ejected" : "backend_readmitted",
         {{"backend", each.backend.value},
          {"service", each.service.value},
@@ -208,62 +210,62 @@
   }
 }
 
-void PeerMessenger::Ask(const NodeId& keeper, const PlaceAsk& ask) {
-  if (keeper == peers_.self().node) {
-    keeper_.OnRequest(keeper, ask, Loop::Now());
+void PeerMessenger::RequestSlot(const NodeId& allocator, const PlaceAsk& ask) {
+  if (allocator == peers_.self().node) {
+    allocator_.OnRequest(allocator, ask, Loop::Now());
     return SendGrants();
   }
-  const Peer* peer = peers_.Find(keeper);
+  const Peer* peer = peers_.Find(allocator);
   if (peer == nullptr) return;
   PeerMessage message;
   message.ask = ask;
   Send(*peer, std::move(message));
 }
 
-void PeerMessenger::ActedOn(const NodeId& keeper, std::uint64_t ask) {
-  from_keeper_[keeper].asks_acted.push_back(ask);
-  owed_.insert(keeper);
+void PeerMessenger::AcknowledgeAnswer(const NodeId& allocator, std::uint64_t ask) {
+  allocator_states_[allocator].unreported_acks.push_back(ask);
+  reports_due_.insert(allocator);
   ScheduleFlush();
 }
 
-// What a keeper elsewhere tells of all that it keeps is newer than what it tells line by line.
-void PeerMessenger::TakeToldUse(const NodeId& keeper, const ServiceName& service,
-                                KeeperShare& share) const {
-  const auto from = from_keeper_.find(keeper);
-  if (from == from_keeper_.end()) return;
+// What a allocator elsewhere tells of all that it keeps is newer than what it tells line by line.
+void PeerMessenger::ApplyServiceUsage(const NodeId& allocator, const ServiceName& service,
+                                      AllocatorShare& share) const {
+  const auto from = allocator_states_.find(allocator);
+  if (from == allocator_states_.end()) return;
   for (const PlaceGrant::ServiceUse& use : from->second.services) {
     if (use.service != service || use.places == 0) continue;
-    share.places = use.places;
+    share.slots = use.places;
     share.free = std::max(0, use.places - use.online);
   }
 }
 
-std::vector<NodeId> PeerMessenger::KeepersFor(const ServiceName& service,
-                                              std::span<const BackendId> tried) const {
-  std::map<NodeId, KeeperShare> shares;
-  places_.ForEach([&](const BackendInfo& info, const SlotUsage& use) {
-    const auto keeper = keeper_of_.find(info.id);
+std::vector<NodeId> PeerMessenger::AllocatorsFor(const ServiceName& service,
+                                                 std::span<const BackendId> tried) const {
+  std::map<NodeId, AllocatorShare> shares;
+  backend_pool_.ForEach([&](const BackendInfo& info, const SlotUsage& use) {
+    const auto allocator = allocator_of_.find(info.id);
     const bool usable = info.service == service && info.state == BackendState::kReady &&
                         std::find(tried.begin(), tried.end(), info.id) == tried.end();
-    if (keeper == keeper_of_.end() || !usable) return;
-    KeeperShare& share = shares[keeper->second.node];
-    share.places += info.slots;
+    if (allocator == allocator_of_.end() || !usable) return;
+    AllocatorShare& share = shares[allocator->second.node];
+    share.slots += info.slots;
     share.free += std::max(0, info.slots - use.online - use.online_other);
-    share.near = info.data_centre == peers_.self().data_centre;
+    share.local = info.data_centre == peers_.self().data_centre;
   });
   std::vector<std::pair<double, NodeId>> order;
   order.reserve(shares.size());
   for (auto& [node, share] : shares) {
-    TakeToldUse(node, service, share);
-    const double free = static_cast<double>(share.free) / share.places;
-    order.emplace_back(free + (share.near && share.free > 0 ? kNearShare : 0), node);
+    ApplyServiceUsage(node, service, share);
+    const double free = static_cast<double>(share.free) / share.slots;
+    order.emplace_back(free + (share.local && share.free > 0 ? kLocalPreference : 0), node);
   }
   std::sort(order.begin(), order.end(),
             [](const auto& a, const auto& b) { return a.first > b.first; });
-  std::vector<NodeId> keepers;
-  keepers.reserve(order.size());
-  for (auto& [free, node] : order) keepers.push_back(std::move(node));
-  return keepers;
+  std::vector<NodeId> allocators;
+  allocators.reserve(order.size());
+  for (auto& [free, node] : order) allocators.push_back(std::move(node));
+  return allocators;
 }
 
 }  // namespace figmill
--- a/src/gateway/relay_call.cc
+++ b/src/gateway/relay_call.cc
@@ -11,7 +11,7 @@
 
 // A caller that is told before this share of its goal has passed still can be in time when it
 // comes back.
-constexpr int kPromptShare = 4;
+constexpr int kLateRefusalDivisor = 4;
 constexpr int kFirstSuccess = 200;
 constexpr int kLastSuccess = 299;
 // A connection within a data centre region takes a few ms; a host that is gone
@@ -23,7 +23,7 @@
   return known_at == Time{} ? std::string() : Milliseconds(Loop::Now() - known_at);
 }
 
-bool IsOfOneConnection(std::string_view name) {
+bool IsHopByHopHeader(std::string_view name) {
   for (const std::string_view each :
        {"Connection", "Keep-Alive", "Transfer-Encoding", "Content-Length", "Trailer", "TE",
         "Upgrade", "Proxy-Connection"}) {
@@ -34,76 +34,77 @@
 
 }  // namespace
 
-Counter& BackendBytesCounter(RelayContext& tools, TrafficKind kind, const BackendId& backend) {
-  const Reach reach = tools.backends.IsLocal(backend) ? Reach::kSameCentre : Reach::kOtherCentre;
-  return tools.traffic.Of(kind, reach);
+Counter& BackendBytesCounter(RelayContext& context, TrafficKind kind, const BackendId& backend) {
+  const Reach reach = context.backends.IsLocal(backend) ? Reach::kSameCentre : Reach::kOtherCentre;
+  return context.traffic.Of(kind, reach);
 }
 
-RelayCall::RelayCall(RelayContext& tools, RelayPlan plan, RelayedRequest request,
-                     std::shared_ptr<HttpReply> reply, std::function<void()> finished)
-    : tools_(tools),
-      run_(std::move(plan)),
+RelayCall::RelayCall(RelayContext& context, RelayPlan plan, RelayedRequest request,
+                     std::shared_ptr<HttpReply> reply, std::function<void()> on_finished)
+    : context_(context),
+      state_machine_(std::move(plan)),
       request_(std::move(request)),
       reply_(std::move(reply)),
-      finished_(std::move(finished)),
+      on_finished_(std::move(on_finished)),
       started_at_(Loop::Now()) {}
 
 void RelayCall::Start() {
   reply_->OnClosed([self = shared_from_this()] {
     self->Step(relay::CallerDisconnected{});
-    self->Finished("caller_left", "");
+    self->Complete("caller_left", "");
   });
   if (!request_.team) return Step(relay::Start{});
-  tools_.teams.Admit(*request_.team, run_.plan().deadline - started_at_,
-                     [self = shared_from_this()](const Result<quota::Admitted>& verdict) {
-                       self->OnQuota(verdict);
-                     });
+  context_.teams.Admit(*request_.team, state_machine_.plan().deadline - started_at_,
+                       [self = shared_from_this()](const Result<quota::Admitted>& decision) {
+                         self->OnQuotaDecision(decision);
+                       });
 }
 
-void RelayCall::OnQuota(const Result<quota::Admitted>& verdict) {
-  const bool caller_left = !finished_;
-  if (!IsOk(verdict)) {
-    if (!caller_left) Do(relay::SendError{ErrorOf(verdict)});
+void RelayCall::OnQuotaDecision(const Result<quota::Admitted>& decision) {
+  const bool caller_disconnected = !on_finished_;
+  if (!IsOk(decision)) {
+    if (!caller_disconnected) Do(relay::SendError{ErrorOf(decision)});
     return;
   }
-  const auto& admitted = std::get<quota::Admitted>(verdict);
-  if (caller_left) return tools_.teams.Refund(*request_.team, admitted);
+  const auto& admitted = std::get<quota::Admitted>(decision);
+  if (caller_disconnected) return context_.teams.Refund(*request_.team, admitted);
   charged_ = admitted;
   Step(relay::Start{});
 }
 
 void RelayCall::Step(const relay::Event& event) {
   const auto keep = shared_from_this();
-  std::vector<relay::Action> actions = run_.Step(Loop::Now(), event);
+  std::vector<relay::Action> actions = state_machine_.Step(Loop::Now(), event);
   for (relay::Action& action : actions) {
     std::visit([this](auto& each) { Do(each); }, action);
   }
 }
 
 void RelayCall::Do(const relay::ChooseBackend& action) {
-  if (const std::optional<Error> why = Quarantined()) return Step(relay::NoBackend{*why});
+  if (const std::optional<Error> why = QuarantineError()) return Step(relay::NoBackend{*why});
   const Time now = Loop::Now();
-  SlotFinder::Need need;
-  need.query.service = request_.service;
-  need.query.tried = action.tried;
-  need.time_left = run_.plan().deadline - now;
-  need.goal_left = std::max(request_.goal_at - now, Duration{0});
-  need.last_chance = request_.last_chance || action.resumes;
-  search_ = tools_.slot_finder.Find(need, [weak = weak_from_this()](Result<BackendAddress> place) {
-    if (const auto self = weak.lock()) self->OnPlace(std::move(place));
-  });
+  SlotFinder::Request request;
+  request.query.service = request_.service;
+  request.query.tried = action.tried;
+  request.time_left = state_machine_.plan().deadline - now;
+  request.goal_left = std::max(request_.goal_deadline - now, Duration{0});
+  request.last_try = request_.last_try || action.resumes;
+  search_ =
+      context_.slot_finder.Find(request, [weak = weak_from_this()](Result<BackendAddress> found) {
+        if (const auto self = weak.lock()) self->OnBackendFound(std::move(found));
+      });
 }
 
-void RelayCall::OnPlace(Result<BackendAddress> place) {
-  if (!IsOk(place)) return Step(relay::NoBackend{ErrorOf(place)});
-  // It may have waited for the place while others of its kind crashed backend servers.
-  if (const std::optional<Error> why = Quarantined()) return Step(relay::NoBackend{*why});
-  Step(relay::BackendChosen{ValueOf(place)});
+void RelayCall::OnBackendFound(Result<BackendAddress> found) {
+  if (!IsOk(found)) return Step(relay::NoBackend{ErrorOf(found)});
+  // It may have waited for the found while others of its kind crashed backend servers.
+  if (const std::optional<Error> why = QuarantineError()) return Step(relay::NoBackend{*why});
+  Step(relay::BackendChosen{ValueOf(found)});
 }
 
-std::optional<Error> RelayCall::Quarantined() {
-  if (!tools_.crash_tracker.has_quarantined()) return std::nullopt;
-  return tools_.crash_tracker.QuarantineError(Fingerprint(), WorkClass::kOnline);
+std::optional<Error> RelayCall::QuarantineError() {
+  if (!context_.crash_tracker.has_quarantined()) return std::nullopt;
+  return context_.crash_tracker.QuarantineError(Fingerprint(), WorkClass::kOnline);
 }
 
 const RequestFingerprint& RelayCall::Fingerprint() {
@@ -114,7 +115,7 @@
   return *fingerprint_;
 }
 
-HttpCall RelayCall::CallFor(const relay::Send& action) const {
+HttpCall RelayCall::MakeHttpCall(const relay::Send& action) const {
   HttpCall call;
   call.method = request_.method;
   call.to = action.backend.address;
@@ -123,18 +124,19 @@
   call.connect_timeout = std::min(kConnectTimeout, std::max(action.time_left, Duration{1'000}));
   call.headers = request_.headers;
   const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(action.time_left);
-  call.headers.push_back({tools_.names.deadline_ms, std::to_string(left.count())});
-  call.headers.push_back({tools_.names.expect_backend, action.backend.id.value});
-  if (action.after_event) call.headers.push_back({tools_.names.last_event_id, *action.after_event});
-  call.bytes = &BackendBytesCounter(tools_, TrafficKind::kOnline, action.backend.id);
+  call.headers.push_back({context_.names.deadline_ms, std::to_string(left.count())});
+  call.headers.push_back({context_.names.expect_backend, action.backend.id.value});
+  if (action.after_event)
+    call.headers.push_back({context_.names.last_event_id, *action.after_event});
+  call.bytes = &BackendBytesCounter(context_, TrafficKind::kOnline, action.backend.id);
   return call;
 }
 
 void RelayCall::Do(const relay::Send& action) {
   sent_to_ = action.backend;
-  const SlotUsage use = tools_.backends.UsageOf(action.backend.id);
+  const SlotUsage use = context_.backends.UsageOf(action.backend.id);
   Log(LogLevel::kInfo, "placed",
-      {{"request", run_.plan().request.value},
+      {{"request", state_machine_.plan().request.value},
        {"send", std::to_string(action.send)},
        {"backend", sent_to_.id.value},
        {"online", std::to_string(use.online)},
@@ -148,33 +150,34 @@
 
 void RelayCall::BeginSend(const relay::Send& action) {
   sent_at_ = Loop::Now();
-  if (tools_.crash_tracker.has_quarantined()) tools_.crash_tracker.RecordStart(Fingerprint());
-  place_ = tools_.backends.AcquireSlot(action.backend.id, WorkClass::kOnline, sent_at_);
-  open_send_ = tools_.open_sends.Add(action.backend, sent_at_,
-                                     [weak = weak_from_this(), send = action.send] {
-                                       const auto self = weak.lock();
-                                       if (!self) return;
-                                       self->tools_.crash_tracker.ReportRestart(self->LostSend());
-                                       self->Step(relay::BackendRestarted{send});
-                                     });
-  cancel_ = tools_.client.Start(CallFor(action),
-                                [self = shared_from_this(), send = action.send](HttpEvent event) {
-                                  self->OnHttp(send, std::move(event));
-                                });
+  if (context_.crash_tracker.has_quarantined()) context_.crash_tracker.RecordStart(Fingerprint());
+  slot_ = context_.backends.AcquireSlot(action.backend.id, WorkClass::kOnline, sent_at_);
+  open_send_id_ = context_.open_sends.Add(
+      action.backend, sent_at_, [weak = weak_from_this(), send = action.send] {
+        const auto self = weak.lock();
+        if (!self) return;
+        self->context_.crash_tracker.ReportRestart(self->MakeLostSend());
+        self->Step(relay::BackendRestarted{send});
+      });
+  cancel_ = context_.client.Start(MakeHttpCall(action),
+                                  [self = shared_from_this(), send = action.send](HttpEvent event) {
+                                    self->OnHttpEvent(send, std::move(event));
+                                  });
 }
 
-void RelayCall::OnHttp(SendNumber send, HttpEvent event) {
-  const HeaderNames& names = tools_.names;
+void RelayCall::OnHttpEvent(SendNumber send, HttpEvent event) {
+  const HeaderNames& names = context_.names;
   if (!std::holds_alternative<HttpFailure>(event)) {
-    tools_.backends.RecordActivity(place_, Loop::Now());
-    tools_.open_sends.RecordActivity(open_send_, Loop::Now());
+    context_.backends.RecordActivity(slot_, Loop::Now());
+    context_.open_sends.RecordActivity(open_send_id_, Loop::Now());
   }
   std::visit(Overloaded{
                  [&](HttpHead& head) {
                    const bool not_run =
                        !head.HeaderOr(names.not_run).empty() || head.status == kMisdirected;
                    const std::string_view id = head.HeaderOr(names.request_id);
-                   const AnswerIdMatch answered = MatchAnswerId(id, run_.plan().request.value);
+                   const AnswerIdMatch answered =
+                       MatchAnswerId(id, state_machine_.plan().request.value);
                    Step(relay::Head{send, std::move(head), not_run, answered});
                  },
                  [&](const HttpBytes& bytes) {
@@ -191,32 +194,32 @@
 }
 
 void RelayCall::OnConnectionLost(SendNumber send, std::string why) {
-  tools_.crash_tracker.CheckBackend(LostSend(),
-                                    [weak = weak_from_this(), send, why = std::move(why)] {
-                                      if (const auto self = weak.lock())
-                                        self->Step(relay::SendFailed{send, true, why});
-                                    });
+  context_.crash_tracker.CheckBackend(MakeLostSend(),
+                                      [weak = weak_from_this(), send, why = std::move(why)] {
+                                        if (const auto self = weak.lock())
+                                          self->Step(relay::SendFailed{send, true, why});
+                                      });
 }
 
-CrashTracker::LostSend RelayCall::LostSend() {
-  return {run_.plan().request.value, Fingerprint(), sent_to_, sent_at_};
+CrashTracker::LostSend RelayCall::MakeLostSend() {
+  return {state_machine_.plan().request.value, Fingerprint(), sent_to_, sent_at_};
 }
 
 void RelayCall::OnWholeAnswer(int status) {
   const bool success = status >= kFirstSuccess && status <= kLastSuccess;
-  if (success && tools_.crash_tracker.has_reports())
-    tools_.crash_tracker.RecordCompletion(Fingerprint());
+  if (success && context_.crash_tracker.has_reports())
+    context_.crash_tracker.RecordCompletion(Fingerprint());
 }
 
 void RelayCall::Do(const relay::CloseSend& action) {
   if (const CancelCall cancel = std::exchange(cancel_, nullptr)) cancel();
   const Time now = Loop::Now();
-  tools_.open_sends.Remove(open_send_);
-  tools_.backends.ReleaseSlot(place_, action.end, now - sent_at_, now);
-  tools_.metrics.SendEnded(action.end);
+  context_.open_sends.Remove(open_send_id_);
+  context_.backends.ReleaseSlot(slot_, action.end, now - sent_at_, now);
+  context_.metrics.SendEnded(action.end);
   if (action.end == relay::SendEnd::kAnswered) return;
   Log(LogLevel::kInfo, "send_over",
-      {{"request", run_.plan().request.value},
+      {{"request", state_machine_.plan().request.value},
        {"send", std::to_string(action.send)},
        {"backend", action.backend.id.value},
        {"end", std::string(relay::ToString(action.end))},
@@ -224,20 +227,20 @@
        {"after_ms", Milliseconds(now - started_at_)}});
 }
 
-HttpResponse RelayCall::ResponseOf(HttpHead head, std::string body) const {
+HttpResponse RelayCall::MakeResponse(HttpHead head, std::string body) const {
   HttpResponse response;
   response.status = head.status;
   response.content_type.clear();
-  std::erase_if(head.headers, [](const Header& header) { return IsOfOneConnection(header.name); });
+  std::erase_if(head.headers, [](const Header& header) { return IsHopByHopHeader(header.name); });
   response.headers = std::move(head.headers);
   response.body = std::move(body);
-  response.close = tools_.leaving;
+  response.close = context_.leaving;
   return response;
 }
 
 void RelayCall::Do(const relay::ForwardHead& action) {
   status_ = action.head.status;
-  reply_->Begin(ResponseOf(action.head, {}));
+  reply_->Begin(MakeResponse(action.head, {}));
 }
 
 void RelayCall::Do(relay::ForwardBytes& action) {
@@ -246,77 +249,77 @@
 
 void RelayCall::Do(relay::ForwardAnswer& action) {
   status_ = action.head.status;
-  reply_->Send(ResponseOf(std::move(action.head), std::move(action.body)));
+  reply_->Send(MakeResponse(std::move(action.head), std::move(action.body)));
   OnWholeAnswer(status_);
-  Finished("answered", "");
+  Complete("answered", "");
 }
 
 void RelayCall::Do(const relay::Finish& /*action*/) {
   reply_->End();
   OnWholeAnswer(status_);
-  Finished("answered", "");
+  Complete("answered", "");
 }
 
 void RelayCall::Do(const relay::SendError& action) {
-  if (charged_ && action.error.ran == Ran::kNo) tools_.teams.Refund(*request_.team, *charged_);
+  if (charged_ && action.error.ran == Ran::kNo) context_.teams.Refund(*request_.team, *charged_);
   HttpResponse response = ErrorResponseFor(action.error);
-  response.close = tools_.leaving;
+  response.close = context_.leaving;
   status_ = response.status;
   retry_after_ = action.error.retry_after.value_or(Duration{0});
   reply_->Send(std::move(response));
-  const Duration goal = request_.goal_at - started_at_;
-  if (Loop::Now() - started_at_ > goal / kPromptShare) tools_.metrics.RefusedLate();
-  Finished("refused", action.error.detail);
+  const Duration goal = request_.goal_deadline - started_at_;
+  if (Loop::Now() - started_at_ > goal / kLateRefusalDivisor) context_.metrics.RefusedLate();
+  Complete("refused", action.error.detail);
 }
 
 void RelayCall::Do(const relay::AbortAnswer& action) {
   reply_->Abort();
-  Finished("broken_off", action.error.detail);
+  Complete("broken_off", action.error.detail);
 }
 
 // Most moves of the timer are to a later time: then it fires early and is set again.
 void RelayCall::Do(const relay::SetTimer& action) {
-  wanted_at_ = action.at;
-  if (timer_armed_ && timer_at_ <= wanted_at_) return;
+  timer_deadline_ = action.at;
+  if (timer_armed_ && timer_at_ <= timer_deadline_) return;
   ArmTimer();
 }
 
 void RelayCall::ArmTimer() {
   timer_armed_ = true;
-  timer_at_ = wanted_at_;
-  timer_ =
-      tools_.loop.After(std::max(wanted_at_ - Loop::Now(), Duration{0}), [weak = weak_from_this()] {
-        const auto self = weak.lock();
-        if (!self) return;
-        self->timer_armed_ = false;
-        if (Loop::Now() < self->wanted_at_) return self->ArmTimer();
-        self->Step(relay::TimerFired{});
-      });
+  timer_at_ = timer_deadline_;
+  timer_ = context_.loop.After(std::max(timer_deadline_ - Loop::Now(), Duration{0}),
+                               [weak = weak_from_this()] {
+                                 const auto self = weak.lock();
+                                 if (!self) return;
+                                 self->timer_armed_ = false;
+                                 if (Loop::Now() < self->timer_deadline_) return self->ArmTimer();
+                                 self->Step(relay::TimerFired{});
+                               });
 }
 
-void RelayCall::Finished(std::string_view outcome, const std::string& why) {
-  if (!finished_) return;
+void RelayCall::Complete(std::string_view outcome, const std::string& why) {
+  if (!on_finished_) return;
   timer_.Reset();
   search_.reset();
   const Time now = Loop::Now();
   const Duration first = first_byte_at_ == Time{} ? Duration{0} : first_byte_at_ - started_at_;
-  tools_.metrics.RequestEnded(outcome, now - started_at_, first);
+  context_.metrics.RequestEnded(outcome, now - started_at_, first);
   Log(LogLevel::kInfo, "request",
-      {{"request", run_.plan().request.value},
+      {{"request", state_machine_.plan().request.value},
        {"route", request_.route},
        {"team", request_.team.value_or(TeamId{}).value},
        {"config", std::to_string(request_.config_version)},
        {"outcome", std::string(outcome)},
        {"status", std::to_string(status_)},
        {"backend", sent_to_.id.value},
-       {"backends", std::to_string(run_.backends_used())},
-       {"events", std::to_string(run_.events_forwarded())},
+       {"backends", std::to_string(state_machine_.backends_used())},
+       {"events", std::to_string(state_machine_.events_forwarded())},
        {"first_ms", first.count() == 0 ? "" : Milliseconds(first)},
        {"ms", Milliseconds(now - started_at_)},
        {"retry_after_ms", retry_after_.count() == 0 ? "" : Milliseconds(retry_after_)},
        {"why", why}});
   reply_->OnClosed(nullptr);
-  std::exchange(finished_, nullptr)();
+  std::exchange(on_finished_, nullptr)();
 }
 
 }  // namespace figmill
--- a/src/gateway/relay_call.h
+++ b/src/gateway/relay_call.h
@@ -37,7 +37,7 @@
 };
 
 // Where a call's bytes to a backend server are counted.
-[[nodiscard]] Counter& BackendBytesCounter(RelayContext& tools, TrafficKind kind,
+[[nodiscard]] Counter& BackendBytesCounter(RelayContext& context, TrafficKind kind,
                                            const BackendId& backend);
 
 // One request as its caller sent it.
@@ -50,21 +50,21 @@
   std::optional<TeamId> team;  // whose key it carried, if callers need keys
   std::string route;
   std::uint64_t config_version = 0;
-  Time goal_at{};            // its first answer is late after this
-  bool last_chance = false;  // its caller has been refused before
+  Time goal_deadline{};   // its first answer is late after this
+  bool last_try = false;  // its caller has been refused before
 };
 
 class RelayCall : public std::enable_shared_from_this<RelayCall> {
  public:
-  RelayCall(RelayContext& tools, RelayPlan plan, RelayedRequest request,
-            std::shared_ptr<HttpReply> reply, std::function<void()> finished);
+  RelayCall(RelayContext& context, RelayPlan plan, RelayedRequest request,
+            std::shared_ptr<HttpReply> reply, std::function<void()> on_finished);
 
   void Start();
 
  private:
   void Step(const relay::Event& event);
   // Its team has a request left, or none.
-  void OnQuota(const Result<quota::Admitted>& verdict);
+  void OnQuotaDecision(const Result<quota::Admitted>& decision);
   void Do(const relay::ChooseBackend& action);
   void Do(const relay::Send& action);
   void Do(const relay::CloseSend& action);
@@ -75,34 +75,34 @@
   void Do(const relay::SendError& action);
   void Do(const relay::AbortAnswer& action);
   void Do(const relay::SetTimer& action);
-  void OnHttp(SendNumber send, HttpEvent event);
+  void OnHttpEvent(SendNumber send, HttpEvent event);
   void BeginSend(const relay::Send& action);
   // A backend server was chosen, or there is none.
-  void OnPlace(Result<BackendAddress> place);
+  void OnBackendFound(Result<BackendAddress> found);
   // Tells the run once it is known whether the backend server has crashed, so that it doesn't
   // go on to the next one with a request that crashes them.
   void OnConnectionLost(SendNumber send, std::string why);
   void OnWholeAnswer(int status);
-  [[nodiscard]] std::optional<Error> Quarantined();
+  [[nodiscard]] std::optional<Error> QuarantineError();
   [[nodiscard]] const RequestFingerprint& Fingerprint();
-  [[nodiscard]] CrashTracker::LostSend LostSend();
-  void Finished(std::string_view outcome, const std::string& why);
-  [[nodiscard]] HttpCall CallFor(const relay::Send& action) const;
-  [[nodiscard]] HttpResponse ResponseOf(HttpHead head, std::string body) const;
+  [[nodiscard]] CrashTracker::LostSend MakeLostSend();
+  void Complete(std::string_view outcome, const std::string& why);
+  [[nodiscard]] HttpCall MakeHttpCall(const relay::Send& action) const;
+  [[nodiscard]] HttpResponse MakeResponse(HttpHead head, std::string body) const;
   void ArmTimer();
 
-  RelayContext& tools_;
-  RelayStateMachine run_;
+  RelayContext& context_;
+  RelayStateMachine state_machine_;
   RelayedRequest request_;
   std::shared_ptr<HttpReply> reply_;
-  std::function<void()> finished_;
+  std::function<void()> on_finished_;
   CancelCall cancel_;
-  AcquiredSlot place_;
-  OpenSends::Id open_send_ = 0;
+  AcquiredSlot slot_;
+  OpenSends::Id open_send_id_ = 0;
   std::shared_ptr<SlotFinder::Search> search_;
   Timer timer_;
   Time timer_at_{};
-  Time wanted_at_{};
+  Time timer_deadline_{};
   bool timer_armed_ = false;
   Time started_at_{};
   Time sent_at_{};
--- a/src/gateway/request_dispatcher.cc
+++ b/src/gateway/request_dispatcher.cc
@@ -11,24 +11,24 @@
 namespace {
 
 // Another entry can take the request at once; the time is for its connection.
-constexpr Duration kOtherEntry{50'000};
+constexpr Duration kOtherEntryRetryDelay{50'000};
 // A process that starts hears of the configuration within about this.
-constexpr Duration kFirstConfiguration{500'000};
+constexpr Duration kConfigurationRetryDelay{500'000};
 
 // A request that may be repeated is tried elsewhere after a silence of so many times the
 // time in which its first answer is due. Most first events come in a tenth of that time.
-constexpr int kSilentGoals = 3;
+constexpr int kFirstByteTimeoutFactor = 3;
 // The same within a stream, in pauses that are still in time.
-constexpr int kSilentGaps = 2;
+constexpr int kNextByteTimeoutFactor = 2;
 
-std::optional<Duration> DeadlineOf(std::string_view text) {
+std::optional<Duration> ParseDeadline(std::string_view text) {
   std::int64_t ms = 0;
   const auto [end, failure] = std::from_chars(text.data(), text.data() + text.size(), ms);
   if (failure != std::errc{} || end == text.data() || ms < 0) return std::nullopt;
   return std::chrono::milliseconds(ms);
 }
 
-bool IsReplaced(const HeaderNames& names, std::string_view header) {
+bool IsReplacedHeader(const HeaderNames& names, std::string_view header) {
   for (const std::string_view each :
        {std::string_view("Connection"), std::string_view("Keep-Alive"),
         std::string_view("Transfer-Encoding"), std::string_view("Content-Length"),
@@ -42,38 +42,39 @@
 
 }  // namespace
 
-RequestDispatcher::RequestDispatcher(RelayContext& tools, const PlatformAdapter& adapter,
+RequestDispatcher::RequestDispatcher(RelayContext& context, const PlatformAdapter& adapter,
                                      JobDesk& jobs, RandomBits random)
-    : tools_(tools), adapter_(adapter), jobs_(jobs), random_(std::move(random)) {}
+    : context_(context), adapter_(adapter), jobs_(jobs), random_(std::move(random)) {}
 
 void RequestDispatcher::Update(std::shared_ptr<const FleetView> view) {
   const bool routes_changed = !view_ || view_->routes != view->routes;
   view_ = std::move(view);
   // Callers may begin with less time under other routes; by what they began with before, all of
   // them would be taken for second tries.
-  if (routes_changed) first_tries_ = {};
+  if (routes_changed) retry_detector_ = {};
 }
 
 void RequestDispatcher::SetLeaving() {
-  tools_.leaving = true;
+  context_.leaving = true;
 }
 
 void RequestDispatcher::OnRequest(HttpRequest request, std::shared_ptr<HttpReply> reply) {
   if (refusing_) {
-    return Refuse(request, *reply,
-                  {ErrorKind::kLeaving, "this entry is shutting down", Ran::kNo, kOtherEntry});
-  }
-  if (!ready()) {
     return Refuse(
         request, *reply,
-        {ErrorKind::kNoBackend, "no configuration is known yet", Ran::kNo, kFirstConfiguration});
+        {ErrorKind::kLeaving, "this entry is shutting down", Ran::kNo, kOtherEntryRetryDelay});
+  }
+  if (!ready()) {
+    return Refuse(request, *reply,
+                  {ErrorKind::kNoBackend, "no configuration is known yet", Ran::kNo,
+                   kConfigurationRetryDelay});
   }
   const std::optional<Result<JobCall>> call = adapter_.ParseJobCall(request);
   const Route* route = call ? nullptr : view_->routes->Find(request.HeaderOr("Host"), request.path);
   if (!call && route == nullptr) {
     return Refuse(request, *reply, {ErrorKind::kNotFound, "no route for this host and path"});
   }
-  const Result<std::optional<TeamId>> identified = tools_.teams.Identify(request, route);
+  const Result<std::optional<TeamId>> identified = context_.teams.Identify(request, route);
   if (!IsOk(identified)) return Refuse(request, *reply, ErrorOf(identified));
   const auto& team = std::get<std::optional<TeamId>>(identified);
   if (call) {
@@ -89,47 +90,47 @@
 
 void RequestDispatcher::Refuse(const HttpRequest& request, HttpReply& reply,
                                const Error& error) const {
-  tools_.metrics.RequestEnded("refused", Duration{0}, Duration{0});
+  context_.metrics.RequestEnded("refused", Duration{0}, Duration{0});
   HttpResponse response = ErrorResponseFor(error);
-  response.close = tools_.leaving;
+  response.close = context_.leaving;
   Log(LogLevel::kInfo, "request",
-      {{"request", std::string(request.HeaderOr(tools_.names.request_id))},
+      {{"request", std::string(request.HeaderOr(context_.names.request_id))},
        {"outcome", "refused"},
        {"status", std::to_string(response.status)},
        {"ms", "0"},
        {"host", std::string(request.HeaderOr("Host"))},
        {"path", request.path},
        {"config", view_ && view_->routes ? std::to_string(view_->routes->version()) : "none"},
-       {"config_age_ms", Milliseconds(tools_.teams.config_age().value_or(Duration{0}))},
+       {"config_age_ms", Milliseconds(context_.teams.config_age().value_or(Duration{0}))},
        {"why", error.detail}});
   reply.Send(std::move(response));
 }
 
-RelayPlan RequestDispatcher::PlanOf(const Route& route, const HttpRequest& request) const {
+RelayPlan RequestDispatcher::MakePlan(const Route& route, const HttpRequest& request) const {
   RelayPlan plan;
-  plan.request = RequestId{std::string(request.HeaderOr(tools_.names.request_id))};
+  plan.request = RequestId{std::string(request.HeaderOr(context_.names.request_id))};
   plan.idempotent = IsIdempotent(route);
   plan.stream = route.kind == RouteKind::kStream;
   plan.resumable = route.resumable;
   plan.max_backends = route.max_backends;
-  Duration patience = route.timeout;
-  if (const auto deadline = DeadlineOf(request.HeaderOr(tools_.names.deadline_ms))) {
-    patience = std::min(patience, *deadline);
+  Duration timeout = route.timeout;
+  if (const auto deadline = ParseDeadline(request.HeaderOr(context_.names.deadline_ms))) {
+    timeout = std::min(timeout, *deadline);
   }
-  plan.deadline = Loop::Now() + patience;
-  plan.first_byte_timeout = route.latency_goal * kSilentGoals;
-  plan.next_byte_timeout = route.event_gap * kSilentGaps;
-  const std::string_view after = request.HeaderOr(tools_.names.last_event_id);
+  plan.deadline = Loop::Now() + timeout;
+  plan.first_byte_timeout = route.latency_goal * kFirstByteTimeoutFactor;
+  plan.next_byte_timeout = route.event_gap * kNextByteTimeoutFactor;
+  const std::string_view after = request.HeaderOr(context_.names.last_event_id);
   if (!after.empty()) plan.after_event = std::string(after);
   return plan;
 }
 
-std::vector<Header> RequestDispatcher::HeadersFor(const std::optional<TeamId>& team,
-                                                  std::vector<Header> headers) const {
-  const HeaderNames& names = tools_.names;
-  const bool has_teams = view_->routes->teams() != nullptr;
-  std::erase_if(headers, [&names, has_teams](const Header& header) {
-    return IsReplaced(names, header.name) || (has_teams && IsTeamHeader(names, header.name));
+std::vector<Header> RequestDispatcher::ForwardedHeaders(const std::optional<TeamId>& team,
+                                                        std::vector<Header> headers) const {
+  const HeaderNames& names = context_.names;
+  const bool needs_keys = view_->routes->teams() != nullptr;
+  std::erase_if(headers, [&names, needs_keys](const Header& header) {
+    return IsReplacedHeader(names, header.name) || (needs_keys && IsTeamHeader(names, header.name));
   });
   if (team) headers.push_back({names.team, team->value});
   return headers;
@@ -137,22 +138,22 @@
 
 void RequestDispatcher::Relay(const Route& route, std::optional<TeamId> team, HttpRequest request,
                               std::shared_ptr<HttpReply> reply) {
-  RelayPlan plan = PlanOf(route, request);
+  RelayPlan plan = MakePlan(route, request);
   RelayedRequest relayed;
   relayed.method = std::move(request.method);
   relayed.target = request.path;
   if (!request.query.empty()) relayed.target += "?" + request.query;
-  relayed.goal_at = Loop::Now() + route.latency_goal;
+  relayed.goal_deadline = Loop::Now() + route.latency_goal;
   const Time now = Loop::Now();
-  relayed.last_chance = first_tries_.IsRetry(route.name, plan.deadline - now, now);
+  relayed.last_try = retry_detector_.IsRetry(route.name, plan.deadline - now, now);
   relayed.service = ChooseService(route, random_());
   relayed.route = route.name;
   relayed.config_version = view_->routes->version();
   relayed.body = std::move(request.body);
-  relayed.headers = HeadersFor(team, std::move(request.headers));
+  relayed.headers = ForwardedHeaders(team, std::move(request.headers));
   relayed.team = std::move(team);
   ++in_flight_;
-  const auto call = std::make_shared<RelayCall>(tools_, std::move(plan), std::move(relayed),
+  const auto call = std::make_shared<RelayCall>(context_, std::move(plan), std::move(relayed),
                                                 std::move(reply), [this] { --in_flight_; });
   call->Start();
 }
--- a/src/gateway/request_dispatcher.h
+++ b/src/gateway/request_dispatcher.h
@@ -15,7 +15,7 @@
 
 class RequestDispatcher {
  public:
-  RequestDispatcher(RelayContext& tools, const PlatformAdapter& adapter, JobDesk& jobs,
+  RequestDispatcher(RelayContext& context, const PlatformAdapter& adapter, JobDesk& jobs,
                     RandomBits random);
 
   void Update(std::shared_ptr<const FleetView> view);
@@ -36,17 +36,17 @@
              std::shared_ptr<HttpReply> reply);
   // What is sent on of a request's headers. With teams the caller's key stays here, and whose
   // request it is says the key, whatever the caller says.
-  [[nodiscard]] std::vector<Header> HeadersFor(const std::optional<TeamId>& team,
-                                               std::vector<Header> headers) const;
+  [[nodiscard]] std::vector<Header> ForwardedHeaders(const std::optional<TeamId>& team,
+                                                     std::vector<Header> headers) const;
   void Refuse(const HttpRequest& request, HttpReply& reply, const Error& error) const;
-  [[nodiscard]] RelayPlan PlanOf(const Route& route, const HttpRequest& request) const;
+  [[nodiscard]] RelayPlan MakePlan(const Route& route, const HttpRequest& request) const;
 
-  RelayContext& tools_;
+  RelayContext& context_;
   const PlatformAdapter& adapter_;
   JobDesk& jobs_;
   RandomBits random_;
   std::shared_ptr<const FleetView> view_;
-  RetryDetector first_tries_;
+  RetryDetector retry_detector_;
   std::size_t in_flight_ = 0;
   bool refusing_ = false;
 };
--- a/src/gateway/slot_finder.cc
+++ b/src/gateway/slot_finder.cc
@@ -6,37 +6,38 @@
 
 class SlotFinder::Search : public std::enable_shared_from_this<Search> {
  public:
-  Search(SlotFinder& finder, const Need& need, SlotSearch search, Done done)
+  Search(SlotFinder& finder, const Request& request, SlotSearch search, Done done)
       : finder_(finder),
-        service_(need.query.service),
-        tried_(need.query.tried.begin(), need.query.tried.end()),
+        service_(request.query.service),
+        tried_(request.query.tried.begin(), request.query.tried.end()),
         search_(std::move(search)),
         done_(std::move(done)) {}
   ~Search() {
     finder_.searches_.erase(search_.number());
     // A keeper may hold a place for this request that nobody will use.
-    if (done_ && !keeper_.empty()) finder_.link_.ActedOn(keeper_, search_.number());
+    if (done_ && !allocator_.empty())
+      finder_.messenger_.AcknowledgeAnswer(allocator_, search_.number());
   }
   Search(const Search&) = delete;
   Search& operator=(const Search&) = delete;
 
-  void Start() { Do(search_.Start(Loop::Now())); }
+  void Start() { Execute(search_.Start(Loop::Now())); }
   void OnAnswer(const PlaceAnswer& answer) {
-    if (done_) Do(search_.OnEvent(search::Answered{answer}, Loop::Now()));
+    if (done_) Execute(search_.OnEvent(search::Answered{answer}, Loop::Now()));
   }
 
  private:
-  void Do(const search::Action& action) {
-    std::visit([this](const auto& each) { On(each); }, action);
+  void Execute(const search::Action& action) {
+    std::visit([this](const auto& each) { Execute(each); }, action);
   }
-  void On(const search::AskAllocator& ask) {
-    keeper_ = ask.allocator;
-    Arm(ask.timeout);
-    finder_.link_.Ask(ask.allocator, ask.request);
+  void Execute(const search::AskAllocator& ask) {
+    allocator_ = ask.allocator;
+    ArmTimer(ask.timeout);
+    finder_.messenger_.RequestSlot(ask.allocator, ask.request);
   }
-  void On(const search::Wait& wait) { Arm(wait.timeout); }
-  void On(const search::UseSlot& take) {
-    finder_.link_.ActedOn(keeper_, search_.number());
+  void Execute(const search::Wait& wait) { ArmTimer(wait.timeout); }
+  void Execute(const search::UseSlot& take) {
+    finder_.messenger_.AcknowledgeAnswer(allocator_, search_.number());
     const BackendInfo* info = finder_.places_.Find(take.backend);
     if (info != nullptr && finder_.places_.IsUsable(take.backend, Loop::Now())) {
       return Finish(AddressOf(*info));
@@ -45,28 +46,29 @@
     const bool leaves = info == nullptr || info->state != BackendState::kReady;
     Log(LogLevel::kInfo, "place_refused",
         {{"backend", take.backend.value},
-         {"keeper", keeper_.value},
+         {"keeper", allocator_.value},
          {"why", leaves ? "it is leaving" : "it fails or is silent here"}});
     tried_.push_back(take.backend);
-    On(search::ChooseLocally{});
+    Execute(search::ChooseLocally{});
   }
-  void On(const search::ChooseLocally& /*action*/) {
+  void Execute(const search::ChooseLocally& /*action*/) {
     BackendQuery query;
     query.service = service_;
     query.tried = tried_;
     Finish(finder_.places_.Choose(query, Loop::Now()));
   }
-  void On(const search::RefuseRequest& give_up) {
+  void Execute(const search::RefuseRequest& give_up) {
     Finish(Error{ErrorKind::kOverloaded, "all places are taken", Ran::kNo, give_up.wait});
   }
   void Finish(Result<BackendAddress> result) {
     timer_.Reset();
     std::exchange(done_, nullptr)(std::move(result));
   }
-  void Arm(Duration patience) {
-    timer_ = finder_.loop_.After(patience, [weak = weak_from_this()] {
+  void ArmTimer(Duration timeout) {
+    timer_ = finder_.loop_.After(timeout, [weak = weak_from_this()] {
       const auto self = weak.lock();
-      if (self && self->done_) self->Do(self->search_.OnEvent(search::TimedOut{}, Loop::Now()));
+      if (self && self->done_)
+        self->Execute(self->search_.OnEvent(search::TimedOut{}, Loop::Now()));
     });
   }
 
@@ -75,46 +77,47 @@
   std::vector<BackendId> tried_;
   SlotSearch search_;
   Done done_;
-  NodeId keeper_;
+  NodeId allocator_;
   Timer timer_;
 };
 
-SlotFinder::SlotFinder(Loop& loop, BackendPool& places, PeerMessenger& link)
-    : loop_(loop), places_(places), link_(link) {}
+SlotFinder::SlotFinder(Loop& loop, BackendPool& places, PeerMessenger& messenger)
+    : loop_(loop), places_(places), messenger_(messenger) {}
 
-std::shared_ptr<SlotFinder::Search> SlotFinder::Find(const Need& need, Done done) {
+std::shared_ptr<SlotFinder::Search> SlotFinder::Find(const Request& request, Done done) {
   const Time now = Loop::Now();
-  if (const auto roomy = places_.ChooseLightlyLoaded(need.query, kRoomy, now)) {
-    done(*roomy);
+  if (const auto lightly_loaded =
+          places_.ChooseLightlyLoaded(request.query, kLightLoadShare, now)) {
+    done(*lightly_loaded);
     return nullptr;
   }
-  const std::vector<BackendId> not_there = NotThere(need.query, now);
-  std::vector<NodeId> keepers = link_.KeepersFor(need.query.service, not_there);
-  if (keepers.empty()) {
-    done(places_.Choose(need.query, now));
+  const std::vector<BackendId> excluded = BackendsToExclude(request.query, now);
+  std::vector<NodeId> allocators = messenger_.AllocatorsFor(request.query.service, excluded);
+  if (allocators.empty()) {
+    done(places_.Choose(request.query, now));
     return nullptr;
   }
   PlaceAsk ask;
-  ask.number = ++next_ask_;
-  ask.service = need.query.service;
-  ask.goal_left = need.goal_left;
-  ask.time_left = need.time_left;
-  ask.last_chance = need.last_chance;
-  ask.tried = not_there;
+  ask.number = ++last_request_number_;
+  ask.service = request.query.service;
+  ask.goal_left = request.goal_left;
+  ask.time_left = request.time_left;
+  ask.last_chance = request.last_try;
+  ask.tried = excluded;
   auto search = std::make_shared<Search>(
-      *this, need, SlotSearch(std::move(ask), std::move(keepers), now), std::move(done));
-  searches_[next_ask_] = search;
+      *this, request, SlotSearch(std::move(ask), std::move(allocators), now), std::move(done));
+  searches_[last_request_number_] = search;
   search->Start();
   return search;
 }
 
-std::vector<BackendId> SlotFinder::NotThere(const BackendQuery& query, Time now) const {
-  std::vector<BackendId> not_there(query.tried.begin(), query.tried.end());
+std::vector<BackendId> SlotFinder::BackendsToExclude(const BackendQuery& query, Time now) const {
+  std::vector<BackendId> excluded(query.tried.begin(), query.tried.end());
   for (BackendId& id : places_.ExcludedBackends(query, now)) {
-    if (not_there.size() >= kMostNotThere) break;
-    not_there.push_back(std::move(id));
+    if (excluded.size() >= kMaxExcludedBackends) break;
+    excluded.push_back(std::move(id));
   }
-  return not_there;
+  return excluded;
 }
 
 void SlotFinder::OnAnswer(const PlaceAnswer& answer) {
--- a/src/gateway/team_access.cc
+++ b/src/gateway/team_access.cc
@@ -8,7 +8,7 @@
 namespace figmill {
 namespace {
 
-constexpr Duration kWatchEntries{100'000};
+constexpr Duration kEntryCheckInterval{100'000};
 
 std::string OwnerKey(const TeamId& team) {
   return "quota/" + team.value;
@@ -16,17 +16,17 @@
 
 }  // namespace
 
-TeamAccess::TeamAccess(Loop& loop, PeerTable& peers, PeerMessenger& link, Metrics& metrics,
+TeamAccess::TeamAccess(Loop& loop, PeerTable& peers, PeerMessenger& messenger, Metrics& metrics,
                        const TeamSettings& settings)
     : loop_(loop),
       peers_(peers),
-      link_(link),
+      messenger_(messenger),
       metrics_(metrics),
-      lease_(settings.key_lease()),
-      client_(settings.quota),
-      owner_(Now()),
-      watched_at_(Now()) {
-  watch_timer_ = loop_.Every(kWatchEntries, [this] { WatchEntries(); });
+      key_lease_(settings.key_lease()),
+      quota_client_(settings.quota),
+      quota_owner_(Now()),
+      checked_at_(Now()) {
+  entry_check_timer_ = loop_.Every(kEntryCheckInterval, [this] { CheckEntries(); });
 }
 
 void TeamAccess::SetRoutes(std::shared_ptr<const RouteTable> routes) {
@@ -34,9 +34,9 @@
 }
 
 void TeamAccess::Confirm(Duration asked_at) {
-  const bool held = ready();
-  lease_.Confirm(asked_at);
-  if (!held && ready()) {
+  const bool were_confirmed = ready();
+  key_lease_.Confirm(asked_at);
+  if (!were_confirmed && ready()) {
     Log(LogLevel::kInfo, "keys_confirmed",
         {{"age_ms", Milliseconds(Loop::SinceBoot() - asked_at)}});
   }
@@ -44,14 +44,14 @@
 
 bool TeamAccess::ready() const {
   const bool needs_keys = routes_ && routes_->teams() != nullptr;
-  return !needs_keys || lease_.Holds(Loop::SinceBoot());
+  return !needs_keys || key_lease_.Holds(Loop::SinceBoot());
 }
 
 std::optional<Duration> TeamAccess::config_age() const {
-  return lease_.Age(Loop::SinceBoot());
+  return key_lease_.Age(Loop::SinceBoot());
 }
 
-void TeamAccess::Count(std::string_view outcome) {
+void TeamAccess::CountDecision(std::string_view outcome) {
   metrics_
       .counter("figmill_team_decisions_total", "Requests by what their key or quota allowed",
                "outcome=\"" + std::string(outcome) + "\"")
@@ -69,16 +69,16 @@
   if (open && team == nullptr) return std::optional<TeamId>{};
   // An old configuration may lack the key, or still have one that was taken away.
   if (!ready()) {
-    Count("keys_unconfirmed");
+    CountDecision("keys_unconfirmed");
     return Error{ErrorKind::kStoreUnavailable, "the teams' keys were not confirmed for too long",
-                 Ran::kNo, kUnconfirmedPause};
+                 Ran::kNo, kUnconfirmedRetryDelay};
   }
   if (!IsOk(key)) {
-    Count("no_key");
+    CountDecision("no_key");
     return ErrorOf(key);
   }
   if (team == nullptr) {
-    Count("unknown_key");
+    CountDecision("unknown_key");
     return Error{ErrorKind::kUnauthorized, "no team holds this key", Ran::kNo};
   }
   return std::optional<TeamId>{team->name};
@@ -96,17 +96,17 @@
   const Team* team = TeamOf(name);
   if (team == nullptr || !team->limited()) return done(quota::Admitted{Now()});
   const Owner& owner = OwnerOf(name);
-  const std::uint64_t ticket = ++tickets_;
-  const quota::Verdict verdict =
-      client_.Admit(*team, {entries_, owner.free}, {ticket, time_left}, Now());
+  const std::uint64_t ticket = ++last_ticket_;
+  const quota::Verdict verdict = quota_client_.Admit(*team, {entry_count_, owner.may_admit_locally},
+                                                     {ticket, time_left}, Now());
   std::visit(Overloaded{
                  [&](const quota::Admitted& admitted) {
-                   Count("admitted");
+                   CountDecision("admitted");
                    done(admitted);
                  },
-                 [&](const quota::Waits&) { waiting_.emplace(ticket, std::move(done)); },
+                 [&](const quota::Waits&) { pending_admissions_.emplace(ticket, std::move(done)); },
                  [&](const Error& error) {
-                   Count(RowOf(error.kind).name);
+                   CountDecision(RowOf(error.kind).name);
                    done(error);
                  },
              },
@@ -115,11 +115,11 @@
 }
 
 void TeamAccess::Refund(const TeamId& team, const quota::Admitted& admitted) {
-  client_.GiveBack(team, admitted.charged_at, Now());
+  quota_client_.GiveBack(team, admitted.charged_at, Now());
 }
 
 void TeamAccess::OnQuotaGrant(const QuotaGrant& grant) {
-  client_.OnGrant(grant, Now());
+  quota_client_.OnGrant(grant, Now());
   Flush();
 }
 
@@ -127,13 +127,14 @@
 void TeamAccess::Flush() {
   if (std::exchange(flushing_, true)) return;
   for (bool more = true; more;) {
-    const std::vector<QuotaAsk> asks = client_.TakeAsks();
-    for (const QuotaAsk& ask : asks) Ask(ask);
-    std::vector<quota::Decision> decisions = client_.TakeDecisions();
+    const std::vector<QuotaAsk> asks = quota_client_.TakeAsks();
+    for (const QuotaAsk& ask : asks) RequestCredits(ask);
+    std::vector<quota::Decision> decisions = quota_client_.TakeDecisions();
     for (const quota::Decision& decision : decisions) {
-      auto waiting = waiting_.extract(decision.ticket);
+      auto waiting = pending_admissions_.extract(decision.ticket);
       if (waiting.empty()) continue;
-      Count(IsOk(decision.verdict) ? "admitted" : RowOf(ErrorOf(decision.verdict).kind).name);
+      CountDecision(IsOk(decision.verdict) ? "admitted"
+                                           : RowOf(ErrorOf(decision.verdict).kind).name);
       waiting.mapped()(decision.verdict);
     }
     more = !asks.empty() || !decisions.empty();
@@ -142,18 +143,18 @@
   ArmTimer();
 }
 
-void TeamAccess::Ask(const QuotaAsk& ask) {
+void TeamAccess::RequestCredits(const QuotaAsk& ask) {
   const Owner& owner = OwnerOf(ask.team);
   if (!owner.peer) return;
-  if (owner.peer->node == peers_.self().node) return client_.OnGrant(GrantOf(ask), Now());
-  link_.SendQuota(*owner.peer, ask);
+  if (owner.peer->node == peers_.self().node) return quota_client_.OnGrant(MakeGrant(ask), Now());
+  messenger_.SendQuota(*owner.peer, ask);
 }
 
 void TeamAccess::ArmTimer() {
-  if (!client_.waits() || std::exchange(timer_armed_, true)) return;
-  timer_ = loop_.After(QuotaClient::kAskAgain / 2, [this] {
+  if (!quota_client_.waits() || std::exchange(timer_armed_, true)) return;
+  quota_timer_ = loop_.After(QuotaClient::kAskAgain / 2, [this] {
     timer_armed_ = false;
-    client_.OnTime(Now());
+    quota_client_.OnTime(Now());
     Flush();
   });
 }
@@ -161,23 +162,23 @@
 // --- Quotas at their owner --------------------------------------------------------------
 
 void TeamAccess::OnQuotaRequest(const Peer& from, const QuotaAsk& ask) {
-  link_.SendQuota(from, GrantOf(ask));
+  messenger_.SendQuota(from, MakeGrant(ask));
 }
 
-QuotaGrant TeamAccess::GrantOf(const QuotaAsk& ask) {
+QuotaGrant TeamAccess::MakeGrant(const QuotaAsk& ask) {
   QuotaGrant grant{ask.number, ask.team, false, 0, Duration{0}, Duration{0}};
   // Before anything is kept for its name: anybody may send to the port of the peers.
   const Team* team = TeamOf(ask.team);
   if (team == nullptr || !team->limited()) return grant;
   const std::optional<Peer>& owner = OwnerOf(ask.team).peer;
   const bool owned = owner && owner->node == peers_.self().node && MayOwn();
-  if (owned) grant = owner_.Grant(ask, *team, Now());
+  if (owned) grant = quota_owner_.Grant(ask, *team, Now());
   return grant;
 }
 
 bool TeamAccess::MayOwn() {
-  const std::optional<Duration> age = lease_.Age(Loop::SinceBoot());
-  return (age && *age < kOwnerConfirm) || peers_.HearsMost(Loop::Now());
+  const std::optional<Duration> age = key_lease_.Age(Loop::SinceBoot());
+  return (age && *age < kOwnershipConfirmationTtl) || peers_.HearsMost(Loop::Now());
 }
 
 const TeamAccess::Owner& TeamAccess::OwnerOf(const TeamId& team) {
@@ -193,13 +194,13 @@
     return peer.node == peers_.self().node;
   });
   const auto rank = static_cast<std::size_t>(self - ranked.begin());
-  return {ranked.front(), self != ranked.end() && rank < client_.bounds().FreeEntries()};
+  return {ranked.front(), self != ranked.end() && rank < quota_client_.bounds().FreeEntries()};
 }
 
-void TeamAccess::WatchEntries() {
-  const Time last_watched = std::exchange(watched_at_, Now());
-  if (watched_at_ - last_watched > kStoodStill || !MayOwn()) owner_.Restart(Now());
-  CountEntries();
+void TeamAccess::CheckEntries() {
+  const Time last_checked = std::exchange(checked_at_, Now());
+  if (checked_at_ - last_checked > kStallThreshold || !MayOwn()) quota_owner_.Restart(Now());
+  UpdateEntryCount();
   const Time now = Loop::Now();
   const std::uint64_t generation = peers_.Generation(now);
   if (generation == peers_generation_) return;
@@ -208,9 +209,9 @@
     const std::optional<Peer> before = std::exchange(owner, FindOwner(team)).peer;
     const bool same = before && owner.peer && before->node == owner.peer->node &&
                       before->incarnation == owner.peer->incarnation;
-    if (!same) client_.OnOwnerChanged(team);
+    if (!same) quota_client_.OnOwnerChanged(team);
   }
-  owner_.OnEntriesChanged(
+  quota_owner_.OnEntriesChanged(
       [this](const TeamId& team) {
         const std::optional<Peer>& owner = OwnerOf(team).peer;
         return owner && owner->node == peers_.self().node;
@@ -218,11 +219,11 @@
       Now());
 }
 
-void TeamAccess::CountEntries() {
+void TeamAccess::UpdateEntryCount() {
   const std::size_t live = peers_.Live(Loop::Now()).size();
-  if (live < entries_ && Now() - most_entries_at_ < kEntriesRemembered) return;
-  entries_ = live;
-  most_entries_at_ = Now();
+  if (live < entry_count_ && Now() - entry_count_at_ < kEntryCountWindow) return;
+  entry_count_ = live;
+  entry_count_at_ = Now();
 }
 
 }  // namespace figmill
--- a/src/gateway/team_access.h
+++ b/src/gateway/team_access.h
@@ -22,16 +22,17 @@
  public:
   // Without a word of the store for so long, and with most of the other entries silent, an entry
   // grants no credits: it may be cut off, and another one be the owner.
-  static constexpr Duration kOwnerConfirm{3'000'000};
-  // Later than this, a check that is due each kWatchEntries shows that the process stood still.
-  static constexpr Duration kStoodStill{1'000'000};
+  static constexpr Duration kOwnershipConfirmationTtl{3'000'000};
+  // Later than this, a check that is due each kEntryCheckInterval shows that the process stood
+  // still.
+  static constexpr Duration kStallThreshold{1'000'000};
   // An entry that is cut off believes the others to be gone. Its part of a quota is reckoned by all
   // that were there within this time.
-  static constexpr Duration kEntriesRemembered{60'000'000};
+  static constexpr Duration kEntryCountWindow{60'000'000};
   // After a configuration whose age is over its bound, callers come back this soon.
-  static constexpr Duration kUnconfirmedPause{500'000};
+  static constexpr Duration kUnconfirmedRetryDelay{500'000};
 
-  TeamAccess(Loop& loop, PeerTable& peers, PeerMessenger& link, Metrics& metrics,
+  TeamAccess(Loop& loop, PeerTable& peers, PeerMessenger& messenger, Metrics& metrics,
              const TeamSettings& settings);
 
   void SetRoutes(std::shared_ptr<const RouteTable> routes);
@@ -58,8 +59,8 @@
 
  private:
   struct Owner {
-    std::optional<Peer> peer;  // nothing: no entry can be one now
-    bool free = false;         // this entry may admit a request on its own
+    std::optional<Peer> peer;        // nothing: no entry can be one now
+    bool may_admit_locally = false;  // this entry may admit a request on its own
   };
 
   // By the clock that quotas and the age of keys go by.
@@ -68,33 +69,33 @@
   [[nodiscard]] const Owner& OwnerOf(const TeamId& team);
   [[nodiscard]] Owner FindOwner(const TeamId& team) const;
   [[nodiscard]] bool MayOwn();
-  [[nodiscard]] QuotaGrant GrantOf(const QuotaAsk& ask);
-  void WatchEntries();
-  void CountEntries();
+  [[nodiscard]] QuotaGrant MakeGrant(const QuotaAsk& ask);
+  void CheckEntries();
+  void UpdateEntryCount();
   // Sends what the client wants to ask, and tells what it has decided.
   void Flush();
-  void Ask(const QuotaAsk& ask);
+  void RequestCredits(const QuotaAsk& ask);
   void ArmTimer();
-  void Count(std::string_view outcome);
+  void CountDecision(std::string_view outcome);
 
   Loop& loop_;
   PeerTable& peers_;
-  PeerMessenger& link_;
+  PeerMessenger& messenger_;
   Metrics& metrics_;
   std::shared_ptr<const RouteTable> routes_;
-  KeyLease lease_;
-  QuotaClient client_;
-  QuotaOwner owner_;
+  KeyLease key_lease_;
+  QuotaClient quota_client_;
+  QuotaOwner quota_owner_;
   std::map<TeamId, Owner> owners_;
-  std::size_t entries_ = 1;  // the most that were there lately
-  Time most_entries_at_{};
+  std::size_t entry_count_ = 1;  // the most that were there lately
+  Time entry_count_at_{};
   std::uint64_t peers_generation_ = 0;
-  Time watched_at_{};
-  std::uint64_t tickets_ = 0;
-  std::map<std::uint64_t, std::function<void(const Result<quota::Admitted>&)>> waiting_;
+  Time checked_at_{};
+  std::uint64_t last_ticket_ = 0;
+  std::map<std::uint64_t, std::function<void(const Result<quota::Admitted>&)>> pending_admissions_;
   bool flushing_ = false;
   bool timer_armed_ = false;
-  Timer timer_, watch_timer_;
+  Timer quota_timer_, entry_check_timer_;
 };
 
 }  // namespace figmill
--- a/test/gateway-fakes.h
+++ b/test/gateway-fakes.h
@@ -1,7 +1,7 @@
 #pragma once
 
 // A table service in memory, whose answers the test can lose, refuse or age, and a
-// loop that runs until a condition holds.
+// loop that runs until a condition conditions_met.
 
 #include <doctest/doctest.h>
 
@@ -15,11 +15,11 @@
 
 namespace figmill::fake {
 
-// Runs the loop until `done` holds; fails the test when that takes too long.
+// Runs the loop until `done` conditions_met; fails the test when that takes too long.
 inline void RunUntil(Loop& loop, const std::function<bool()>& done,
-                     Duration bound = Duration{5'000'000}) {
-  const Time end = Loop::Now() + bound;
-  const Timer poll = loop.Every(Duration{1'000}, [&] {
+                     Duration timeout = Duration{5'000'000}) {
+  const Time end = Loop::Now() + timeout;
+  const Timer check = loop.Every(Duration{1'000}, [&] {
     if (done() || Loop::Now() >= end) loop.Stop();
   });
   loop.Run();
@@ -58,18 +58,18 @@
   void Commit(TableTransaction transaction, std::function<void(TableOutcome)> done) override {
     ++commits;
     if (refuse) return Later([done] { done(NotWritten{"refused"}); });
-    if (unresponsive) return Later([done] { done(FateUnknown{"no answer"}); }, kSilence);
+    if (unresponsive) return Later([done] { done(FateUnknown{"no answer"}); }, kLostAnswerDelay);
     TableOutcome outcome = Apply(transaction);
     if (lose_answers > 0) {
       --lose_answers;
-      return Later([done] { done(FateUnknown{"no answer"}); }, kSilence);
+      return Later([done] { done(FateUnknown{"no answer"}); }, kLostAnswerDelay);
     }
     Later([done, outcome] { done(outcome); });
   }
 
   void Read(TableRange range, std::function<void(Result<TablePage>)> done) override {
     ++reads;
-    if (refuse || unresponsive) return Later([done] { done(Down()); });
+    if (refuse || unresponsive) return Later([done] { done(Unavailable()); });
     TablePage page;
     for (const auto& [at, row] : data_.rows) {
       if (at.table != range.table || at.part != range.part || at.key < range.from) continue;
@@ -91,25 +91,26 @@
   void Follow(std::string table, RowVersion after, Duration wait,
               std::function<void(FeedOutcome)> done) override {
     feed_waits.push_back(wait);
-    Poll(std::move(table), after, Loop::Now() + wait, std::move(done));
+    PollFeed(std::move(table), after, Loop::Now() + wait, std::move(done));
   }
 
  private:
-  static constexpr Duration kSilence{300'000};
+  static constexpr Duration kLostAnswerDelay{300'000};
 
   // With a start of its own, as in any other host.
   static StoreTime Clock() {
     static const Time kStart = Loop::Now();
     return Loop::Now() - kStart + std::chrono::seconds(1);
   }
-  static Error Down() { return {ErrorKind::kStoreUnavailable, "down"}; }
+  static Error Unavailable() { return {ErrorKind::kStoreUnavailable, "down"}; }
 
   void Later(std::function<void()> task, Duration delay = Duration{500}) {
     loop_.Later(delay, std::move(task));
   }
 
-  void Poll(std::string table, RowVersion after, Time end, std::function<void(FeedOutcome)> done) {
-    if (refuse || unresponsive) return Later([done] { done(Down()); });
+  void PollFeed(std::string table, RowVersion after, Time end,
+                std::function<void(FeedOutcome)> done) {
+    if (refuse || unresponsive) return Later([done] { done(Unavailable()); });
     TableChanges changes;
     if (!feed_stalled) {
       for (const TableRow& row : data_.history) {
@@ -117,7 +118,7 @@
       }
     }
     if (changes.rows.empty() && Loop::Now() < end) {
-      return Later([this, table, after, end, done] { Poll(table, after, end, done); },
+      return Later([this, table, after, end, done] { PollFeed(table, after, end, done); },
                    Duration{2'000});
     }
     changes.version = feed_stalled ? after : data_.version;
@@ -127,14 +128,14 @@
 
   TableOutcome Apply(const TableTransaction& transaction) {
     TableRejected rejected;
-    bool holds = true;
+    bool conditions_met = true;
     for (const TableCondition& condition : transaction.conditions) {
       const auto found = data_.rows.find(condition.at);
       const RowVersion version = found == data_.rows.end() ? 0 : found->second.version;
-      holds &= version == condition.version;
+      conditions_met &= version == condition.version;
       if (found != data_.rows.end()) rejected.current.push_back(found->second);
     }
-    if (!holds) return rejected;
+    if (!conditions_met) return rejected;
     ++data_.version;
     for (const TablePut& put : transaction.puts) {
       data_.rows[put.at] = {put.at, put.value, data_.version, false};
