--- a/src/gateway/crash_tracker.cc
+++ b/src/gateway/crash_tracker.cc
@@ -33,10 +33,10 @@
       refused_rows_(metrics, {"crash_report", "crash_report_refused", "row"}),
       reports_counter_(
           metrics.counter("figmill_crashes_reported_total",
-                          "Requests reported for the end of a backend server that ran them")),
+                          "Requests reported as running on a backend server that crashed")),
       quarantined_gauge_(
           metrics.gauge("figmill_requests_quarantined",
-                        "Requests that are not run for the crashes that followed them")),
+                        "Requests in quarantine after repeated crashes of backend servers")),
       follower_(
           loop, tables, kTable, {""}, [this](const TableMirror::Change& change) { OnRow(change); },
           [] {}) {}
@@ -116,7 +116,7 @@
   if (change.row == nullptr) {
     refused_rows_.Forget(change.at.key);
     const Result<Crash> crash = ParseCrashKey(change.at.key);
-    if (!IsOk(crash)) return;  // it was refused when it came
+    if (!IsOk(crash)) return;  // the row was rejected when it was read
     quarantine_.Remove(ValueOf(crash));
     return LogChange(ValueOf(crash).request, before);
   }
@@ -131,7 +131,7 @@
 
 void CrashTracker::Write(const Crash& crash, std::optional<std::string> value) {
   pending_rows_[RowKeyOf(crash)] = std::move(value);
-  // What a backend server's end brings up goes out together.
+  // Reports caused by the end of one backend server are written together.
   loop_.Post([this] { Flush(); });
 }
 
@@ -156,12 +156,13 @@
                  });
 }
 
-// A write that may have rows effect is repeated: it is the same the second time.
+// A write whose outcome is unknown is retried, because writing the same rows twice has no further
+// effect.
 void CrashTracker::OnWritten(std::map<std::string, std::optional<std::string>> written,
                              const TableOutcome& outcome) {
   writing_ = false;
   if (std::holds_alternative<TableCommitted>(outcome)) return Flush();
-  pending_rows_.merge(written);  // keeps what is newer
+  pending_rows_.merge(written);  // doesn't overwrite newer values
   loop_.Later(kRetryDelay, [this] { Flush(); });
 }
 
--- a/src/gateway/crash_tracker.h
+++ b/src/gateway/crash_tracker.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Finds out which backend servers have crashed under a request, tells all entries by the table
-// service, and knows which requests are in quarantine for it.
+// Detects backend servers that crashed while they ran a request, reports the crashes to all entries
+// through the table service, and tracks which requests are in quarantine.
 
 #include <functional>
 #include <map>
@@ -17,16 +17,16 @@
 
 class CrashTracker {
  public:
-  // A process that has ended refuses connections within a round trip. A host that doesn't answer
-  // may be busy or cut off, and says nothing of the request.
+  // The port of a process that has ended refuses a connection within a round trip. A host that
+  // doesn't answer may be busy or partitioned, which is no evidence against the request.
   static constexpr Duration kDialTimeout{50'000};
   static constexpr Duration kRetryDelay{300'000};
-  // Rows that one transaction writes.
+  // Limit on the rows written in one transaction.
   static constexpr std::size_t kMaxRowsPerTransaction = 50;
 
-  // A send whose connection was lost before its answer was whole.
+  // A send whose connection was lost before the response was complete.
   struct LostSend {
-    std::string id;  // of the request's attempt, or of the item
+    std::string id;  // of the request attempt or of the batch item
     RequestFingerprint request;
     BackendAddress backend;
     Time started_at{};
@@ -36,20 +36,22 @@
                NodeId self);
 
   void Start() { follower_.Start(); }
-  // Calls `done` once it is known whether the backend server still listens, never inside this
-  // call. If it doesn't, the crash is reported before.
+  // Checks whether the backend server still accepts connections and then calls `done`, never from
+  // within this call. If the connection is refused, the crash is reported before `done` is called.
   void CheckBackend(LostSend lost, std::function<void()> done);
-  // The backend server has ended, as its entry in the list says.
+  // Reports a crash of a backend server whose row in the list shows a later incarnation.
   void ReportRestart(const LostSend& lost);
 
-  // Callers need no fingerprint while nothing is in quarantine.
+  // Whether any request is in quarantine; if not, fingerprints need not be computed.
   [[nodiscard]] bool has_quarantined() const { return quarantine_.quarantined() > 0; }
-  // Why the request may not run now, and until when.
+  // The error for a request that is in quarantine, with the remaining time; nullopt if it may run.
   [[nodiscard]] std::optional<Error> QuarantineError(const RequestFingerprint& request,
                                                      WorkClass work) const;
+  // A run of the request starts.
   void RecordStart(const RequestFingerprint& request);
-  // A run ended with its whole answer.
+  // Whether there are crash reports that RecordCompletion could withdraw.
   [[nodiscard]] bool has_reports() const { return quarantine_.reports() > 0; }
+  // A run of the request ended with a complete response: its crash reports are withdrawn.
   void RecordCompletion(const RequestFingerprint& request);
 
  private:
@@ -71,7 +73,7 @@
   Counter& reports_counter_;
   Gauge& quarantined_gauge_;
   TableFollower follower_;
-  // Rows to write, by their keys; nothing: to remove.
+  // Rows to write, by key; nullopt for a row to remove.
   std::map<std::string, std::optional<std::string>> pending_rows_;
   bool writing_ = false;
 };
--- a/src/gateway/entry_registry.cc
+++ b/src/gateway/entry_registry.cc
@@ -38,7 +38,8 @@
   if (leaving_) return;
   PeerMessage message;
   message.from = self_;
-  // The row outlasts it. Who reads the row asks this process itself.
+  // `joining` is temporary, but the row is not updated when it ends. Readers of the row query this
+  // process directly.
   message.from.joining = false;
   tables_.Commit({{}, {{KeyOf(self_.node), Encode(message)}}, {}},
                  [this](const TableOutcome& outcome) {
@@ -51,7 +52,8 @@
   leaving_ = true;
   tables_.Commit({{}, {}, {KeyOf(self_.node)}}, [](const TableOutcome& outcome) {
     if (!std::holds_alternative<TableCommitted>(outcome)) {
-      Log(LogLevel::kWarning, "member_row_left", {{"why", "the store did not take it away"}});
+      Log(LogLevel::kWarning, "member_row_left",
+          {{"why", "the store did not confirm the removal"}});
     }
   });
 }
@@ -61,13 +63,13 @@
   if (row == nullptr) return;
   const Result<PeerMessage> listed = DecodePeerMessage(row->value);
   if (IsOk(listed) && ValueOf(listed).from.incarnation > peer.incarnation) return;
-  // When it fails another watcher takes the row away, or this one a little later.
+  // If this fails, another entry that watches the peer removes the row, or this one does later.
   tables_.Commit({{{KeyOf(peer.node), row->version}}, {}, {KeyOf(peer.node)}},
                  [](const TableOutcome& /*outcome*/) {});
 }
 
-// What is known of the peer stays as it was: its datagrams tell whether it is there. But
-// processes that start later learn of it by its row alone, so that its own is written anew.
+// The peer stays known, because its datagrams show whether it is alive. Processes that start later
+// learn of an entry only from its row, so an entry rewrites its own row.
 void EntryRegistry::OnUnreadableRow(const TableRow& row, const std::string& why) {
   refused_rows_.Refuse(row.at.key, row.version, why);
   if (row.at.key != self_.node.value || std::exchange(rewrite_scheduled_, true)) return;
@@ -80,14 +82,14 @@
 void EntryRegistry::OnRow(const TableMirror::Change& change) {
   if (change.row == nullptr) {
     refused_rows_.Forget(change.at.key);
-    // Somebody could not hear this process; it is there all the same.
+    // Another entry took this process for dead and removed its row.
     if (change.at.key == self_.node.value) return WriteOwnRow();
     return hooks_.on_unlisted(NodeId{change.at.key});
   }
   const Result<PeerMessage> message = DecodePeerMessage(change.row->value);
   if (!IsOk(message)) return OnUnreadableRow(*change.row, ErrorOf(message).detail);
   if (ValueOf(message).from.node.value != change.at.key) {
-    return OnUnreadableRow(*change.row, "it names another node than its key");
+    return OnUnreadableRow(*change.row, "the node in the row differs from the row's key");
   }
   refused_rows_.Forget(change.at.key);
   hooks_.on_listed(ValueOf(message).from);
--- a/src/gateway/entry_registry.h
+++ b/src/gateway/entry_registry.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// The rows in which entries name themselves to each other in the table service.
+// Registers this entry in the table service and follows the rows of the other entries.
 
 #include <functional>
 
@@ -13,8 +13,8 @@
 class EntryRegistry {
  public:
   static constexpr Duration kRetryDelay{300'000};
-  // After another writer has spoilt this process's row. Two that write against each other
-  // cost the store a call in this time.
+  // Delay before this process's own row is rewritten after another writer has corrupted it. Two
+  // writers that keep overwriting each other cost the store one call per delay.
   static constexpr Duration kRewriteDelay{1'000'000};
 
   struct Hooks {
@@ -25,12 +25,11 @@
   EntryRegistry(Loop& loop, SharedTables& tables, Metrics& metrics, Peer self, Hooks hooks);
 
   void Start();
-  // The process goes by another incarnation from now on.
+  // Sets the new incarnation of this process and rewrites its row.
   void UpdateSelf(Peer self);
-  // Takes this process's own row away.
+  // Removes this process's own row.
   void Leave();
-  // Takes away the row of a peer that was found silent, unless a later process has
-  // written it.
+  // Removes the row of a peer that stopped responding, unless a later incarnation has written it.
   void Remove(const Peer& peer);
 
  private:
--- a/src/gateway/error_response.h
+++ b/src/gateway/error_response.h
@@ -1,14 +1,14 @@
 #pragma once
 
-// This entry's own answers to callers.
+// Error responses that this entry itself sends to callers.
 
 #include "figmill/base.h"
 #include "figmill/runtime.h"
 
 namespace figmill {
 
-// A problem document. A time to come back is said in seconds with a fraction:
-// whole seconds are too coarse for callers who have five of them.
+// A problem document. Retry-After has a fraction of a second: whole seconds are too coarse for
+// callers whose deadline is five seconds.
 [[nodiscard]] HttpResponse ErrorResponseFor(const Error& error);
 
 }  // namespace figmill
--- a/src/gateway/fleet_view.cc
+++ b/src/gateway/fleet_view.cc
@@ -5,7 +5,8 @@
 namespace figmill {
 namespace {
 
-// Those of `some` that `others` don't have at the same address in the same incarnation.
+// Adds the addresses of the backend servers in `some` that `others` doesn't have at the same
+// address and in the same incarnation.
 void AddChanged(const BackendList& some, const BackendList& others,
                 std::vector<Address>& addresses) {
   for (const auto& [id, info] : some) {
--- a/src/gateway/fleet_view.h
+++ b/src/gateway/fleet_view.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// What traffic needs to know of the configuration and the backend servers: an
-// immutable view that the control thread publishes.
+// The configuration and the backend servers, as an immutable snapshot that the control thread
+// publishes to the traffic thread.
 
 #include <cstdint>
 #include <map>
@@ -17,29 +17,29 @@
 using BackendList = std::map<BackendId, BackendInfo>;
 
 struct FleetView {
-  std::shared_ptr<const RouteTable> routes;  // null: no configuration is known yet
+  std::shared_ptr<const RouteTable> routes;  // null until a configuration has been read
   BackendList backends;
-  bool backends_loaded = false;     // the list has been read whole at least once
-  RowVersion backends_version = 0;  // of the list
+  bool backends_loaded = false;     // the list has been read completely at least once
+  RowVersion backends_version = 0;  // version of the list
 };
 
-// What an entry of the list changed.
+// The effect of a row on the list of backend servers.
 enum class BackendListChange : std::uint8_t {
   kNone,
   kUpdated,
-  kRestarted,  // the entry is of a later incarnation
-  kOutdated,   // the entry is of an earlier incarnation, and was not taken
-  // The entry is of an earlier incarnation and of another service, and was not taken. An id
-  // keeps its service, so that this is no late write of the backend server.
+  kRestarted,  // the row has a later incarnation
+  kOutdated,   // the row has an earlier incarnation and was ignored
+  // The row has an earlier incarnation and another service, and was ignored. The service of an id
+  // never changes, so this isn't a late write by the backend server.
   kServiceMismatch,
 };
-// Takes an entry into the list. One that doesn't say its incarnation leaves the one that is
-// known: nothing in it says that the backend server started again.
+// Applies a row to the list. A row without an incarnation keeps the known one, since it doesn't
+// show that the backend server restarted.
 [[nodiscard]] BackendListChange UpdateBackendList(BackendList& backends, BackendInfo&& info);
 
-// Addresses at which another backend server listens now, another incarnation, or none.
-// Connections kept to them lead to one that is gone: a request on such a connection is reset,
-// and may not be sent again if it is not idempotent.
+// Addresses at which another backend server, another incarnation or nothing listens now. Pooled
+// connections to them are stale: a request sent on one is reset, and can't be retried if it is not
+// idempotent.
 [[nodiscard]] std::vector<Address> ChangedAddresses(const BackendList& before,
                                                     const BackendList& now);
 
--- a/src/gateway/fleet_watcher.cc
+++ b/src/gateway/fleet_watcher.cc
@@ -51,8 +51,8 @@
   backends_.Start();
 }
 
-// Only a higher version replaces what is in force: the row may be written anew
-// with an older text, and a mirror may hear of it late.
+// Only a higher version replaces the configuration in force: the row may be overwritten with an
+// older configuration, and the mirror may deliver changes late.
 void FleetWatcher::OnConfig(const TableMirror::Change& change) {
   if (change.at.key != adapter_.config_row().key || change.row == nullptr) return;
   Result<RoutingConfig> config = adapter_.ParseConfig(change.row->value);
@@ -85,7 +85,8 @@
   const BackendIncarnation reported = ValueOf(info).incarnation;
   const BackendListChange list_change = UpdateBackendList(view_.backends, std::move(ValueOf(info)));
   if (list_change == BackendListChange::kServiceMismatch) {
-    const Error error{ErrorKind::kBadRequest, "an earlier incarnation of another service"};
+    const Error error{ErrorKind::kBadRequest,
+                      "the row has an earlier incarnation and another service"};
     return OnUnreadableBackend(id, change.row->version, error);
   }
   refused_backends_.Forget(id.value);
@@ -102,9 +103,10 @@
   changed_ |= list_change != BackendListChange::kOutdated;
 }
 
-// Left in force as it was, an entry that another writer has spoilt would draw requests to a
-// backend server of which nobody knows whether it is there. Taken for gone, its open work
-// would be forgotten, and its batch items stopped, though it most likely still runs them.
+// A row that another writer has corrupted marks the backend server as unreadable. If the last good
+// row stayed in force, requests would go to a backend server that may not exist any more. If the
+// row were treated as removed, open work there would be dropped and batch items stopped, although
+// the backend server most likely still runs them.
 void FleetWatcher::OnUnreadableBackend(const BackendId& id, RowVersion version,
                                        const Error& error) {
   refused_backends_.Refuse(id.value, version, error.detail);
--- a/src/gateway/fleet_watcher.h
+++ b/src/gateway/fleet_watcher.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Follows the configuration and the list of backend servers on the control
-// thread, and tells what changed.
+// Follows the configuration and the list of backend servers on the control thread, and publishes
+// snapshots of them.
 
 #include <functional>
 #include <memory>
@@ -16,19 +16,19 @@
 
 class FleetWatcher {
  public:
-  // Changes within this time are published together: at the start of a fleet each
-  // backend server writes its own row.
+  // Changes within this time are published together, because at the start of a fleet each backend
+  // server writes its own row.
   static constexpr Duration kPublishDelay{20'000};
 
-  // The store is asked so often within the time in which a key must be taken away, so that a lost
-  // answer or two don't make the configuration too old.
+  // Polls of the store within the time in which a key must be revoked, so that one or two lost
+  // answers don't make the configuration too old.
   static constexpr int kPollsPerRevocationPeriod = 5;
 
-  // Called on `loop`.
+  // Called on the thread of `loop`.
   struct Hooks {
-    std::function<void(std::shared_ptr<const FleetView>)> publish;  // each new view
-    // The configuration published last was in force when the store was asked, by
-    // Loop::SinceBoot.
+    std::function<void(std::shared_ptr<const FleetView>)> publish;  // receives each new snapshot
+    // The configuration published last was in force at `asked_at`, when the store was asked
+    // (Loop::SinceBoot).
     std::function<void(Duration asked_at)> confirmed;
   };
   // `revoke_within`: see TeamSettings::key_lease.
@@ -43,7 +43,7 @@
   void OnUnreadableBackend(const BackendId& id, RowVersion version, const Error& error);
   void SchedulePublish();
   void Publish();
-  // Only what has been published may be confirmed: traffic goes by an older one until then.
+  // Confirms the configuration if it is published. Before that, traffic still uses an older one.
   void Confirm();
 
   Loop& loop_;
@@ -54,7 +54,7 @@
   FleetView view_;
   bool changed_ = false;
   bool publish_scheduled_ = false;
-  std::uint64_t key_lookup_secret_;  // of the look-up by key
+  std::uint64_t key_lookup_secret_;  // for look-ups of teams by key; see TeamDirectory
   std::optional<Duration> last_confirmed_at_;
   TableFollower config_;
   TableFollower backends_;
--- a/src/gateway/item_call.h
+++ b/src/gateway/item_call.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// What is sent to a backend server for an item of a batch job.
+// Builds the HTTP call for an item of a batch job.
 
 #include "figmill/gateway.h"
 #include "figmill/ledger.h"
@@ -9,10 +9,10 @@
 
 namespace figmill {
 
-// Whether a header carries a caller's key or says whose request it is.
+// Whether a header carries the caller's key or names its team.
 [[nodiscard]] bool IsTeamHeader(const HeaderNames& names, std::string_view header);
 
-// Without a backend server, and without what differs from run to run.
+// The call without its address and without the headers that differ from run to run.
 [[nodiscard]] HttpCall MakeItemCall(const HeaderNames& names, const JobHead& job,
                                     const JobItem& item);
 [[nodiscard]] RequestFingerprint FingerprintOf(const JobHead& job, const HttpCall& call);
--- a/src/gateway/open_sends.cc
+++ b/src/gateway/open_sends.cc
@@ -24,7 +24,7 @@
   if (now - send.heard_at >= kRecentActivity) return State::kLost;
   if (send.restart_listed_at == Time{}) send.restart_listed_at = now;
   if (send.heard_at - send.restart_listed_at < kRecentActivity) return State::kInDoubt;
-  // It goes on giving bytes, so it was sent to the new one.
+  // It still receives bytes, so it was sent to the new incarnation.
   send.incarnation = listed.incarnation;
   send.restart_listed_at = {};
   return State::kOpen;
@@ -40,7 +40,7 @@
     if (state == State::kInDoubt) ++ended.in_doubt;
     if (state == State::kLost) lost.push_back(id);
   }
-  // Not within the loop: what is lost is sent again, and so added.
+  // Called outside the loop above, because a callback may retry the request and so add a send.
   for (const Id id : lost) {
     auto send = sends_.extract(id);
     if (send.empty()) continue;
--- a/src/gateway/open_sends.h
+++ b/src/gateway/open_sends.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// The sends of this entry that are open, by the incarnation of the backend server that they
-// went to. No I/O: the caller passes the time in.
+// Tracks the open sends of this entry by the incarnation of the backend server that they went to.
+// No I/O: the caller passes the time in.
 
 #include <cstdint>
 #include <functional>
@@ -12,29 +12,30 @@
 
 namespace figmill {
 
-// Ends what was sent to an incarnation that has ended. A host that lost its power resets no
-// connection: without this its streams and items stand still until their silence is noticed,
-// and requests that may not be repeated until their deadlines.
+// Ends sends to an incarnation that has ended. A host that lost power doesn't reset its
+// connections: without this, its streams and items would hang until an inactivity timeout, and
+// requests that are not idempotent until their deadlines.
 class OpenSends {
  public:
-  // A send that was heard within this time may be at the new incarnation: it was sent after the
-  // start, and before this entry had heard of it. Ended at once, a request that may not be
-  // repeated would fail for nothing. Backend servers give an event each 10 to 40 ms, so that
-  // the bytes of an ended one are older than this soon.
+  // A send that received bytes within this time may run on the new incarnation: it was sent after
+  // the restart, but before this entry knew of it. Ending it at once would fail a request that is
+  // not idempotent without need. Backend servers emit an event every 10 to 40 ms, so the last bytes
+  // of an ended incarnation are soon older than this.
   static constexpr Duration kRecentActivity{100'000};
 
   using Id = std::uint64_t;
   using OnLost = std::function<void()>;
 
   [[nodiscard]] Id Add(const BackendAddress& backend, Time now, OnLost on_lost);
+  // The send received bytes.
   void RecordActivity(Id id, Time now);
   void Remove(Id id);
 
   struct Ended {
     int lost = 0;
-    int in_doubt = 0;  // call again after kRecentActivity
+    int in_doubt = 0;  // may run on either incarnation; call again after kRecentActivity
   };
-  // Calls `on_lost` of those whose incarnation has ended, by the list.
+  // Removes the sends whose incarnation has ended according to the list, and calls their `on_lost`.
   Ended EndOutdated(const BackendList& listed, Time now);
 
  private:
@@ -42,8 +43,8 @@
     BackendId backend;
     BackendIncarnation incarnation;
     Time heard_at{};
-    Time
-        restart_listed_at{};  // when a later incarnation was first listed; the start of time: never
+    // When a later incarnation was first seen in the list; Time{} if it was not.
+    Time restart_listed_at{};
     OnLost on_lost;
   };
   enum class State : std::uint8_t { kOpen, kInDoubt, kLost };
--- a/src/gateway/peer_messenger.cc
+++ b/src/gateway/peer_messenger.cc
@@ -32,7 +32,7 @@
       datagram_bytes_(metrics.counter("figmill_peer_bytes_total",
                                       "Bytes of datagrams sent to other entries, without headers")),
       refused_datagrams_(metrics.counter("figmill_peer_messages_refused_total",
-                                         "Datagrams that are no message of an entry")),
+                                         "Datagrams rejected as malformed")),
       hooks_(std::move(hooks)) {}
 
 Result<Ok> PeerMessenger::Start(const std::vector<Address>& seeds) {
@@ -55,7 +55,8 @@
   return Ok{};
 }
 
-// Who they are is not known yet, so that no message to them counts as one to a peer.
+// The peers at these addresses are not known yet, so these messages aren't counted as traffic to a
+// peer.
 void PeerMessenger::QuerySeeds(const std::vector<Address>& seeds, PeerMessage::Wants wants) {
   for (const Address& seed : seeds) {
     PeerMessage message;
@@ -94,9 +95,10 @@
   Send(to, std::move(message));
 }
 
-// Lists are cut to the size of a datagram, and go on where the last one of them begins its own: so
-// that one alone is asked whom it knows. Asked of all, n entries that start together would send
-// each other n * n full lists: of 110, some 17 MB, most of it between data centres.
+// Peer lists are truncated to the size of a datagram, and the list of the last peer in one
+// continues it. So only that peer is asked for the peers it knows. If all were asked, n entries
+// that start together would send n * n full lists: about 17 MB for 110 entries, most of it between
+// data centres.
 void PeerMessenger::AddPeers(std::span<const Peer> peers) {
   std::optional<Peer> last;
   for (const Peer& peer : peers) {
@@ -149,9 +151,9 @@
   Send(to, std::move(message));
 }
 
-// --- In ---------------------------------------------------------------------------
+// --- Receiving --------------------------------------------------------------------
 
-// Anybody may send to this port.
+// Any host can send to this port, so malformed datagrams are expected and their log lines limited.
 void PeerMessenger::OnMalformedDatagram(const Address& from, const std::string& why) {
   refused_datagrams_.Add();
   const Time now = Loop::Now();
@@ -166,7 +168,7 @@
   if (!IsOk(decoded)) return OnMalformedDatagram(from, ErrorOf(decoded).detail);
   const PeerMessage& message = ValueOf(decoded);
   if (const Peer* later = peers_.LaterThan(message.from)) {
-    // Either it came late, or its sender has to be told.
+    // The datagram is late, or its sender doesn't know that a later incarnation exists.
     PeerMessage answer;
     answer.known = {*later};
     return Send(message.from, std::move(answer));
--- a/src/gateway/peer_messenger.h
+++ b/src/gateway/peer_messenger.h
@@ -1,6 +1,7 @@
 #pragma once
 
-// Datagrams between entries: who is there, and who uses which places.
+// Exchanges datagrams with other entries: liveness, and usage and grants of backend servers' slots.
+// (Slots are called places in the messages.)
 
 #include <functional>
 #include <map>
@@ -19,34 +20,37 @@
 class PeerMessenger {
  public:
   struct Hooks {
-    std::function<std::vector<WaitingItems>()> waiting_items;  // batch items that could start now
+    // Returns the batch items that could start now.
+    std::function<std::vector<WaitingItems>()> waiting_items;
     std::function<void()> grants_changed;
     std::function<void(const PlaceAnswer&)> slot_answered;
-    // It was found silent: its row is to be taken out of the store.
+    // The peer stopped responding; its row is to be removed from the store.
     std::function<void(const Peer&)> peer_silent;
-    // This entry goes by another incarnation from now on.
+    // This entry has taken a new incarnation.
     std::function<void(const Peer& self)> self_updated;
     std::function<void(const Peer& from, const QuotaAsk&)> quota_requested;
     std::function<void(const QuotaGrant&)> quota_granted;
   };
   // Entries report to their allocators at least this often.
   static constexpr Duration kHeartbeat = SlotAllocator::kHeartbeat;
-  // A allocator that sent no grant for so long is taken for gone: three were lost or
-  // it stands still.
+  // An allocator that sent no grant for this long is suspected: three grants were lost, or its
+  // process is stalled.
   static constexpr Duration kAllocatorTimeout{700'000};
-  // The same where this entry uses nothing and waits for nothing.
+  // The same if this entry uses none of its slots and has no items waiting.
   static constexpr Duration kIdleAllocatorTimeout = SlotAllocator::kIdleReportTtl;
-  // Seeds are asked whom they know if the store has listed nobody by then. When all entries start
-  // together, each of three seeds would send a full datagram to each of them.
+  // Delay after which the seeds are asked for the peers they know, if the store has listed no entry
+  // by then. When all entries start together, each of three seeds would have to send a full
+  // datagram to every one of them.
   static constexpr Duration kSeedQueryDelay{500'000};
-  // How many items could start changes with each that does; allocators are told together.
+  // Delay that coalesces changes of the number of waiting items into one report to all allocators,
+  // since each item that starts changes it.
   static constexpr Duration kWaitingReportDelay{50'000};
-  // How much more of another data centre's places must be free before its allocator is
-  // asked first. Unit: share of all places.
+  // An allocator of another data centre is asked before a local one only if its share of free slots
+  // is larger by more than this. Unit: share of all slots.
   static constexpr double kLocalPreference = 0.15;
-  // Datagrams that are refused for one reason are logged this often.
+  // Minimum interval between log lines for datagrams rejected for the same reason.
   static constexpr Duration kRefusalLogInterval{10'000'000};
-  // Places kept free of batch at each backend server.
+  // Slots of each backend server that batch may not use.
   static constexpr int kReservedSlots = 0;
 
   PeerMessenger(Loop& loop, PeerTable& peers, BackendPool& backend_pool, Metrics& metrics,
@@ -54,25 +58,27 @@
 
   // Errors: kInternal, with the cause.
   [[nodiscard]] Result<Ok> Start(const std::vector<Address>& seeds);
-  // The list of backend servers has been read: this entry can be a allocator. Tells all.
+  // Call it when the list of backend servers has been read: this entry can be an allocator from now
+  // on. Announces it to all peers.
   void Join();
-  // Tells all that this process leaves.
+  // Announces to all peers that this process is leaving.
   void Leave();
-  // The store lists this peer.
+  // The store has a row of this peer, or has it no more.
   void OnPeerListed(const Peer& peer);
   void OnPeerUnlisted(const NodeId& node);
-  // The backend servers that there are now.
+  // Sets the current backend servers.
   void SetBackends(std::vector<BackendInfo> backends);
-  // This entry's use of a backend server, or what it wants, has changed.
+  // This entry's usage of a backend server has changed, or its set of waiting items.
   void OnUsageChanged(const BackendId& backend);
   void OnWaitingChanged();
   void RequestSlot(const NodeId& allocator, const PlaceAsk& ask);
-  // This entry has applied_grant on the allocator's answer, or wants no place any more.
+  // Tells the allocator that its answer was applied, or that the slot isn't needed any more.
   void AcknowledgeAnswer(const NodeId& allocator, std::uint64_t ask);
   void SendQuota(const Peer& to, const QuotaAsk& ask);
   void SendQuota(const Peer& to, const QuotaGrant& grant);
-  // Keepers of a service's backend servers in the order in which to ask them for a
-  // place: by the share that is free of what they keep, this data centre first.
+  // The allocators that own backend servers of the service, in the order in which to ask them for a
+  // slot: by the share of their slots that is free, with kLocalPreference added for this data
+  // centre.
   [[nodiscard]] std::vector<NodeId> AllocatorsFor(const ServiceName& service,
                                                   std::span<const BackendId> tried) const;
 
@@ -101,7 +107,7 @@
   void SendGrants();
   void LogEjections();
   void Send(const Peer& to, PeerMessage message);
-  // How many of a allocator's places online leaves.
+  // Slots of one allocator, and how many of them are not used by online requests.
   struct AllocatorShare {
     int slots = 0;
     int free = 0;
@@ -124,30 +130,31 @@
   SlotAllocator allocator_{kReservedSlots};
   std::unique_ptr<UdpSocket> socket_;
   KeeperMap allocator_map_;
-  std::map<BackendId, Peer> allocator_of_;  // of the backend servers that are used
-  // By allocator: the last grant applied_grant on, and when one came or was first due.
+  std::map<BackendId, Peer> allocator_of_;  // of each backend server that this entry uses
+  // State of the exchange with one allocator.
   struct AllocatorState {
     std::uint64_t applied_grant = 0;
-    Time heard_at{};
-    std::vector<std::uint64_t> unreported_acks;  // not reported yet
+    Time heard_at{};  // last grant, or when the first one became due
+    // Requests whose answers were applied, but not acknowledged in a report yet.
+    std::vector<std::uint64_t> unreported_acks;
     Time reported_at{};
-    Time full_report_at{};  // with a line for each backend server
-    // Of its services, if it tells them.
-    std::vector<PlaceGrant::ServiceUse> services;
-    // Since when this entry has used its places or waited for some; not now: nullopt.
+    Time full_report_at{};  // when a report with a line for each backend server was sent
+    // Usage of its services, if its grants have it.
+    std::vector<PlaceGrant::ServiceUse> service_usage;
+    // When this entry began to use its slots or to wait for some; nullopt if it does neither.
     std::optional<Time> busy_since;
   };
   [[nodiscard]] static bool IsSilent(const AllocatorState& allocator, Time now);
   std::map<NodeId, AllocatorState> allocator_states_;
   std::set<BackendId> changed_backends_;
-  std::set<NodeId> reports_due_;  // allocators that wait for a report
+  std::set<NodeId> reports_due_;  // allocators to send a report to
   std::uint64_t report_number_ = 0;
-  // The last refused datagram: why, and when that was logged.
+  // Why the last rejected datagram was rejected, and when that was logged.
   std::string last_refusal_;
   Time last_refusal_logged_at_{};
   bool flush_scheduled_ = false;
   bool waiting_report_scheduled_ = false;
-  bool peer_listed_ = false;  // the store has named an entry
+  bool peer_listed_ = false;  // the store has listed an entry
   Timer heartbeat_, watch_timer_, grant_timer_, seeds_timer_;
 };
 
--- a/src/gateway/peer_messenger_slots.cc
+++ b/src/gateway/peer_messenger_slots.cc
@@ -1,4 +1,5 @@
-// How this entry and the allocators of the backend servers that it uses tell each other of places.
+// The part of PeerMessenger that exchanges slot usage and grants with the allocators of the backend
+// servers that this entry uses.
 
 #include <algorithm>
 #include <utility>
@@ -24,14 +25,14 @@
   allocator.heard_at = Loop::Now();
   if (grant.number <= allocator.applied_grant) return;
   allocator.applied_grant = grant.number;
-  allocator.services = grant.services;
+  allocator.service_usage = grant.services;
   bool changed = false;
   for (const PlaceGrant::Line& line : grant.lines) {
-    const auto mine = allocator_of_.find(line.backend);
-    if (mine == allocator_of_.end() || mine->second.node != from.node) continue;
+    const auto current = allocator_of_.find(line.backend);
+    if (current == allocator_of_.end() || current->second.node != from.node) continue;
     if (!MayBeSame(line.incarnation, TagOf(line.backend))) {
-      // One of the two hasn't heard of the restart yet, and the allocator doesn't know what this
-      // entry has there: no batch item begins.
+      // This entry or the allocator doesn't know of the restart yet, so the allocator doesn't know
+      // what this entry runs there: no batch item may start.
       backend_pool_.RevokeBatchGrant(line.backend);
       continue;
     }
@@ -87,8 +88,8 @@
   }
 }
 
-// A allocator speaks seldom to an entry that was idle; it is given the time of a busy one
-// from when this entry told it that it is.
+// An allocator rarely sends grants to an idle entry. The timeout of a busy entry therefore starts
+// when this entry became busy.
 bool PeerMessenger::IsSilent(const AllocatorState& allocator, Time now) {
   if (!allocator.busy_since) return now - allocator.heard_at >= kIdleAllocatorTimeout;
   return now - std::max(allocator.heard_at, *allocator.busy_since) >= kAllocatorTimeout;
@@ -98,7 +99,7 @@
   SuspectSilentAllocators();
   UpdateAllocators();
   const Time now = Loop::Now();
-  const bool waits = !hooks_.waiting_items().empty();
+  const bool has_waiting = !hooks_.waiting_items().empty();
   std::map<NodeId, std::vector<PlaceReport::Line>> lines;
   for (const auto& [backend, allocator] : allocator_of_)
     lines[allocator.node].push_back(ReportLineFor(backend));
@@ -106,13 +107,13 @@
     const Peer* peer = peers_.Find(node);
     if (peer == nullptr) continue;
     AllocatorState& allocator = allocator_states_[node];
-    const bool busy = waits || !std::all_of(each.begin(), each.end(), IsUnused);
+    const bool busy = has_waiting || !std::all_of(each.begin(), each.end(), IsUnused);
     if (!busy) allocator.busy_since.reset();
     if (busy && !allocator.busy_since) allocator.busy_since = now;
-    const bool all = now - allocator.full_report_at >= SlotAllocator::kIdleHeartbeat;
-    if (!busy && !all) continue;
-    if (all) allocator.full_report_at = now;
-    if (!all) std::erase_if(each, IsUnused);
+    const bool full = now - allocator.full_report_at >= SlotAllocator::kIdleHeartbeat;
+    if (!busy && !full) continue;
+    if (full) allocator.full_report_at = now;
+    if (!full) std::erase_if(each, IsUnused);
     SendReport(*peer, {std::move(each), /*rest_unused=*/true});
   }
 }
@@ -141,7 +142,7 @@
   });
 }
 
-// Changes of one pass through the loop go out together.
+// Coalesces the changes of one iteration of the event loop.
 void PeerMessenger::ScheduleFlush() {
   if (std::exchange(flush_scheduled_, true)) return;
   loop_.Post([this] { Flush(); });
@@ -188,7 +189,7 @@
     if (peer->node == peers_.self().node) {
       if (outgoing.grant) OnGrant(*peer, *outgoing.grant);
       if (outgoing.answer) {
-        // Not within the ask itself.
+        // Not from within RequestSlot.
         loop_.Post([this, answer = *outgoing.answer] { hooks_.slot_answered(answer); });
       }
       continue;
@@ -228,12 +229,13 @@
   ScheduleFlush();
 }
 
-// What a allocator elsewhere tells of all that it keeps is newer than what it tells line by line.
+// For an allocator in another data centre, the totals per service are newer than the lines per
+// backend server.
 void PeerMessenger::ApplyServiceUsage(const NodeId& allocator, const ServiceName& service,
                                       AllocatorShare& share) const {
   const auto from = allocator_states_.find(allocator);
   if (from == allocator_states_.end()) return;
-  for (const PlaceGrant::ServiceUse& use : from->second.services) {
+  for (const PlaceGrant::ServiceUse& use : from->second.service_usage) {
     if (use.service != service || use.places == 0) continue;
     share.slots = use.places;
     share.free = std::max(0, use.places - use.online);
--- a/src/gateway/relay_call.cc
+++ b/src/gateway/relay_call.cc
@@ -9,16 +9,15 @@
 namespace figmill {
 namespace {
 
-// A caller that is told before this share of its goal has passed still can be in time when it
-// comes back.
+// A caller that is refused before this fraction of its latency goal has passed (1/n) can still meet
+// the goal with a retry.
 constexpr int kLateRefusalDivisor = 4;
 constexpr int kFirstSuccess = 200;
 constexpr int kLastSuccess = 299;
-// A connection within a data centre region takes a few ms; a host that is gone
-// does not answer at all.
+// Connecting within the region takes a few ms; a host that is down doesn't answer at all.
 constexpr Duration kConnectTimeout{250'000};
 
-// Of what the keeper has told; empty: nothing yet.
+// Age of the slot usage that the allocator last sent; empty if it has sent none.
 std::string AgeMs(Time known_at) {
   return known_at == Time{} ? std::string() : Milliseconds(Loop::Now() - known_at);
 }
@@ -97,7 +96,8 @@
 
 void RelayCall::OnBackendFound(Result<BackendAddress> found) {
   if (!IsOk(found)) return Step(relay::NoBackend{ErrorOf(found)});
-  // It may have waited for the found while others of its kind crashed backend servers.
+  // While this request waited for a slot, others with its fingerprint may have crashed backend
+  // servers.
   if (const std::optional<Error> why = QuarantineError()) return Step(relay::NoBackend{*why});
   Step(relay::BackendChosen{ValueOf(found)});
 }
@@ -277,7 +277,8 @@
   Complete("broken_off", action.error.detail);
 }
 
-// Most moves of the timer are to a later time: then it fires early and is set again.
+// Most changes move the timer to a later time. The timer is then left to fire early and is armed
+// again.
 void RelayCall::Do(const relay::SetTimer& action) {
   timer_deadline_ = action.at;
   if (timer_armed_ && timer_at_ <= timer_deadline_) return;
--- a/src/gateway/relay_call.h
+++ b/src/gateway/relay_call.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Carries out what a RelayStateMachine decides: calls the backend server, answers the caller.
+// Executes the actions of a RelayStateMachine: calls the backend server and answers the caller.
 
 #include <functional>
 #include <memory>
@@ -21,7 +21,7 @@
 
 namespace figmill {
 
-// What all calls share; it outlives them.
+// Dependencies that all relay calls share. They outlive the calls.
 struct RelayContext {
   Loop& loop;
   ExchangeClient& client;
@@ -33,10 +33,10 @@
   const HeaderNames& names;
   GatewayMetrics& metrics;
   TrafficMetrics& traffic;
-  bool leaving = false;  // answers from now on end their connections
+  bool leaving = false;  // responses close their connections
 };
 
-// Where a call's bytes to a backend server are counted.
+// The counter for bytes exchanged with the backend server.
 [[nodiscard]] Counter& BackendBytesCounter(RelayContext& context, TrafficKind kind,
                                            const BackendId& backend);
 
@@ -44,14 +44,14 @@
 struct RelayedRequest {
   std::string method;
   std::string target;           // path and query
-  std::vector<Header> headers;  // without those of one connection
+  std::vector<Header> headers;  // without hop-by-hop headers
   std::string body;
   ServiceName service;
-  std::optional<TeamId> team;  // whose key it carried, if callers need keys
+  std::optional<TeamId> team;  // the team of its key, if callers need keys
   std::string route;
   std::uint64_t config_version = 0;
-  Time goal_deadline{};   // its first answer is late after this
-  bool last_try = false;  // its caller has been refused before
+  Time goal_deadline{};   // when its first byte is due by the latency goal
+  bool last_try = false;  // the request is a retry of one that was refused
 };
 
 class RelayCall : public std::enable_shared_from_this<RelayCall> {
@@ -63,7 +63,7 @@
 
  private:
   void Step(const relay::Event& event);
-  // Its team has a request left, or none.
+  // Continues after the quota check of the request's team.
   void OnQuotaDecision(const Result<quota::Admitted>& decision);
   void Do(const relay::ChooseBackend& action);
   void Do(const relay::Send& action);
@@ -77,10 +77,10 @@
   void Do(const relay::SetTimer& action);
   void OnHttpEvent(SendNumber send, HttpEvent event);
   void BeginSend(const relay::Send& action);
-  // A backend server was chosen, or there is none.
+  // Continues with the backend server that was found, or with the error.
   void OnBackendFound(Result<BackendAddress> found);
-  // Tells the run once it is known whether the backend server has crashed, so that it doesn't
-  // go on to the next one with a request that crashes them.
+  // Passes the failure to the state machine only after the check whether the backend server has
+  // crashed. Otherwise a request that crashes backend servers would be retried on the next one.
   void OnConnectionLost(SendNumber send, std::string why);
   void OnWholeAnswer(int status);
   [[nodiscard]] std::optional<Error> QuarantineError();
@@ -108,10 +108,10 @@
   Time sent_at_{};
   Time first_byte_at_{};
   int status_ = 0;
-  Duration retry_after_{0};                        // said in a refusal
-  std::optional<quota::Admitted> charged_;         // to its team
-  BackendAddress sent_to_;                         // by the last send
-  std::optional<RequestFingerprint> fingerprint_;  // once it was asked for
+  Duration retry_after_{0};                        // sent in an error response
+  std::optional<quota::Admitted> charged_;         // against its team's quota
+  BackendAddress sent_to_;                         // backend server of the last send
+  std::optional<RequestFingerprint> fingerprint_;  // computed on first use
 };
 
 }  // namespace figmill
--- a/src/gateway/request_dispatcher.cc
+++ b/src/gateway/request_dispatcher.cc
@@ -10,15 +10,18 @@
 namespace figmill {
 namespace {
 
-// Another entry can take the request at once; the time is for its connection.
+// Retry delay while this entry shuts down. Another entry can serve the request at once; the delay
+// covers opening a connection to it.
 constexpr Duration kOtherEntryRetryDelay{50'000};
-// A process that starts hears of the configuration within about this.
+// Retry delay before the first configuration: a process that starts has read it after about this
+// time.
 constexpr Duration kConfigurationRetryDelay{500'000};
 
-// A request that may be repeated is tried elsewhere after a silence of so many times the
-// time in which its first answer is due. Most first events come in a tenth of that time.
+// First-byte timeout of an idempotent request, in multiples of its route's latency goal; after it
+// the request is sent to another backend server. Most first events arrive within a tenth of the
+// goal.
 constexpr int kFirstByteTimeoutFactor = 3;
-// The same within a stream, in pauses that are still in time.
+// Timeout between bytes of a stream, in multiples of its route's target for the gap between events.
 constexpr int kNextByteTimeoutFactor = 2;
 
 std::optional<Duration> ParseDeadline(std::string_view text) {
@@ -49,8 +52,8 @@
 void RequestDispatcher::Update(std::shared_ptr<const FleetView> view) {
   const bool routes_changed = !view_ || view_->routes != view->routes;
   view_ = std::move(view);
-  // Callers may begin with less time under other routes; by what they began with before, all of
-  // them would be taken for second tries.
+  // Callers may set shorter deadlines under the new routes. Compared with the deadlines seen
+  // before, all of their requests would be taken for retries.
   if (routes_changed) retry_detector_ = {};
 }
 
--- a/src/gateway/request_dispatcher.h
+++ b/src/gateway/request_dispatcher.h
@@ -1,6 +1,7 @@
 #pragma once
 
-// Takes callers' requests, finds their route and passes them on.
+// Receives callers' requests, finds their route and dispatches them to a relay call or to the job
+// API.
 
 #include <functional>
 #include <memory>
@@ -20,13 +21,13 @@
 
   void Update(std::shared_ptr<const FleetView> view);
   void OnRequest(HttpRequest request, std::shared_ptr<HttpReply> reply);
-  // Answers end their connections from now on.
+  // From now on responses close their connections.
   void SetLeaving();
-  // Requests from now on could not be finished before the process ends.
+  // Rejects all further requests, which could not finish before the process ends.
   void RefuseAll() { refusing_ = true; }
   [[nodiscard]] bool ready() const { return view_ && view_->routes; }
   [[nodiscard]] std::size_t in_flight() const { return in_flight_; }
-  // 0: none is known yet.
+  // 0 if no configuration is known yet.
   [[nodiscard]] std::uint64_t config_version() const {
     return ready() ? view_->routes->version() : 0;
   }
@@ -34,8 +35,8 @@
  private:
   void Relay(const Route& route, std::optional<TeamId> team, HttpRequest request,
              std::shared_ptr<HttpReply> reply);
-  // What is sent on of a request's headers. With teams the caller's key stays here, and whose
-  // request it is says the key, whatever the caller says.
+  // The headers to forward to the backend server. If callers need keys, the key is removed, and the
+  // team header is set from the key, whatever the caller sent in it.
   [[nodiscard]] std::vector<Header> ForwardedHeaders(const std::optional<TeamId>& team,
                                                      std::vector<Header> headers) const;
   void Refuse(const HttpRequest& request, HttpReply& reply, const Error& error) const;
--- a/src/gateway/slot_finder.cc
+++ b/src/gateway/slot_finder.cc
@@ -14,7 +14,7 @@
         done_(std::move(done)) {}
   ~Search() {
     finder_.searches_.erase(search_.number());
-    // A keeper may hold a place for this request that nobody will use.
+    // Releases the slot that the allocator may have reserved for this request.
     if (done_ && !allocator_.empty())
       finder_.messenger_.AcknowledgeAnswer(allocator_, search_.number());
   }
@@ -38,16 +38,18 @@
   void Execute(const search::Wait& wait) { ArmTimer(wait.timeout); }
   void Execute(const search::UseSlot& take) {
     finder_.messenger_.AcknowledgeAnswer(allocator_, search_.number());
-    const BackendInfo* info = finder_.places_.Find(take.backend);
-    if (info != nullptr && finder_.places_.IsUsable(take.backend, Loop::Now())) {
+    const BackendInfo* info = finder_.backend_pool_.Find(take.backend);
+    if (info != nullptr && finder_.backend_pool_.IsUsable(take.backend, Loop::Now())) {
       return Finish(AddressOf(*info));
     }
-    // The keeper has not heard yet that it leaves, or that it is silent to this entry.
+    // The allocator doesn't know yet that the backend server is leaving, or that it doesn't respond
+    // to this entry.
     const bool leaves = info == nullptr || info->state != BackendState::kReady;
     Log(LogLevel::kInfo, "place_refused",
         {{"backend", take.backend.value},
          {"keeper", allocator_.value},
-         {"why", leaves ? "it is leaving" : "it fails or is silent here"}});
+         {"why", leaves ? "the backend server is leaving"
+                        : "the backend server fails or does not respond here"}});
     tried_.push_back(take.backend);
     Execute(search::ChooseLocally{});
   }
@@ -55,7 +57,7 @@
     BackendQuery query;
     query.service = service_;
     query.tried = tried_;
-    Finish(finder_.places_.Choose(query, Loop::Now()));
+    Finish(finder_.backend_pool_.Choose(query, Loop::Now()));
   }
   void Execute(const search::RefuseRequest& give_up) {
     Finish(Error{ErrorKind::kOverloaded, "all places are taken", Ran::kNo, give_up.wait});
@@ -81,20 +83,20 @@
   Timer timer_;
 };
 
-SlotFinder::SlotFinder(Loop& loop, BackendPool& places, PeerMessenger& messenger)
-    : loop_(loop), places_(places), messenger_(messenger) {}
+SlotFinder::SlotFinder(Loop& loop, BackendPool& backend_pool, PeerMessenger& messenger)
+    : loop_(loop), backend_pool_(backend_pool), messenger_(messenger) {}
 
 std::shared_ptr<SlotFinder::Search> SlotFinder::Find(const Request& request, Done done) {
   const Time now = Loop::Now();
   if (const auto lightly_loaded =
-          places_.ChooseLightlyLoaded(request.query, kLightLoadShare, now)) {
+          backend_pool_.ChooseLightlyLoaded(request.query, kLightLoadShare, now)) {
     done(*lightly_loaded);
     return nullptr;
   }
   const std::vector<BackendId> excluded = BackendsToExclude(request.query, now);
   std::vector<NodeId> allocators = messenger_.AllocatorsFor(request.query.service, excluded);
   if (allocators.empty()) {
-    done(places_.Choose(request.query, now));
+    done(backend_pool_.Choose(request.query, now));
     return nullptr;
   }
   PlaceAsk ask;
@@ -113,7 +115,7 @@
 
 std::vector<BackendId> SlotFinder::BackendsToExclude(const BackendQuery& query, Time now) const {
   std::vector<BackendId> excluded(query.tried.begin(), query.tried.end());
-  for (BackendId& id : places_.ExcludedBackends(query, now)) {
+  for (BackendId& id : backend_pool_.ExcludedBackends(query, now)) {
     if (excluded.size() >= kMaxExcludedBackends) break;
     excluded.push_back(std::move(id));
   }
--- a/src/gateway/team_access.cc
+++ b/src/gateway/team_access.cc
@@ -53,7 +53,7 @@
 
 void TeamAccess::CountDecision(std::string_view outcome) {
   metrics_
-      .counter("figmill_team_decisions_total", "Requests by what their key or quota allowed",
+      .counter("figmill_team_decisions_total", "Requests by result of the key and quota checks",
                "outcome=\"" + std::string(outcome) + "\"")
       .Add();
 }
@@ -67,7 +67,7 @@
   const Team* team = IsOk(key) ? teams->HolderOf(std::get<std::string_view>(key)) : nullptr;
   const bool open = route != nullptr && route->open;
   if (open && team == nullptr) return std::optional<TeamId>{};
-  // An old configuration may lack the key, or still have one that was taken away.
+  // An old configuration may lack a new key, or still contain a revoked one.
   if (!ready()) {
     CountDecision("keys_unconfirmed");
     return Error{ErrorKind::kStoreUnavailable, "the teams' keys were not confirmed for too long",
@@ -123,7 +123,8 @@
   Flush();
 }
 
-// A grant of this entry's own, or a decision, may make the client ask again.
+// Repeats until nothing is left: a grant by this entry itself, or a decision, may cause another
+// credit request.
 void TeamAccess::Flush() {
   if (std::exchange(flushing_, true)) return;
   for (bool more = true; more;) {
@@ -167,7 +168,8 @@
 
 QuotaGrant TeamAccess::MakeGrant(const QuotaAsk& ask) {
   QuotaGrant grant{ask.number, ask.team, false, 0, Duration{0}, Duration{0}};
-  // Before anything is kept for its name: anybody may send to the port of the peers.
+  // Checked before any state is stored for the team's name, because any host can send to the peer
+  // port.
   const Team* team = TeamOf(ask.team);
   if (team == nullptr || !team->limited()) return grant;
   const std::optional<Peer>& owner = OwnerOf(ask.team).peer;
--- a/src/gateway/team_access.h
+++ b/src/gateway/team_access.h
@@ -1,7 +1,6 @@
 #pragma once
 
-// Whether a caller may make its request: whose key it carries, and whether its team has a request
-// left.
+// Authenticates callers by their keys and enforces the request quotas of their teams.
 
 #include <functional>
 #include <map>
@@ -20,50 +19,51 @@
 
 class TeamAccess {
  public:
-  // Without a word of the store for so long, and with most of the other entries silent, an entry
-  // grants no credits: it may be cut off, and another one be the owner.
+  // An entry that has had no answer from the store for this long, and doesn't hear most of the
+  // other entries, grants no credits: it may be partitioned, and another entry may be the owner.
   static constexpr Duration kOwnershipConfirmationTtl{3'000'000};
-  // Later than this, a check that is due each kEntryCheckInterval shows that the process stood
-  // still.
+  // If the check that is due every kEntryCheckInterval is later than this, the process was stalled.
   static constexpr Duration kStallThreshold{1'000'000};
-  // An entry that is cut off believes the others to be gone. Its part of a quota is reckoned by all
-  // that were there within this time.
+  // An entry that is partitioned takes the others for dead. Its part of a quota is therefore
+  // computed from the largest number of live entries within this time.
   static constexpr Duration kEntryCountWindow{60'000'000};
-  // After a configuration whose age is over its bound, callers come back this soon.
+  // Retry delay for callers while the configuration is older than its limit.
   static constexpr Duration kUnconfirmedRetryDelay{500'000};
 
   TeamAccess(Loop& loop, PeerTable& peers, PeerMessenger& messenger, Metrics& metrics,
              const TeamSettings& settings);
 
   void SetRoutes(std::shared_ptr<const RouteTable> routes);
-  // The routes were in force when the store was asked, by Loop::SinceBoot.
+  // The routes were in force at `asked_at`, when the store was asked (Loop::SinceBoot).
   void Confirm(Duration asked_at);
-  // Whether keys can be told at all now.
+  // Whether keys can be checked now.
   [[nodiscard]] bool ready() const;
+  // Time since the configuration was last confirmed; nullopt before the first time.
   [[nodiscard]] std::optional<Duration> config_age() const;
 
-  // The team of a request; nothing when callers need no keys. `route`: null for calls about
-  // accepted jobs. Errors: kUnauthorized; kStoreUnavailable while the keys are not known.
+  // The team of a request; nullopt if the request needs no key. `route`: null for calls about
+  // accepted jobs. Errors: kUnauthorized; kStoreUnavailable while the keys are not confirmed.
   [[nodiscard]] Result<std::optional<TeamId>> Identify(const HttpRequest& request,
                                                        const Route* route);
 
-  // Charges a request of the team. `done` may be called at once. Errors: kTeamLimit, kNoBackend.
+  // Charges a request to the quota of the team. `done` may be called from within this call. Errors:
+  // kTeamLimit, kNoBackend.
   void Admit(const TeamId& team, Duration time_left,
              std::function<void(const Result<quota::Admitted>&)> done);
-  // It was refused and has not run.
+  // Refunds a request that was refused and has not run.
   void Refund(const TeamId& team, const quota::Admitted& admitted);
 
-  // From other entries.
+  // Messages from other entries.
   void OnQuotaRequest(const Peer& from, const QuotaAsk& ask);
   void OnQuotaGrant(const QuotaGrant& grant);
 
  private:
   struct Owner {
-    std::optional<Peer> peer;        // nothing: no entry can be one now
-    bool may_admit_locally = false;  // this entry may admit a request on its own
+    std::optional<Peer> peer;        // nullopt if no entry can be the owner now
+    bool may_admit_locally = false;  // this entry may admit a request without asking the owner
   };
 
-  // By the clock that quotas and the age of keys go by.
+  // The clock of quotas and of the age of keys.
   [[nodiscard]] static Time Now() { return Time(Loop::SinceBoot()); }
   [[nodiscard]] const Team* TeamOf(const TeamId& team) const;
   [[nodiscard]] const Owner& OwnerOf(const TeamId& team);
@@ -72,7 +72,7 @@
   [[nodiscard]] QuotaGrant MakeGrant(const QuotaAsk& ask);
   void CheckEntries();
   void UpdateEntryCount();
-  // Sends what the client wants to ask, and tells what it has decided.
+  // Sends the credit requests of the quota client and delivers its decisions.
   void Flush();
   void RequestCredits(const QuotaAsk& ask);
   void ArmTimer();
@@ -87,7 +87,7 @@
   QuotaClient quota_client_;
   QuotaOwner quota_owner_;
   std::map<TeamId, Owner> owners_;
-  std::size_t entry_count_ = 1;  // the most that were there lately
+  std::size_t entry_count_ = 1;  // the most live entries within kEntryCountWindow
   Time entry_count_at_{};
   std::uint64_t peers_generation_ = 0;
   Time checked_at_{};
--- a/test/gateway-fakes.h
+++ b/test/gateway-fakes.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// A table service in memory, whose answers the test can lose, refuse or age, and a
-// loop that runs until a condition conditions_met.
+// An in-memory table service that can drop or reject calls and stall its feeds, and helpers that
+// run a loop for a time or until a condition is met.
 
 #include <doctest/doctest.h>
 
@@ -15,7 +15,7 @@
 
 namespace figmill::fake {
 
-// Runs the loop until `done` conditions_met; fails the test when that takes too long.
+// Runs the loop until `done` returns true; fails the test after `timeout`.
 inline void RunUntil(Loop& loop, const std::function<bool()>& done,
                      Duration timeout = Duration{5'000'000}) {
   const Time end = Loop::Now() + timeout;
@@ -27,14 +27,14 @@
   REQUIRE(done());
 }
 
-// Gives the loop some time, for what must not happen.
+// Runs the loop for `time`, for tests that check that something doesn't happen.
 inline void RunFor(Loop& loop, Duration time) {
   const Timer end = loop.After(time, [&loop] { loop.Stop(); });
   loop.Run();
   loop.Restart();
 }
 
-// One store, which several clients may share.
+// The contents of one store, which several clients may share.
 struct TableData {
   std::map<TableKey, TableRow> rows;
   std::vector<TableRow> history;
@@ -45,12 +45,12 @@
  public:
   Tables(Loop& loop, TableData& data) : loop_(loop), data_(data) {}
 
-  // What the next commits do.
-  int lose_answers = 0;       // take effect, and no answer comes
-  bool refuse = false;        // say that nothing was done
-  bool unresponsive = false;  // nothing is done, and no answer comes
-  bool feed_stalled = false;  // feeds tell of nothing
-  // What the feed was asked to wait, newest last.
+  // Faults to inject into the calls that follow.
+  int lose_answers = 0;       // so many commits take effect, but their answers are lost
+  bool refuse = false;        // commits report that nothing was written, and reads fail
+  bool unresponsive = false;  // commits have no effect and get no answer; reads fail
+  bool feed_stalled = false;  // feeds report no changes
+  // Wait times that Follow was called with, newest last.
   std::vector<Duration> feed_waits;
   int reads = 0;
   int commits = 0;
@@ -97,7 +97,7 @@
  private:
   static constexpr Duration kLostAnswerDelay{300'000};
 
-  // With a start of its own, as in any other host.
+  // A clock with its own epoch, as a store on another host has.
   static StoreTime Clock() {
     static const Time kStart = Loop::Now();
     return Loop::Now() - kStart + std::chrono::seconds(1);
