--- a/src/gateway/open_sends.cc
+++ b/src/gateway/open_sends.cc
@@ -10,13 +10,13 @@
   return last_id_;
 }
 
-void OpenSends::RecordActivity(Id id, Time now) {
-  const auto found = sends_.find(id);
+void OpenSends::RecordActivity(Id send_id, Time now) {
+  const auto found = sends_.find(send_id);
   if (found != sends_.end()) found->second.heard_at = now;
 }
 
-void OpenSends::Remove(Id id) {
-  sends_.erase(id);
+void OpenSends::Remove(Id send_id) {
+  sends_.erase(send_id);
 }
 
 OpenSends::State OpenSends::UpdateState(Send& send, const BackendInfo& listed, Time now) {
@@ -33,16 +33,16 @@
 OpenSends::Ended OpenSends::EndOutdated(const BackendList& listed, Time now) {
   Ended ended;
   std::vector<Id> lost;
-  for (auto& [id, send] : sends_) {
+  for (auto& [send_id, send] : sends_) {
     const auto found = listed.find(send.backend);
     if (found == listed.end()) continue;
     const State state = UpdateState(send, found->second, now);
     if (state == State::kInDoubt) ++ended.in_doubt;
-    if (state == State::kLost) lost.push_back(id);
+    if (state == State::kLost) lost.push_back(send_id);
   }
   // Called outside the loop above, because a callback may retry the request and so add a send.
-  for (const Id id : lost) {
-    auto send = sends_.extract(id);
+  for (const Id send_id : lost) {
+    auto send = sends_.extract(send_id);
     if (send.empty()) continue;
     send.mapped().on_lost();
     ++ended.lost;
--- a/src/gateway/open_sends.h
+++ b/src/gateway/open_sends.h
@@ -28,8 +28,8 @@
 
   [[nodiscard]] Id Add(const BackendAddress& backend, Time now, OnLost on_lost);
   // The send received bytes.
-  void RecordActivity(Id id, Time now);
-  void Remove(Id id);
+  void RecordActivity(Id send_id, Time now);
+  void Remove(Id send_id);
 
   struct Ended {
     int lost = 0;
--- a/src/gateway/relay_call.cc
+++ b/src/gateway/relay_call.cc
@@ -80,29 +80,30 @@
 }
 
 void RelayCall::Do(const relay::ChooseBackend& action) {
-  if (const std::optional<Error> why = QuarantineError()) return Step(relay::NoBackend{*why});
+  if (const std::optional<Error> why = CheckQuarantine()) return Step(relay::NoBackend{*why});
   const Time now = Loop::Now();
-  SlotFinder::Request request;
-  request.query.service = request_.service;
-  request.query.tried = action.tried;
-  request.time_left = state_machine_.plan().deadline - now;
-  request.goal_left = std::max(request_.goal_deadline - now, Duration{0});
-  request.last_try = request_.last_try || action.resumes;
-  search_ =
-      context_.slot_finder.Find(request, [weak = weak_from_this()](Result<BackendAddress> found) {
-        if (const auto self = weak.lock()) self->OnBackendFound(std::move(found));
-      });
+  SlotFinder::Request slot_request;
+  slot_request.query.service = request_.service;
+  slot_request.query.tried = action.tried;
+  slot_request.time_left = state_machine_.plan().deadline - now;
+  slot_request.goal_left = std::max(request_.goal_deadline - now, Duration{0});
+  slot_request.last_try = request_.last_try || action.resumes;
+  search_ = context_.slot_finder.Find(slot_request,
+                                      [weak = weak_from_this()](Result<BackendAddress> found) {
+                                        if (const auto self = weak.lock())
+                                          self->OnBackendFound(std::move(found));
+                                      });
 }
 
 void RelayCall::OnBackendFound(Result<BackendAddress> found) {
   if (!IsOk(found)) return Step(relay::NoBackend{ErrorOf(found)});
   // While this request waited for a slot, others with its fingerprint may have crashed backend
   // servers.
-  if (const std::optional<Error> why = QuarantineError()) return Step(relay::NoBackend{*why});
+  if (const std::optional<Error> why = CheckQuarantine()) return Step(relay::NoBackend{*why});
   Step(relay::BackendChosen{ValueOf(found)});
 }
 
-std::optional<Error> RelayCall::QuarantineError() {
+std::optional<Error> RelayCall::CheckQuarantine() {
   if (!context_.crash_tracker.has_quarantined()) return std::nullopt;
   return context_.crash_tracker.QuarantineError(Fingerprint(), WorkClass::kOnline);
 }
--- a/src/gateway/relay_call.h
+++ b/src/gateway/relay_call.h
@@ -83,7 +83,7 @@
   // crashed. Otherwise a request that crashes backend servers would be retried on the next one.
   void OnConnectionLost(SendNumber send, std::string why);
   void OnWholeAnswer(int status);
-  [[nodiscard]] std::optional<Error> QuarantineError();
+  [[nodiscard]] std::optional<Error> CheckQuarantine();
   [[nodiscard]] const RequestFingerprint& Fingerprint();
   [[nodiscard]] CrashTracker::LostSend MakeLostSend();
   void Complete(std::string_view outcome, const std::string& why);
--- a/src/gateway/request_dispatcher.cc
+++ b/src/gateway/request_dispatcher.cc
@@ -116,11 +116,11 @@
   plan.stream = route.kind == RouteKind::kStream;
   plan.resumable = route.resumable;
   plan.max_backends = route.max_backends;
-  Duration timeout = route.timeout;
+  Duration time_left = route.timeout;
   if (const auto deadline = ParseDeadline(request.HeaderOr(context_.names.deadline_ms))) {
-    timeout = std::min(timeout, *deadline);
+    time_left = std::min(time_left, *deadline);
   }
-  plan.deadline = Loop::Now() + timeout;
+  plan.deadline = Loop::Now() + time_left;
   plan.first_byte_timeout = route.latency_goal * kFirstByteTimeoutFactor;
   plan.next_byte_timeout = route.event_gap * kNextByteTimeoutFactor;
   const std::string_view after = request.HeaderOr(context_.names.last_event_id);
