--- a/src/gateway/relay_call.h
+++ b/src/gateway/relay_call.h
@@ -101,8 +101,8 @@
   OpenSends::Id open_send_id_ = 0;
   std::shared_ptr<SlotFinder::Search> search_;
   Timer timer_;
-  Time timer_at_{};
-  Time timer_deadline_{};
+  Time timer_at_{};        // when timer_ fires
+  Time timer_deadline_{};  // when the state machine wants it to fire
   bool timer_armed_ = false;
   Time started_at_{};
   Time sent_at_{};
--- a/src/gateway/slot_finder.cc
+++ b/src/gateway/slot_finder.cc
@@ -28,39 +28,39 @@
 
  private:
   void Execute(const search::Action& action) {
-    std::visit([this](const auto& each) { Execute(each); }, action);
+    std::visit([this](const auto& each) { Do(each); }, action);
   }
-  void Execute(const search::AskAllocator& ask) {
+  void Do(const search::AskAllocator& ask) {
     allocator_ = ask.allocator;
     ArmTimer(ask.timeout);
     finder_.messenger_.RequestSlot(ask.allocator, ask.request);
   }
-  void Execute(const search::Wait& wait) { ArmTimer(wait.timeout); }
-  void Execute(const search::UseSlot& take) {
+  void Do(const search::Wait& wait) { ArmTimer(wait.timeout); }
+  void Do(const search::UseSlot& action) {
     finder_.messenger_.AcknowledgeAnswer(allocator_, search_.number());
-    const BackendInfo* info = finder_.backend_pool_.Find(take.backend);
-    if (info != nullptr && finder_.backend_pool_.IsUsable(take.backend, Loop::Now())) {
+    const BackendInfo* info = finder_.backend_pool_.Find(action.backend);
+    if (info != nullptr && finder_.backend_pool_.IsUsable(action.backend, Loop::Now())) {
       return Finish(AddressOf(*info));
     }
     // The allocator doesn't know yet that the backend server is leaving, or that it doesn't respond
     // to this entry.
     const bool leaves = info == nullptr || info->state != BackendState::kReady;
     Log(LogLevel::kInfo, "place_refused",
-        {{"backend", take.backend.value},
+        {{"backend", action.backend.value},
          {"keeper", allocator_.value},
          {"why", leaves ? "the backend server is leaving"
                         : "the backend server fails or does not respond here"}});
-    tried_.push_back(take.backend);
-    Execute(search::ChooseLocally{});
+    tried_.push_back(action.backend);
+    Do(search::ChooseLocally{});
   }
-  void Execute(const search::ChooseLocally& /*action*/) {
+  void Do(const search::ChooseLocally& /*action*/) {
     BackendQuery query;
     query.service = service_;
     query.tried = tried_;
     Finish(finder_.backend_pool_.Choose(query, Loop::Now()));
   }
-  void Execute(const search::RefuseRequest& give_up) {
-    Finish(Error{ErrorKind::kOverloaded, "all places are taken", Ran::kNo, give_up.wait});
+  void Do(const search::RefuseRequest& action) {
+    Finish(Error{ErrorKind::kOverloaded, "all places are taken", Ran::kNo, action.wait});
   }
   void Finish(Result<BackendAddress> result) {
     timer_.Reset();
