--- a/src/gateway/batch_runner.h
+++ b/src/gateway/batch_runner.h
@@ -32,7 +32,7 @@
   // bytes.
   static constexpr Duration kProgressWriteInterval{1'000'000};
 
-  BatchRunner(RelayTools& tools, JobStore& jobs, const StoreClock& clock,
+  BatchRunner(RelayContext& tools, JobStore& jobs, const StoreClock& clock,
               std::function<void()> waiting_changed);
 
   void SetRoutes(std::shared_ptr<const RouteTable> routes);
@@ -50,13 +50,13 @@
   struct Run {
     BackendAddress backend;
     AcquiredSlot slot;
-    OpenSends::Number number = 0;
+    OpenSends::Id number = 0;
     CancelCall cancel;
     bool answering = false;
     Time started_at{};
     Time last_activity_at{};
     StoreTime due{0};
-    CrashWatch::LostSend lost_send;  // reported when the connection is lost
+    CrashTracker::LostSend lost_send;  // reported when the connection is lost
   };
 
   void Enqueue(const JobItemRef& key, Duration delay);
@@ -69,7 +69,7 @@
   void StartGrantedRuns();
   bool StartOn(const BackendInfo& backend);
   void Start(const JobItemRef& key, StoreTime due, const BackendInfo& backend);
-  void OnHttp(const JobItemRef& key, OpenSends::Number number, HttpEvent event);
+  void OnHttp(const JobItemRef& key, OpenSends::Id number, HttpEvent event);
   void OnConnectionLost(const JobItemRef& key, std::string why);
   void OnHead(const JobItemRef& key, const HttpHead& head);
   void OnBytes(const JobItemRef& key, std::string_view bytes);
@@ -88,7 +88,7 @@
   void SaveProgress();
   void SaveProgressOf(OwnedJob& job);
 
-  RelayTools& tools_;
+  RelayContext& tools_;
   JobStore& jobs_;
   const StoreClock& clock_;
   std::function<void()> waiting_changed_;
--- a/src/gateway/fleet_watch.cc
+++ b/src/gateway/fleet_watcher.cc
@@ -1,4 +1,4 @@
-#include "gateway/fleet_watch.h"
+#include "gateway/fleet_watcher.h"
 
 #include <algorithm>
 #include <utility>
@@ -6,15 +6,15 @@
 namespace figmill {
 namespace {
 
-std::string_view EventOf(ListChange change) {
+std::string_view LogEventOf(BackendListChange change) {
   switch (change) {
-    case ListChange::kRestarted:
+    case BackendListChange::kRestarted:
       return "backend_restarted";
-    case ListChange::kOutdated:
+    case BackendListChange::kOutdated:
       return "backend_outdated";
-    case ListChange::kNone:
-    case ListChange::kUpdated:
-    case ListChange::kForeign:
+    case BackendListChange::kNone:
+    case BackendListChange::kUpdated:
+    case BackendListChange::kServiceMismatch:
       break;
   }
   return "backend_listed";
@@ -22,14 +22,14 @@
 
 }  // namespace
 
-FleetWatch::FleetWatch(Loop& loop, SharedTables& tables, const PlatformAdapter& adapter,
-                       Metrics& metrics, std::optional<Duration> revoke_within, Hooks hooks)
+FleetWatcher::FleetWatcher(Loop& loop, SharedTables& tables, const PlatformAdapter& adapter,
+                           Metrics& metrics, std::optional<Duration> revoke_within, Hooks hooks)
     : loop_(loop),
       adapter_(adapter),
       hooks_(std::move(hooks)),
       refused_configs_(metrics, {"config", "config_refused", "row"}),
       refused_backends_(metrics, {"backend", "backend_refused", "backend"}),
-      secret_(SystemRandom()()),
+      key_lookup_secret_(SystemRandom()()),
       config_(
           loop, tables, adapter.config_row().table, {adapter.config_row().part},
           [this](const TableMirror::Change& change) { OnConfig(change); },
@@ -41,18 +41,19 @@
           loop, tables, adapter.backend_table(), {""},
           [this](const TableMirror::Change& change) { OnBackend(change); }, [this] { Publish(); }) {
   if (revoke_within) {
-    config_.SetWait(std::min<Duration>(TableFollower::kWait, *revoke_within / kConfirmations));
+    config_.SetWait(
+        std::min<Duration>(TableFollower::kWait, *revoke_within / kPollsPerRevocationPeriod));
   }
 }
 
-void FleetWatch::Start() {
+void FleetWatcher::Start() {
   config_.Start();
   backends_.Start();
 }
 
-// Only a higher version replaces what is in force: the row may be written anew
-// with an older text, and a mirror may hear of it late.
-void FleetWatch::OnConfig(const TableMirror::Change& change) {
+// Only a higher version replaces the configuration in force: the row may be overwritten with an
+// older configuration, and the mirror may deliver changes late.
+void FleetWatcher::OnConfig(const TableMirror::Change& change) {
   if (change.at.key != adapter_.config_row().key || change.row == nullptr) return;
   Result<RoutingConfig> config = adapter_.ParseConfig(change.row->value);
   if (!IsOk(config)) {
@@ -66,11 +67,11 @@
       {{"version", std::to_string(next)},
        {"before", std::to_string(now)},
        {"row_version", std::to_string(change.row->version)}});
-  view_.routes = std::make_shared<const RouteTable>(std::move(ValueOf(config)), secret_);
+  view_.routes = std::make_shared<const RouteTable>(std::move(ValueOf(config)), key_lookup_secret_);
   changed_ = true;
 }
 
-void FleetWatch::OnBackend(const TableMirror::Change& change) {
+void FleetWatcher::OnBackend(const TableMirror::Change& change) {
   const BackendId id{change.at.key};
   if (change.row == nullptr) {
     Log(LogLevel::kInfo, "backend_gone",
@@ -81,30 +82,33 @@
   }
   Result<BackendInfo> info = adapter_.ParseBackend(id.value, change.row->value);
   if (!IsOk(info)) return OnUnreadableBackend(id, change.row->version, ErrorOf(info));
-  const BackendIncarnation told = ValueOf(info).incarnation;
-  const ListChange made = List(view_.backends, std::move(ValueOf(info)));
-  if (made == ListChange::kForeign) {
-    const Error error{ErrorKind::kBadRequest, "an earlier incarnation of another service"};
+  const BackendIncarnation reported = ValueOf(info).incarnation;
+  const BackendListChange list_change = UpdateBackendList(view_.backends, std::move(ValueOf(info)));
+  if (list_change == BackendListChange::kServiceMismatch) {
+    const Error error{ErrorKind::kBadRequest,
+                      "the row has an earlier incarnation and another service"};
     return OnUnreadableBackend(id, change.row->version, error);
   }
   refused_backends_.Clear(id.value);
-  if (made == ListChange::kNone) return;
-  const BackendInfo& mine = view_.backends.at(id);
-  Log(LogLevel::kInfo, EventOf(made),
+  if (list_change == BackendListChange::kNone) return;
+  const BackendInfo& current = view_.backends.at(id);
+  Log(LogLevel::kInfo, LogEventOf(list_change),
       {{"backend", id.value},
-       {"told_incarnation", std::to_string(told.number)},
-       {"incarnation", std::to_string(mine.incarnation.number)},
-       {"service", mine.service.value},
-       {"address", ToString(mine.address)},
-       {"state", std::string(ToString(mine.state))},
+       {"told_incarnation", std::to_string(reported.number)},
+       {"incarnation", std::to_string(current.incarnation.number)},
+       {"service", current.service.value},
+       {"address", ToString(current.address)},
+       {"state", std::string(ToString(current.state))},
        {"row_version", std::to_string(change.row->version)}});
-  changed_ |= made != ListChange::kOutdated;
+  changed_ |= list_change != BackendListChange::kOutdated;
 }
 
-// Left in force as it was, an entry that another writer has spoilt would draw requests to a
-// backend server of which nobody knows whether it is there. Taken for gone, its open work
-// would be forgotten, and its batch items stopped, though it most likely still runs them.
-void FleetWatch::OnUnreadableBackend(const BackendId& id, RowVersion version, const Error& error) {
+// A row that another writer has corrupted marks the backend server as unreadable. If the last good
+// row stayed in force, requests would go to a backend server that may not exist any more. If the
+// row were treated as removed, open work there would be dropped and batch items stopped, although
+// the backend server most likely still runs them.
+void FleetWatcher::OnUnreadableBackend(const BackendId& id, RowVersion version,
+                                       const Error& error) {
   refused_backends_.Refuse(id.value, version, error.detail);
   const auto known = view_.backends.find(id);
   if (known == view_.backends.end()) return;
@@ -113,27 +117,27 @@
   }
 }
 
-void FleetWatch::SchedulePublish() {
+void FleetWatcher::SchedulePublish() {
   if (!changed_ || std::exchange(publish_scheduled_, true)) return;
-  loop_.Later(kPublishPause, [this] {
+  loop_.Later(kPublishDelay, [this] {
     publish_scheduled_ = false;
     Publish();
   });
 }
 
-void FleetWatch::Publish() {
-  const bool first_list = backends_.mirror().complete() && !view_.backends_listed;
+void FleetWatcher::Publish() {
+  const bool first_list = backends_.mirror().complete() && !view_.backends_loaded;
   if (!std::exchange(changed_, false) && !first_list) return;
-  view_.backends_listed = backends_.mirror().complete();
+  view_.backends_loaded = backends_.mirror().complete();
   view_.backends_version = backends_.mirror().version();
   hooks_.publish(std::make_shared<const FleetView>(view_));
   Confirm();
 }
 
-void FleetWatch::Confirm() {
+void FleetWatcher::Confirm() {
   const std::optional<Duration> at = config_.confirmed_at();
-  if (changed_ || !view_.routes || !at || at == confirmed_at_) return;
-  confirmed_at_ = at;
+  if (changed_ || !view_.routes || !at || at == last_confirmed_at_) return;
+  last_confirmed_at_ = at;
   hooks_.confirmed(*at);
 }
 
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -8,15 +8,15 @@
 #include <utility>
 
 #include "gateway/batch_runner.h"
-#include "gateway/caller_door.h"
 #include "gateway/clock_syncing_tables.h"
-#include "gateway/crash_watch.h"
-#include "gateway/fleet_watch.h"
+#include "gateway/crash_tracker.h"
+#include "gateway/entry_registry.h"
+#include "gateway/fleet_watcher.h"
 #include "gateway/job_request_handler.h"
 #include "gateway/job_store.h"
-#include "gateway/member_watch.h"
 #include "gateway/open_sends.h"
-#include "gateway/peer_link.h"
+#include "gateway/peer_messenger.h"
+#include "gateway/request_dispatcher.h"
 #include "gateway/store_transport.h"
 #include "gateway/team_access.h"
 
@@ -39,8 +39,8 @@
 class ControlThread {
  public:
   struct Hooks {
-    FleetWatch::Hooks fleet;
-    MemberWatch::Hooks members;
+    FleetWatcher::Hooks fleet;
+    EntryRegistry::Hooks members;
   };
 
   ControlThread(const GatewaySettings& settings, const PlatformAdapter& adapter, Metrics& metrics,
@@ -48,7 +48,8 @@
       : client_(loop_),
         store_(loop_, client_, settings.store, traffic),
         tables_(adapter.Connect(store_)),
-        fleet_(loop_, *tables_, adapter, metrics, settings.teams.lease(), std::move(hooks.fleet)),
+        fleet_(loop_, *tables_, adapter, metrics, settings.teams.key_lease(),
+               std::move(hooks.fleet)),
         members_(loop_, *tables_, metrics, self, std::move(hooks.members)),
         thread_([this] {
           // In this order most entries have joined before others learn of them.
@@ -68,7 +69,7 @@
     loop_.Post([this, peer] { members_.Remove(peer); });
   }
   void UpdateSelf(const Peer& self) {
-    loop_.Post([this, self] { members_.Rename(self); });
+    loop_.Post([this, self] { members_.UpdateSelf(self); });
   }
   void SetPeers(std::vector<Address> peers) {
     loop_.Post([this, peers = std::move(peers)]() mutable { store_.SetPeers(std::move(peers)); });
@@ -79,8 +80,8 @@
   ExchangeClient client_;
   StoreTransport store_;
   std::unique_ptr<SharedTables> tables_;
-  FleetWatch fleet_;
-  MemberWatch members_;
+  FleetWatcher fleet_;
+  EntryRegistry members_;
   std::thread thread_;
 };
 
@@ -101,14 +102,15 @@
         clock_syncing_tables_(*tables_, clock_),
         backend_pool_(settings.data_centre, SystemRandom()),
         peers_(SelfOf(settings)),
-        peer_messenger_(
-            loop_, peers_, backend_pool_, metrics_, traffic_,
-            {[this] { return runner_.Waiting(); }, [this] { runner_.UpdateRuns(); },
-             [this](const PlaceAnswer& answer) { slot_finder_.OnAnswer(answer); },
-             [this](const Peer& peer) { control_thread_.RemoveMember(peer); },
-             [this](const Peer& self) { control_thread_.UpdateSelf(self); },
-             [this](const Peer& from, const QuotaAsk& ask) { team_access_.OnAsk(from, ask); },
-             [this](const QuotaGrant& grant) { team_access_.OnGrant(grant); }}),
+        peer_messenger_(loop_, peers_, backend_pool_, metrics_, traffic_,
+                        {[this] { return runner_.Waiting(); }, [this] { runner_.UpdateRuns(); },
+                         [this](const PlaceAnswer& answer) { slot_finder_.OnAnswer(answer); },
+                         [this](const Peer& peer) { control_thread_.RemoveMember(peer); },
+                         [this](const Peer& self) { control_thread_.UpdateSelf(self); },
+                         [this](const Peer& from, const QuotaAsk& ask) {
+                           team_access_.OnQuotaRequest(from, ask);
+                         },
+                         [this](const QuotaGrant& grant) { team_access_.OnQuotaGrant(grant); }}),
         team_access_(loop_, peers_, peer_messenger_, metrics_, settings.teams),
         slot_finder_(loop_, backend_pool_, peer_messenger_),
         crash_tracker_(loop_, client_, clock_syncing_tables_, metrics_, settings.node),
@@ -121,12 +123,12 @@
                [this](const JobId& job) { runner_.OnDropped(job); },
                [this](OwnedJob& job) { runner_.OnReleasing(job); },
                [this](const JobHead& head) { job_requests_.OnChanged(head); }}),
-        runner_(relay_context_, jobs_, clock_, [this] { peer_messenger_.WantedChanged(); }),
+        runner_(relay_context_, jobs_, clock_, [this] { peer_messenger_.OnWaitingChanged(); }),
         job_requests_(loop_, jobs_, clock_, adapter),
         request_dispatcher_(relay_context_, adapter, job_requests_, SystemRandom()),
         control_thread_(settings, adapter, metrics_, traffic_, peers_.self(), ControlHooks()) {
     backend_pool_.SetUsageListener(
-        [this](const BackendId& backend) { peer_messenger_.Touch(backend); });
+        [this](const BackendId& backend) { peer_messenger_.OnUsageChanged(backend); });
   }
 
   int Run() {
@@ -171,17 +173,18 @@
 
  private:
   ControlThread::Hooks ControlHooks() {
-    return {
-        {[this](std::shared_ptr<const FleetView> view) {
-           loop_.Post([this, view = std::move(view)] { ApplyFleetView(view); });
-         },
-         [this](Duration asked_at) {
-           loop_.Post([this, asked_at] { team_access_.Confirm(asked_at); });
-         }},
-        {[this](const Peer& peer) { loop_.Post([this, peer] { peer_messenger_.Named(peer); }); },
-         [this](const NodeId& node) {
-           loop_.Post([this, node] { peer_messenger_.Unlisted(node); });
-         }}};
+    return {{[this](std::shared_ptr<const FleetView> view) {
+               loop_.Post([this, view = std::move(view)] { ApplyFleetView(view); });
+             },
+             [this](Duration asked_at) {
+               loop_.Post([this, asked_at] { team_access_.Confirm(asked_at); });
+             }},
+            {[this](const Peer& peer) {
+               loop_.Post([this, peer] { peer_messenger_.OnPeerListed(peer); });
+             },
+             [this](const NodeId& node) {
+               loop_.Post([this, node] { peer_messenger_.OnPeerUnlisted(node); });
+             }}};
   }
 
   void OnPeerRequest(HttpRequest request, std::shared_ptr<HttpReply> reply) {
@@ -214,7 +217,7 @@
         SecondsOr(clock_.Age(Loop::SinceBoot()), -1));
     set("figmill_config_confirmed_age_seconds",
         "Since the store was last asked whether the configuration still holds; -1 before it was",
-        SecondsOr(team_access_.age(), -1));
+        SecondsOr(team_access_.config_age(), -1));
     set("figmill_log_lines_dropped", "Log lines left out or lost since the start",
         static_cast<double>(LogLinesDropped()));
   }
@@ -246,7 +249,7 @@
     backends.reserve(view->backends.size());
     for (const auto& [id, info] : view->backends) backends.push_back(info);
     peer_messenger_.SetBackends(std::move(backends));
-    if (view->backends_listed) peer_messenger_.Joined();
+    if (view->backends_loaded) peer_messenger_.Join();
     EndOutdatedSends();
   }
 
@@ -261,7 +264,7 @@
       runner_.UpdateRuns();
     }
     if (ended.in_doubt == 0) return outdated_timer_.Reset();
-    outdated_timer_ = loop_.After(OpenSends::kSignOfLife, [this] { EndOutdatedSends(); });
+    outdated_timer_ = loop_.After(OpenSends::kRecentActivity, [this] { EndOutdatedSends(); });
   }
 
   bool Listen(const Address& at, std::unique_ptr<HttpServer>& server, HttpHandler handler) {
@@ -319,15 +322,15 @@
   BackendList backends_;  // of the FleetView in use
   OpenSends open_sends_;
   PeerTable peers_;
-  PeerLink peer_messenger_;
+  PeerMessenger peer_messenger_;
   TeamAccess team_access_;
-  PlaceFinder slot_finder_;
-  CrashWatch crash_tracker_;
-  RelayTools relay_context_;
+  SlotFinder slot_finder_;
+  CrashTracker crash_tracker_;
+  RelayContext relay_context_;
   JobStore jobs_;
   BatchRunner runner_;
   JobRequestHandler job_requests_;
-  CallerDoor request_dispatcher_;
+  RequestDispatcher request_dispatcher_;
   std::unique_ptr<HttpServer> callers_, health_, peers_server_, metrics_server_;
   bool leaving_ = false;
   bool jobs_released_ = false;
--- a/src/gateway/job_request_handler.cc
+++ b/src/gateway/job_request_handler.cc
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-#include "gateway/refusal.h"
+#include "gateway/error_response.h"
 
 namespace figmill {
 namespace {
@@ -50,7 +50,7 @@
       error.kind = ErrorKind::kDeadlineExceeded;
     }
     if (RowOf(error.kind).retry_may_help && !error.retry_after) error.retry_after = kRetryAfter;
-    Send(RefusalOf(error), error.detail);
+    Send(ErrorResponseFor(error), error.detail);
   }
   void OnClosed(std::function<void()> closed) { reply_->OnClosed(std::move(closed)); }
 
--- a/src/gateway/relay_call.h
+++ b/src/gateway/relay_call.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Carries out what a RelayStateMachine decides: calls the backend server, answers the caller.
+// Executes the actions of a RelayStateMachine: calls the backend server and answers the caller.
 
 #include <functional>
 #include <memory>
@@ -12,58 +12,59 @@
 #include "figmill/fleet.h"
 #include "figmill/gateway.h"
 #include "figmill/relay.h"
-#include "gateway/crash_watch.h"
+#include "gateway/crash_tracker.h"
 #include "gateway/gateway_metrics.h"
 #include "gateway/open_sends.h"
-#include "gateway/place_finder.h"
+#include "gateway/slot_finder.h"
 #include "gateway/team_access.h"
 #include "gateway/traffic_metrics.h"
 
 namespace figmill {
 
-// What all calls share; it outlives them.
-struct RelayTools {
+// Dependencies that all relay calls share. They outlive the calls.
+struct RelayContext {
   Loop& loop;
   ExchangeClient& client;
-  BackendPool& places;
-  PlaceFinder& finder;
-  OpenSends& sends;
-  CrashWatch& crashes;
+  BackendPool& backends;
+  SlotFinder& slot_finder;
+  OpenSends& open_sends;
+  CrashTracker& crash_tracker;
   TeamAccess& teams;
-  const WireNames& names;
+  const HeaderNames& names;
   GatewayMetrics& metrics;
   TrafficMetrics& traffic;
-  bool leaving = false;  // answers from now on end their connections
+  bool leaving = false;  // responses close their connections
 };
 
-// Where a call's bytes to a backend server are counted.
-[[nodiscard]] Counter& BytesOf(RelayTools& tools, TrafficKind kind, const BackendId& backend);
+// The counter for bytes exchanged with the backend server.
+[[nodiscard]] Counter& BackendBytesCounter(RelayContext& context, TrafficKind kind,
+                                           const BackendId& backend);
 
 // One request as its caller sent it.
 struct RelayedRequest {
   std::string method;
   std::string target;           // path and query
-  std::vector<Header> headers;  // without those of one connection
+  std::vector<Header> headers;  // without hop-by-hop headers
   std::string body;
   ServiceName service;
-  std::optional<TeamId> team;  // whose key it carried, if callers need keys
+  std::optional<TeamId> team;  // the team of its key, if callers need keys
   std::string route;
   std::uint64_t config_version = 0;
-  Time goal_at{};            // its first answer is late after this
-  bool last_chance = false;  // its caller has been refused before
+  Time goal_deadline{};   // when its first byte is due by the latency goal
+  bool last_try = false;  // the request is a retry of one that was refused
 };
 
 class RelayCall : public std::enable_shared_from_this<RelayCall> {
  public:
-  RelayCall(RelayTools& tools, RelayPlan plan, RelayedRequest request,
-            std::shared_ptr<HttpReply> reply, std::function<void()> finished);
+  RelayCall(RelayContext& context, RelayPlan plan, RelayedRequest request,
+            std::shared_ptr<HttpReply> reply, std::function<void()> on_finished);
 
   void Start();
 
  private:
   void Step(const relay::Event& event);
-  // Its team has a request left, or none.
-  void OnQuota(const Result<quota::Admitted>& verdict);
+  // Continues after the quota check of the request's team.
+  void OnQuotaDecision(const Result<quota::Admitted>& decision);
   void Do(const relay::ChooseBackend& action);
   void Do(const relay::Send& action);
   void Do(const relay::CloseSend& action);
@@ -74,43 +75,43 @@
   void Do(const relay::SendError& action);
   void Do(const relay::AbortAnswer& action);
   void Do(const relay::SetTimer& action);
-  void OnHttp(SendNumber send, HttpEvent event);
+  void OnHttpEvent(SendNumber send, HttpEvent event);
   void BeginSend(const relay::Send& action);
-  // A backend server was chosen, or there is none.
-  void OnPlace(Result<BackendAddress> place);
-  // Tells the run once it is known whether the backend server has crashed, so that it doesn't
-  // go on to the next one with a request that crashes them.
+  // Continues with the backend server that was found, or with the error.
+  void OnBackendFound(Result<BackendAddress> found);
+  // Passes the failure to the state machine only after the check whether the backend server has
+  // crashed. Otherwise a request that crashes backend servers would be retried on the next one.
   void OnConnectionLost(SendNumber send, std::string why);
   void OnWholeAnswer(int status);
-  [[nodiscard]] std::optional<Error> Quarantined();
+  [[nodiscard]] std::optional<Error> CheckQuarantine();
   [[nodiscard]] const RequestFingerprint& Fingerprint();
-  [[nodiscard]] CrashWatch::LostSend LostSend();
-  void Finished(std::string_view outcome, const std::string& why);
-  [[nodiscard]] HttpCall CallFor(const relay::Send& action) const;
-  [[nodiscard]] HttpResponse ResponseOf(HttpHead head, std::string body) const;
+  [[nodiscard]] CrashTracker::LostSend MakeLostSend();
+  void Complete(std::string_view outcome, const std::string& why);
+  [[nodiscard]] HttpCall MakeHttpCall(const relay::Send& action) const;
+  [[nodiscard]] HttpResponse MakeResponse(HttpHead head, std::string body) const;
   void ArmTimer();
 
-  RelayTools& tools_;
-  RelayStateMachine run_;
+  RelayContext& context_;
+  RelayStateMachine state_machine_;
   RelayedRequest request_;
   std::shared_ptr<HttpReply> reply_;
-  std::function<void()> finished_;
+  std::function<void()> on_finished_;
   CancelCall cancel_;
-  AcquiredSlot place_;
-  OpenSends::Number open_send_ = 0;
-  std::shared_ptr<PlaceFinder::Search> search_;
+  AcquiredSlot slot_;
+  OpenSends::Id open_send_id_ = 0;
+  std::shared_ptr<SlotFinder::Search> search_;
   Timer timer_;
-  Time timer_at_{};
-  Time wanted_at_{};
+  Time timer_at_{};        // when timer_ fires
+  Time timer_deadline_{};  // when the state machine wants it to fire
   bool timer_armed_ = false;
   Time started_at_{};
   Time sent_at_{};
   Time first_byte_at_{};
   int status_ = 0;
-  Duration retry_after_{0};                        // said in a refusal
-  std::optional<quota::Admitted> charged_;         // to its team
-  BackendAddress sent_to_;                         // by the last send
-  std::optional<RequestFingerprint> fingerprint_;  // once it was asked for
+  Duration retry_after_{0};                        // sent in an error response
+  std::optional<quota::Admitted> charged_;         // against its team's quota
+  BackendAddress sent_to_;                         // backend server of the last send
+  std::optional<RequestFingerprint> fingerprint_;  // computed on first use
 };
 
 }  // namespace figmill
--- /dev/null
+++ b/src/gateway/request_dispatcher.cc
@@ -0,0 +1,164 @@
+#include "gateway/request_dispatcher.h"
+
+#include <charconv>
+#include <utility>
+
+#include "gateway/error_response.h"
+#include "gateway/item_call.h"
+#include "gateway/log_text.h"
+
+namespace figmill {
+namespace {
+
+// Retry delay while this entry shuts down. Another entry can serve the request at once; the delay
+// covers opening a connection to it.
+constexpr Duration kOtherEntryRetryDelay{50'000};
+// Retry delay before the first configuration: a process that starts has read it after about this
+// time.
+constexpr Duration kConfigurationRetryDelay{500'000};
+
+// First-byte timeout of an idempotent request, in multiples of its route's latency goal; after it
+// the request is sent to another backend server. Most first events arrive within a tenth of the
+// goal.
+constexpr int kFirstByteTimeoutFactor = 3;
+// Timeout between bytes of a stream, in multiples of its route's target for the gap between events.
+constexpr int kNextByteTimeoutFactor = 2;
+
+std::optional<Duration> ParseDeadline(std::string_view text) {
+  std::int64_t ms = 0;
+  const auto [end, failure] = std::from_chars(text.data(), text.data() + text.size(), ms);
+  if (failure != std::errc{} || end == text.data() || ms < 0) return std::nullopt;
+  return std::chrono::milliseconds(ms);
+}
+
+bool IsReplacedHeader(const HeaderNames& names, std::string_view header) {
+  for (const std::string_view each :
+       {std::string_view("Connection"), std::string_view("Keep-Alive"),
+        std::string_view("Transfer-Encoding"), std::string_view("Content-Length"),
+        std::string_view("TE"), std::string_view("Trailer"), std::string_view("Upgrade"),
+        std::string_view("Proxy-Connection"), std::string_view(names.deadline_ms),
+        std::string_view(names.expect_backend), std::string_view(names.last_event_id)}) {
+    if (SameHeaderName(header, each)) return true;
+  }
+  return false;
+}
+
+}  // namespace
+
+RequestDispatcher::RequestDispatcher(RelayContext& context, const PlatformAdapter& adapter,
+                                     JobRequestHandler& jobs, RandomBits random)
+    : context_(context), adapter_(adapter), jobs_(jobs), random_(std::move(random)) {}
+
+void RequestDispatcher::Update(std::shared_ptr<const FleetView> view) {
+  const bool routes_changed = !view_ || view_->routes != view->routes;
+  view_ = std::move(view);
+  // Callers may set shorter deadlines under the new routes. Compared with the deadlines seen
+  // before, all of their requests would be taken for retries.
+  if (routes_changed) retry_detector_ = {};
+}
+
+void RequestDispatcher::SetLeaving() {
+  context_.leaving = true;
+}
+
+void RequestDispatcher::OnRequest(HttpRequest request, std::shared_ptr<HttpReply> reply) {
+  if (refusing_) {
+    return Refuse(
+        request, *reply,
+        {ErrorKind::kLeaving, "this entry is shutting down", Ran::kNo, kOtherEntryRetryDelay});
+  }
+  if (!ready()) {
+    return Refuse(request, *reply,
+                  {ErrorKind::kNoBackend, "no configuration is known yet", Ran::kNo,
+                   kConfigurationRetryDelay});
+  }
+  const std::optional<Result<JobCall>> call = adapter_.ParseJobCall(request);
+  const Route* route = call ? nullptr : view_->routes->Find(request.HeaderOr("Host"), request.path);
+  if (!call && route == nullptr) {
+    return Refuse(request, *reply, {ErrorKind::kNotFound, "no route for this host and path"});
+  }
+  const Result<std::optional<TeamId>> identified = context_.teams.Identify(request, route);
+  if (!IsOk(identified)) return Refuse(request, *reply, ErrorOf(identified));
+  const auto& team = std::get<std::optional<TeamId>>(identified);
+  if (call) {
+    if (!IsOk(*call)) return Refuse(request, *reply, ErrorOf(*call));
+    return jobs_.Call(ValueOf(*call), team, std::move(reply));
+  }
+  if (route->kind == RouteKind::kBatch) {
+    return jobs_.Submit(*route, view_->routes->version(), team, std::move(request),
+                        std::move(reply));
+  }
+  Relay(*route, team, std::move(request), std::move(reply));
+}
+
+void RequestDispatcher::Refuse(const HttpRequest& request, HttpReply& reply,
+                               const Error& error) const {
+  context_.metrics.RequestEnded("refused", Duration{0}, Duration{0});
+  HttpResponse response = ErrorResponseFor(error);
+  response.close = context_.leaving;
+  Log(LogLevel::kInfo, "request",
+      {{"request", std::string(request.HeaderOr(context_.names.request_id))},
+       {"outcome", "refused"},
+       {"status", std::to_string(response.status)},
+       {"ms", "0"},
+       {"host", std::string(request.HeaderOr("Host"))},
+       {"path", request.path},
+       {"config", view_ && view_->routes ? std::to_string(view_->routes->version()) : "none"},
+       {"config_age_ms", Milliseconds(context_.teams.config_age().value_or(Duration{0}))},
+       {"why", error.detail}});
+  reply.Send(std::move(response));
+}
+
+RelayPlan RequestDispatcher::MakePlan(const Route& route, const HttpRequest& request) const {
+  RelayPlan plan;
+  plan.request = RequestId{std::string(request.HeaderOr(context_.names.request_id))};
+  plan.idempotent = IsIdempotent(route);
+  plan.stream = route.kind == RouteKind::kStream;
+  plan.resumable = route.resumable;
+  plan.max_backends = route.max_backends;
+  Duration time_left = route.timeout;
+  if (const auto deadline = ParseDeadline(request.HeaderOr(context_.names.deadline_ms))) {
+    time_left = std::min(time_left, *deadline);
+  }
+  plan.deadline = Loop::Now() + time_left;
+  plan.first_byte_timeout = route.latency_goal * kFirstByteTimeoutFactor;
+  plan.next_byte_timeout = route.event_gap * kNextByteTimeoutFactor;
+  const std::string_view after = request.HeaderOr(context_.names.last_event_id);
+  if (!after.empty()) plan.after_event = std::string(after);
+  return plan;
+}
+
+std::vector<Header> RequestDispatcher::ForwardedHeaders(const std::optional<TeamId>& team,
+                                                        std::vector<Header> headers) const {
+  const HeaderNames& names = context_.names;
+  const bool needs_keys = view_->routes->teams() != nullptr;
+  std::erase_if(headers, [&names, needs_keys](const Header& header) {
+    return IsReplacedHeader(names, header.name) || (needs_keys && IsTeamHeader(names, header.name));
+  });
+  if (team) headers.push_back({names.team, team->value});
+  return headers;
+}
+
+void RequestDispatcher::Relay(const Route& route, std::optional<TeamId> team, HttpRequest request,
+                              std::shared_ptr<HttpReply> reply) {
+  RelayPlan plan = MakePlan(route, request);
+  RelayedRequest relayed;
+  relayed.method = std::move(request.method);
+  relayed.target = request.path;
+  if (!request.query.empty()) relayed.target += "?" + request.query;
+  relayed.goal_deadline = Loop::Now() + route.latency_goal;
+  const Time now = Loop::Now();
+  relayed.last_try = retry_detector_.IsRetry(route.name, plan.deadline - now, now);
+  relayed.service = ChooseService(route, random_());
+  relayed.route = route.name;
+  relayed.config_version = view_->routes->version();
+  relayed.body = std::move(request.body);
+  relayed.headers = ForwardedHeaders(team, std::move(request.headers));
+  relayed.team = std::move(team);
+  ++in_flight_;
+  const auto call = std::make_shared<RelayCall>(context_, std::move(plan), std::move(relayed),
+                                                std::move(reply), [this] { --in_flight_; });
+  call->Start();
+}
+
+}  // namespace figmill
--- a/src/gateway/caller_door.h
+++ b/src/gateway/request_dispatcher.h
@@ -1,6 +1,7 @@
 #pragma once
 
-// Takes callers' requests, finds their route and passes them on.
+// Receives callers' requests, finds their route and dispatches them to a relay call or to the job
+// API.
 
 #include <functional>
 #include <memory>
@@ -13,20 +14,20 @@
 
 namespace figmill {
 
-class CallerDoor {
+class RequestDispatcher {
  public:
-  CallerDoor(RelayTools& tools, const PlatformAdapter& adapter, JobRequestHandler& jobs,
-             RandomBits random);
+  RequestDispatcher(RelayContext& context, const PlatformAdapter& adapter, JobRequestHandler& jobs,
+                    RandomBits random);
 
   void Update(std::shared_ptr<const FleetView> view);
   void OnRequest(HttpRequest request, std::shared_ptr<HttpReply> reply);
-  // Answers end their connections from now on.
+  // From now on responses close their connections.
   void SetLeaving();
-  // Requests from now on could not be finished before the process ends.
+  // Rejects all further requests, which could not finish before the process ends.
   void RefuseAll() { refusing_ = true; }
   [[nodiscard]] bool ready() const { return view_ && view_->routes; }
   [[nodiscard]] std::size_t in_flight() const { return in_flight_; }
-  // 0: none is known yet.
+  // 0 if no configuration is known yet.
   [[nodiscard]] std::uint64_t config_version() const {
     return ready() ? view_->routes->version() : 0;
   }
@@ -34,19 +35,19 @@
  private:
   void Relay(const Route& route, std::optional<TeamId> team, HttpRequest request,
              std::shared_ptr<HttpReply> reply);
-  // What is sent on of a request's headers. With teams the caller's key stays here, and whose
-  // request it is says the key, whatever the caller says.
-  [[nodiscard]] std::vector<Header> HeadersFor(const std::optional<TeamId>& team,
-                                               std::vector<Header> headers) const;
+  // The headers to forward to the backend server. If callers need keys, the key is removed, and the
+  // team header is set from the key, whatever the caller sent in it.
+  [[nodiscard]] std::vector<Header> ForwardedHeaders(const std::optional<TeamId>& team,
+                                                     std::vector<Header> headers) const;
   void Refuse(const HttpRequest& request, HttpReply& reply, const Error& error) const;
-  [[nodiscard]] RelayPlan PlanOf(const Route& route, const HttpRequest& request) const;
+  [[nodiscard]] RelayPlan MakePlan(const Route& route, const HttpRequest& request) const;
 
-  RelayTools& tools_;
+  RelayContext& context_;
   const PlatformAdapter& adapter_;
   JobRequestHandler& jobs_;
   RandomBits random_;
   std::shared_ptr<const FleetView> view_;
-  RetryDetector first_tries_;
+  RetryDetector retry_detector_;
   std::size_t in_flight_ = 0;
   bool refusing_ = false;
 };
--- a/src/gateway/store_transport.cc
+++ b/src/gateway/store_transport.cc
@@ -32,7 +32,7 @@
   for (const Header& header : ValueOf(result).headers) {
     if (!SameHeaderName(header.name, kNoResponseHeader)) continue;
     const bool not_sent = header.value == kNotSent;
-    return Error{ErrorKind::kBackendFailed, "via a peer: " + ValueOf(result).body,
+    return Error{ErrorKind::kBackendFailed, "by way of a peer: " + ValueOf(result).body,
                  not_sent ? Ran::kNo : Ran::kUnknown};
   }
   return result;
@@ -50,7 +50,7 @@
 }  // namespace
 
 void StoreTransport::Fetch(TableCall call, std::function<void(Result<HttpResponse>)> done) {
-  const StorePaths::Path path = paths_.Begin(call.waits, Loop::Now());
+  const StorePaths::Path path = paths_.Begin(call.long_poll, Loop::Now());
   Send(std::move(call), path, /*may_use_alternative=*/true, std::move(done));
 }
 
--- a/src/gateway/store_transport.h
+++ b/src/gateway/store_transport.h
@@ -14,7 +14,7 @@
 
 namespace figmill {
 
-class StoreTransport final : public TableCalls {
+class StoreTransport final : public TableTransport {
  public:
   StoreTransport(Loop& loop, ExchangeClient& client, Address store, TrafficMetrics& traffic)
       : loop_(loop), client_(client), store_(std::move(store)), traffic_(traffic) {}
--- a/test/backend-incarnation-test.cc
+++ b/test/backend-incarnation-test.cc
@@ -48,10 +48,10 @@
   explicit WatchedSend(OpenSends& sends, BackendIncarnation incarnation = kFirst)
       : number(sends.Add({kEngine, kAddress, incarnation}, kStart, [this] { ++lost; })) {}
   int lost = 0;
-  OpenSends::Number number;
+  OpenSends::Id number;
 };
 
-constexpr Time kAfterRecentActivity = kStart + OpenSends::kSignOfLife;
+constexpr Time kAfterRecentActivity = kStart + OpenSends::kRecentActivity;
 
 }  // namespace
 
@@ -73,8 +73,8 @@
 // entry changes only in its incarnation.
 TEST_CASE("an entry that differs in its incarnation alone is a change") {
   BackendList list = Listed(kFirst);
-  CHECK(List(list, EngineIn(kFirst)) == ListChange::kNone);
-  CHECK(List(list, EngineIn(kSecond)) == ListChange::kRestarted);
+  CHECK(UpdateBackendList(list, EngineIn(kFirst)) == BackendListChange::kNone);
+  CHECK(UpdateBackendList(list, EngineIn(kSecond)) == BackendListChange::kRestarted);
   CHECK(list.at(kEngine).incarnation == kSecond);
 }
 
@@ -84,7 +84,7 @@
   BackendList list = Listed(kSecond);
   BackendInfo late = EngineIn(kFirst);
   late.address.port = 81;
-  CHECK(List(list, BackendInfo(late)) == ListChange::kOutdated);
+  CHECK(UpdateBackendList(list, BackendInfo(late)) == BackendListChange::kOutdated);
   CHECK(list == Listed(kSecond));
 }
 
@@ -92,14 +92,14 @@
   BackendList list = Listed(kFirst);
   BackendInfo without_incarnation = EngineIn({});
   without_incarnation.state = BackendState::kDraining;
-  CHECK(List(list, BackendInfo(without_incarnation)) == ListChange::kUpdated);
+  CHECK(UpdateBackendList(list, BackendInfo(without_incarnation)) == BackendListChange::kUpdated);
   CHECK(list.at(kEngine).state == BackendState::kDraining);
-  CHECK(List(list, EngineIn(kSecond)) == ListChange::kRestarted);
+  CHECK(UpdateBackendList(list, EngineIn(kSecond)) == BackendListChange::kRestarted);
 }
 
 TEST_CASE("the first known incarnation is no restart") {
   BackendList list = Listed({});
-  CHECK(List(list, EngineIn(kFirst)) == ListChange::kUpdated);
+  CHECK(UpdateBackendList(list, EngineIn(kFirst)) == BackendListChange::kUpdated);
 }
 
 // Guards against a request that may not be repeated and fails on an idle connection to the ended
@@ -216,7 +216,7 @@
   CHECK(sends.EndOutdated(Listed(kSecond), now).in_doubt == 2);
   for (int i = 0; i < 6; ++i) {
     now += 40 * kMillisecond;
-    sends.Heard(alive.number, now);
+    sends.RecordActivity(alive.number, now);
   }
   const OpenSends::Ended ended = sends.EndOutdated(Listed(kSecond), now);
   CHECK(ended.lost == 1);
--- a/test/foreign-entries-test.cc
+++ b/test/foreign-entries-test.cc
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "figmill/encoding.h"
-#include "gateway/fleet_watch.h"
+#include "gateway/fleet_watcher.h"
 #include "platform/adapter.h"
 #include "platform/documents.h"
 #include "platform/tables.h"
@@ -136,13 +136,13 @@
   Metrics metrics;
   std::shared_ptr<const FleetView> view;
   int settle_count = 0;
-  FleetWatch watch{loop,
-                   tables,
-                   *adapter,
-                   metrics,
-                   std::nullopt,
-                   {[this](std::shared_ptr<const FleetView> next) { view = std::move(next); },
-                    [](Duration /*asked_at*/) {}}};
+  FleetWatcher watch{loop,
+                     tables,
+                     *adapter,
+                     metrics,
+                     std::nullopt,
+                     {[this](std::shared_ptr<const FleetView> next) { view = std::move(next); },
+                      [](Duration /*asked_at*/) {}}};
 };
 
 }  // namespace
@@ -329,7 +329,7 @@
 // Guards against a table whose changes are not received although the store responds: another
 // writer writes a row whose value isn't base64, and the whole response is refused for it.
 TEST_CASE("a row whose value is no base64 hides no other row") {
-  struct Calls final : TableCalls {
+  struct Calls final : TableTransport {
     std::string body;
     void Fetch(TableCall, std::function<void(Result<HttpResponse>)> done) override {
       done(HttpResponse{200, "application/json", {}, body});
--- a/test/foreign-jobs-test.cc
+++ b/test/foreign-jobs-test.cc
@@ -229,7 +229,7 @@
   Entry f;
   f.Accept();
   f.Settle();
-  f.tables.deaf = true;  // this entry receives no changes
+  f.tables.feed_stalled = true;  // this entry receives no changes
   f.PutHead("spoilt");
   CHECK(f.KindOf([&f](auto done) {
     f.store.End(kJob, [done](const Result<Ok>& ended) {
@@ -245,7 +245,7 @@
   Entry f;
   f.Accept();
   f.Settle();
-  f.tables.deaf = true;
+  f.tables.feed_stalled = true;
   f.PutHead("spoilt");
   OwnedJob* job = f.store.FindOwned(kJob);
   job->Finish(0, {"i0", ResultState::kComplete, "text"});
--- a/test/gateway-fakes.h
+++ b/test/gateway-fakes.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// A table service in memory, whose answers the test can lose, refuse or age, and a
-// loop that runs until a condition holds.
+// An in-memory table service that can drop or reject calls and stall its feeds, and helpers that
+// run a loop for a time or until a condition is met.
 
 #include <doctest/doctest.h>
 
@@ -15,11 +15,11 @@
 
 namespace figmill::fake {
 
-// Runs the loop until `done` holds; fails the test when that takes too long.
+// Runs the loop until `done` returns true; fails the test after `timeout`.
 inline void RunUntil(Loop& loop, const std::function<bool()>& done,
-                     Duration bound = Duration{5'000'000}) {
-  const Time end = Loop::Now() + bound;
-  const Timer poll = loop.Every(Duration{1'000}, [&] {
+                     Duration timeout = Duration{5'000'000}) {
+  const Time end = Loop::Now() + timeout;
+  const Timer check = loop.Every(Duration{1'000}, [&] {
     if (done() || Loop::Now() >= end) loop.Stop();
   });
   loop.Run();
@@ -27,14 +27,14 @@
   REQUIRE(done());
 }
 
-// Gives the loop some time, for what must not happen.
+// Runs the loop for `time`, for tests that check that something doesn't happen.
 inline void RunFor(Loop& loop, Duration time) {
   const Timer end = loop.After(time, [&loop] { loop.Stop(); });
   loop.Run();
   loop.Restart();
 }
 
-// One store, which several clients may share.
+// The contents of one store, which several clients may share.
 struct TableData {
   std::map<TableKey, TableRow> rows;
   std::vector<TableRow> history;
@@ -45,31 +45,31 @@
  public:
   Tables(Loop& loop, TableData& data) : loop_(loop), data_(data) {}
 
-  // What the next commits do.
-  int lose_answers = 0;  // take effect, and no answer comes
-  bool refuse = false;   // say that nothing was done
-  bool silent = false;   // nothing is done, and no answer comes
-  bool deaf = false;     // feeds tell of nothing
-  // What the feed was asked to wait, newest last.
-  std::vector<Duration> waits;
+  // Faults to inject into the calls that follow.
+  int lose_answers = 0;       // so many commits take effect, but their answers are lost
+  bool refuse = false;        // commits report that nothing was written, and reads fail
+  bool unresponsive = false;  // commits have no effect and get no answer; reads fail
+  bool feed_stalled = false;  // feeds report no changes
+  // Wait times that Follow was called with, newest last.
+  std::vector<Duration> feed_waits;
   int reads = 0;
   int commits = 0;
 
   void Commit(TableTransaction transaction, std::function<void(TableOutcome)> done) override {
     ++commits;
     if (refuse) return Later([done] { done(NotWritten{"refused"}); });
-    if (silent) return Later([done] { done(FateUnknown{"no answer"}); }, kSilence);
+    if (unresponsive) return Later([done] { done(FateUnknown{"no answer"}); }, kLostAnswerDelay);
     TableOutcome outcome = Apply(transaction);
     if (lose_answers > 0) {
       --lose_answers;
-      return Later([done] { done(FateUnknown{"no answer"}); }, kSilence);
+      return Later([done] { done(FateUnknown{"no answer"}); }, kLostAnswerDelay);
     }
     Later([done, outcome] { done(outcome); });
   }
 
   void Read(TableRange range, std::function<void(Result<TablePage>)> done) override {
     ++reads;
-    if (refuse || silent) return Later([done] { done(Down()); });
+    if (refuse || unresponsive) return Later([done] { done(Unavailable()); });
     TablePage page;
     for (const auto& [at, row] : data_.rows) {
       if (at.table != range.table || at.part != range.part || at.key < range.from) continue;
@@ -90,51 +90,52 @@
 
   void Follow(std::string table, RowVersion after, Duration wait,
               std::function<void(FeedOutcome)> done) override {
-    waits.push_back(wait);
-    Poll(std::move(table), after, Loop::Now() + wait, std::move(done));
+    feed_waits.push_back(wait);
+    PollFeed(std::move(table), after, Loop::Now() + wait, std::move(done));
   }
 
  private:
-  static constexpr Duration kSilence{300'000};
+  static constexpr Duration kLostAnswerDelay{300'000};
 
-  // With a start of its own, as in any other host.
+  // A clock with its own epoch, as a store on another host has.
   static StoreTime Clock() {
     static const Time kStart = Loop::Now();
     return Loop::Now() - kStart + std::chrono::seconds(1);
   }
-  static Error Down() { return {ErrorKind::kStoreUnavailable, "down"}; }
+  static Error Unavailable() { return {ErrorKind::kStoreUnavailable, "down"}; }
 
   void Later(std::function<void()> task, Duration delay = Duration{500}) {
     loop_.Later(delay, std::move(task));
   }
 
-  void Poll(std::string table, RowVersion after, Time end, std::function<void(FeedOutcome)> done) {
-    if (refuse || silent) return Later([done] { done(Down()); });
+  void PollFeed(std::string table, RowVersion after, Time end,
+                std::function<void(FeedOutcome)> done) {
+    if (refuse || unresponsive) return Later([done] { done(Unavailable()); });
     TableChanges changes;
-    if (!deaf) {
+    if (!feed_stalled) {
       for (const TableRow& row : data_.history) {
         if (row.at.table == table && row.version > after) changes.rows.push_back(row);
       }
     }
     if (changes.rows.empty() && Loop::Now() < end) {
-      return Later([this, table, after, end, done] { Poll(table, after, end, done); },
+      return Later([this, table, after, end, done] { PollFeed(table, after, end, done); },
                    Duration{2'000});
     }
-    changes.version = deaf ? after : data_.version;
+    changes.version = feed_stalled ? after : data_.version;
     changes.now = Clock();
     Later([done, changes] { done(changes); });
   }
 
   TableOutcome Apply(const TableTransaction& transaction) {
     TableRejected rejected;
-    bool holds = true;
+    bool conditions_met = true;
     for (const TableCondition& condition : transaction.conditions) {
       const auto found = data_.rows.find(condition.at);
       const RowVersion version = found == data_.rows.end() ? 0 : found->second.version;
-      holds &= version == condition.version;
+      conditions_met &= version == condition.version;
       if (found != data_.rows.end()) rejected.current.push_back(found->second);
     }
-    if (!holds) return rejected;
+    if (!conditions_met) return rejected;
     ++data_.version;
     for (const TablePut& put : transaction.puts) {
       data_.rows[put.at] = {put.at, put.value, data_.version, false};
--- a/test/job-request-handler-test.cc
+++ b/test/job-request-handler-test.cc
@@ -126,7 +126,7 @@
   TestEntry b(loop, data, "b");
   CHECK(a.Submit("job").status == 202);
   fake::RunUntil(loop, [&] { return b.store.KnownHead(JobId{"job"}) != nullptr; });
-  b.tables.deaf = true;
+  b.tables.feed_stalled = true;
   a.Finish(0);
   const HttpResponse read = b.Call(JobReadCall{JobId{"job"}, 0, Duration{50'000}});
   CHECK(read.body.find(R"("id":"i0")") != std::string::npos);
@@ -144,7 +144,7 @@
   // have had one.
   CHECK(a.Submit("other").status == 503);
   a.tables.refuse = false;
-  a.tables.silent = true;
+  a.tables.unresponsive = true;
   CHECK(a.Submit("other").status == 504);
 }
 
@@ -173,13 +173,13 @@
   TableFollower follower(
       loop, tables, "t", {""}, [](const TableMirror::Change&) {}, [] {});
   follower.Start();
-  fake::RunUntil(loop, [&] { return !tables.waits.empty(); });
-  CHECK(tables.waits.back() == TableFollower::kWait);
+  fake::RunUntil(loop, [&] { return !tables.feed_waits.empty(); });
+  CHECK(tables.feed_waits.back() == TableFollower::kWait);
   tables.refuse = true;
   fake::RunUntil(loop, [&] { return !follower.connected(); });
   tables.refuse = false;
   fake::RunUntil(loop, [&] { return follower.connected(); });
-  CHECK(tables.waits.back() == TableFollower::kShortWait);
+  CHECK(tables.feed_waits.back() == TableFollower::kShortWait);
 }
 
 TEST_CASE("a job is visible to its own team only") {
