--- a/include/figmill/control.h
+++ b/include/figmill/control.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// What operators decide and what nodes know of each other: the configuration,
-// the control log that carries it, membership, and leases. No I/O.
+// The control plane: the configuration set by operators, the control log that
+// replicates it, cluster membership, and leases. State machines only, no I/O.
 
 #include <cstdint>
 #include <deque>
@@ -25,7 +25,7 @@
 
 enum class ServiceKind : std::uint8_t { kModel, kPlain };
 
-// Requests whose path starts with `path_prefix` may not be repeated.
+// Whether requests whose path starts with `path_prefix` may be retried.
 struct RouteRule {
   std::string path_prefix;
   bool repeatable = true;
@@ -40,7 +40,7 @@
   ServiceName name;
   ServiceKind kind = ServiceKind::kModel;
   bool repeatable = true;
-  std::vector<RouteRule> routes;  // stricter of rule and service wins
+  std::vector<RouteRule> routes;  // the stricter of the rule and `repeatable` applies
   LatencyTarget target;
   Duration default_deadline{60'000'000};
 };
@@ -54,11 +54,11 @@
 };
 
 struct BackendConfig {
-  NodeId agent;  // the agent beside it
+  NodeId agent;  // the agent on the same host
   std::vector<ServiceName> serves;
   bool checks_fencing = true;
-  // Set by the fold from the drain orders, never by a configuration document:
-  // applying an old file must not bring a drained server back.
+  // Derived by Apply from the drain orders, never set by a configuration document:
+  // applying an old file must not put a drained server back into service.
   bool drained = false;
 };
 
@@ -68,12 +68,12 @@
   std::map<NodeId, BackendConfig> backends;
 };
 
-// Checks the configuration as a whole: ranges, and that every name a part refers
-// to is there. Errors: kBadRequest, naming the part.
+// Checks the configuration as a whole: value ranges, and that every referenced
+// name is defined. Errors: kBadRequest and kTooLarge, naming the invalid element.
 [[nodiscard]] Result<Ok> Validate(const Config& config);
 // One JSON document: {"services": [...], "limits": [...], "backends": [...]}.
-// A field that isn't known is refused by name, as a misspelt limit would
-// otherwise silently not hold. Errors: kBadRequest.
+// An unknown field is an error that names it, as a misspelt limit would otherwise
+// silently not apply. Errors: kBadRequest.
 [[nodiscard]] Result<Config> ParseConfig(std::string_view json);
 [[nodiscard]] std::string ToJson(const Config& config);
 
@@ -84,15 +84,15 @@
   std::string version;
   auto operator<=>(const VersionedName&) const = default;
 };
-// What an engine should hold. Sequence of the order is its fencing token. A name
-// that is wanted replaces its other versions; what is not named at all stays as
-// it is, so that an order never unloads what its operator didn't mean.
+// The models and adapters that an engine should have loaded. The sequence of the
+// order is its fencing token. A wanted name replaces its other versions; names that
+// are not listed are left unchanged, so that an order unloads only what it names.
 struct Placement {
   std::vector<VersionedName> models;
   std::vector<VersionedName> adapters;
   std::vector<VersionedName> unwanted_models;
   std::vector<VersionedName> unwanted_adapters;
-  std::string role;  // empty: as it is
+  std::string role;  // empty: unchanged
 };
 
 struct PutService {
@@ -123,27 +123,27 @@
   NodeId agent;
   Placement placement;
 };
-// Keeps drains, cancellations and placements.
+// Replaces the configuration; drains, cancellations and placements are kept.
 struct ReplaceConfig {
   Config config;
 };
-// Everything that operators can order.
+// The orders that operators can append to the control log.
 using ControlEntry = std::variant<PutService, RemoveService, PutLimit, PutBackend, RemoveBackend,
                                   Drain, Undrain, CancelJob, Place, ReplaceConfig>;
 
 // Errors of the parsers: kBadRequest, naming the field.
 [[nodiscard]] Result<ControlEntry> ParseControlEntry(std::string_view json);
 [[nodiscard]] std::string ToJson(const ControlEntry& entry);
-// One line for people, such as "put service field-app".
+// A one-line, human-readable summary, such as "put service field-app".
 [[nodiscard]] std::string Describe(const ControlEntry& entry);
-// Whether the order of the two matters, so that of two racing operators one
-// must be told that the other won.
+// Whether the two entries change the same subject, so that their order matters and
+// one of two concurrent appends must be rejected.
 [[nodiscard]] bool Clash(const ControlEntry& one, const ControlEntry& other);
 
 // One row of the log.
 struct LogRecord {
   Sequence sequence = 0;
-  Token token;  // mark of the write that made it
+  Token token;  // identifies the write that created the row
   std::string author;
   ControlEntry entry;
 };
@@ -152,38 +152,40 @@
 // "log/000000000812".
 [[nodiscard]] std::string LogKey(Sequence sequence);
 
-// What the log adds up to. Applying is deterministic: nodes at the same sequence
-// hold the same fold, whichever way they came by it.
+// The state that results from applying all log entries up to `sequence`. Applying is
+// deterministic: nodes at the same sequence have the same state, whether they read
+// it from the store, from a snapshot or from a peer.
 struct Fold {
   struct PlacementOrder {
     Placement placement;
     Sequence sequence = 0;
   };
   Sequence sequence = 0;
-  std::string author;  // of the last entry, to tell a loser who won
-  std::string change;  // the last entry, described
+  std::string author;  // of the last entry, named in conflict errors
+  std::string change;  // description of the last entry
   Config config;
   std::set<NodeId> drained;
   // The newest kMaxCancelledJobs cancellations by sequence. The job's own row
-  // is what keeps it cancelled; this tells its owner, within seconds. At 820
-  // changes a day one stays here five days, and none is pushed out while the
-  // store is down, as that takes further entries.
+  // is the durable record; this only notifies the job's owner within seconds. At 820
+  // changes a day an entry stays here for five days. None is evicted while the
+  // store is down, as eviction requires new entries.
   std::map<JobId, Sequence> cancelled_jobs;
   std::map<NodeId, PlacementOrder> placements;
 };
 inline constexpr std::size_t kMaxCancelledJobs = 4096;
 inline constexpr std::size_t kMaxDrainedNodes = 4096;
 
-// Whether the entry may follow this fold: the resulting configuration is
-// validated whole. Errors: kBadRequest, kNotFound, kTooLarge.
+// Whether the entry may be applied to this state; the resulting configuration is
+// validated as a whole. Errors: kBadRequest, kNotFound, kTooLarge.
 [[nodiscard]] Result<Ok> Check(const Fold& fold, const ControlEntry& entry);
-// `record.sequence` must be the next one.
+// Requires record.sequence == fold.sequence + 1.
 void Apply(Fold& fold, const LogRecord& record);
 [[nodiscard]] Result<Fold> ParseFold(std::string_view json);
 [[nodiscard]] std::string ToJson(const Fold& fold);
 
-// Actions of the log's state machines. The shell answers each call exactly once
-// with the event of the same letter, and never inside the call.
+// Actions of the log's state machines. The I/O layer answers each request exactly
+// once with the matching event (ScanRows with RowsScanned, ReadRow with RowWasRead,
+// ...), and never from within the call that returned the action.
 struct ScanRows {
   RowRange range;
 };
@@ -201,7 +203,7 @@
   std::string key;
 };
 struct DeleteObject {
-  std::string key;  // no answer wanted: a leftover costs room only
+  std::string key;  // has no event: a failed deletion only leaves an unused object
 };
 struct FetchEntries {
   NodeId peer;
@@ -210,13 +212,14 @@
 struct FetchFold {
   NodeId peer;
 };
-// The fold moved: publish it to traffic and gossip.
+// The state has changed: publish it to the traffic threads and to gossip.
 struct PublishFold {};
 struct AnswerAppend {
   std::uint64_t append = 0;
   Result<Sequence> outcome;
 };
-// A row that can't be read stops this node: skipping it would let nodes differ.
+// A row can't be parsed. This node stops applying the log, as skipping the row would
+// make its state differ from that of other nodes.
 struct LogStuck {
   Sequence sequence = 0;
   std::string why;
@@ -239,7 +242,7 @@
 struct ObjectWasRead {
   Result<std::string> bytes;
 };
-// kNotFound: the peer holds no entries that far back; take its fold.
+// kNotFound: the peer no longer has entries that old; fetch its whole state instead.
 struct EntriesFetched {
   Result<std::vector<LogRecord>> records;
 };
@@ -249,83 +252,89 @@
 using LogEvent = std::variant<RowsScanned, RowWasRead, CommitEnded, ObjectWasPut, ObjectWasRead,
                               EntriesFetched, FoldFetched>;
 
-// Follows the log, from the store or from peers. The sequence only rises.
+// Follows the log, from the store or from peers. The head sequence never decreases.
 class LogReader {
  public:
   LogReader();
-  // Reads the store from the head on, unless a read is under way.
+  // Starts reading the store from the head on, unless a read is in progress.
   [[nodiscard]] std::vector<LogAction> Poll();
-  // A peer is known to run on `sequence`.
+  // `peer` has reported that it is at `sequence`; fetches from it if that is ahead.
   [[nodiscard]] std::vector<LogAction> Hint(const NodeId& peer, Sequence sequence);
   [[nodiscard]] std::vector<LogAction> On(LogEvent event);
 
-  // Takes records in, the contiguous ones past the head; true if the fold moved.
-  bool Offer(std::span<const LogRecord> records);
-  // Never goes back: a fold at or below the head is ignored.
-  bool Offer(Fold fold);
+  // Applies the records that continue the log without a gap; true if the head moved.
+  bool Advance(std::span<const LogRecord> records);
+  // Replaces the state; one at or below the head is ignored. True if the head moved.
+  bool Advance(Fold fold);
 
   [[nodiscard]] const std::shared_ptr<const Fold>& fold() const { return fold_; }
   [[nodiscard]] Sequence head() const { return fold_->sequence; }
-  // Whether the whole log was once read, from the store or a peer ahead. Before
-  // that the fold may lack most orders, and a process that routes by it would
-  // serve on a configuration that never was.
+  // Whether the end of the log was reached at least once, from the store or from a
+  // peer that is ahead. Before that the state may lack most orders, and a process that
+  // routes by it would use a configuration that was never in force.
   [[nodiscard]] bool learned() const { return learned_; }
-  // For a peer that is at `after`, oldest first, at most `max_bytes` but at
-  // least one; nothing when the window doesn't reach back that far.
+  // The entries after `after`, oldest first, at most `max_bytes` but at least one;
+  // nullopt if the window doesn't reach back that far.
   [[nodiscard]] std::optional<std::vector<LogRecord>> EntriesAfter(Sequence after,
                                                                    std::size_t max_bytes) const;
 
  private:
-  struct Kept {
+  struct WindowEntry {
     LogRecord record;
     std::size_t bytes = 0;
   };
   std::vector<LogAction> OnRows(Result<std::vector<Row>> rows);
   std::vector<LogAction> OnSnapshotRow(Result<std::optional<Row>> row);
-  std::vector<LogAction> OnFoldBytes(Result<std::string> bytes);
+  std::vector<LogAction> OnSnapshotObject(Result<std::string> bytes);
   std::vector<LogAction> OnEntries(Result<std::vector<LogRecord>> records);
-  std::vector<LogAction> OnFold(Result<Fold> fold);
+  std::vector<LogAction> OnPeerState(Result<Fold> fold);
   std::vector<LogAction> Scan();
-  std::vector<LogAction> NextFetch();
-  void Keep(const LogRecord& record);
+  std::vector<LogAction> ContinueFetch();
+  void AddToWindow(const LogRecord& record);
 
   std::shared_ptr<const Fold> fold_;
-  std::deque<Kept> window_;  // the newest records, up to the head
+  std::deque<WindowEntry> window_;  // the newest records up to the head, served to peers
   std::size_t window_bytes_ = 0;
   bool learned_ = false;
   bool reading_store_ = false;
   std::optional<NodeId> fetching_from_;
-  Sequence wanted_ = 0;  // the highest sequence a peer was seen on
+  Sequence peer_head_ = 0;  // the highest sequence reported by a peer
 };
 
-// Appends by compare-and-set. One append is in flight at a time, others wait.
+// Appends by compare-and-set. One append is in flight at a time, others are queued.
 //
-// Besides "the next row is absent" a transaction requires "the head row is as I
-// read it". Without that a writer that has slept through a compaction would find
-// its old next row absent again, and have an entry accepted in the past, where
-// nobody would ever read it.
+// A transaction requires that the next row is absent and also that the head row still
+// has the version that was read. Without the second condition, a writer that was paused
+// during a compaction would find its old next row absent again, and its entry would be
+// accepted below the snapshot, where no reader would ever see it.
 class LogWriter {
  public:
   LogWriter(LogReader& reader, RandomBits random);
-  // `append` names the answer. Errors in the answer: those of Check;
-  // kStaleVersion if `if_version` isn't the head; kConflict if another
-  // operator's entry on the same subject won, saying whose and where;
-  // kStoreUnavailable (nothing written); kOverloaded (too many waiting).
-  // `built_on` is the sequence of the fold that the entry was made from, if it
-  // carries values over from one: entries on the same subject after it win.
+  // `append` identifies the AnswerAppend action. Errors in its outcome: those of Check;
+  // kStaleVersion if `if_version` isn't the head; kConflict if a concurrent entry on the
+  // same subject was committed first, naming its author and sequence;
+  // kStoreUnavailable (nothing written); kOverloaded (queue full).
+  // `built_on` is the sequence of the state that the entry copies values from, if any:
+  // an entry on the same subject after that sequence is a conflict.
   [[nodiscard]] std::vector<LogAction> Append(std::uint64_t append, ControlEntry entry,
                                               std::string author,
                                               std::optional<Sequence> if_version,
                                               std::optional<Sequence> built_on = {});
-  // Takes back an append that is still waiting: true if so, and nothing was
-  // written; false if it is in flight or done.
-  [[nodiscard]] bool Withdraw(std::uint64_t append);
+  // Removes an append that is still queued: true if so, and nothing was written;
+  // false if it is in flight or done.
+  [[nodiscard]] bool CancelQueued(std::uint64_t append);
   [[nodiscard]] std::vector<LogAction> On(LogEvent event);
-  // Every second: goes on with a write whose fate couldn't be read.
+  // Call every second: reads back a write whose outcome is still unknown.
   [[nodiscard]] std::vector<LogAction> Tick();
 
  private:
-  enum class State : std::uint8_t { kIdle, kCatchingUp, kCommitting, kReadingBack, kUnknown };
+  enum class State : std::uint8_t {
+    kIdle,
+    kCatchingUp,
+    kCommitting,
+    kReadingBack,
+    kOutcomeUnknown
+  };
   struct Pending {
     std::uint64_t append = 0;
     ControlEntry entry;
@@ -333,7 +342,7 @@
     std::optional<Sequence> if_version;
     std::optional<Sequence> built_on;
   };
-  std::vector<LogAction> Begin();
+  std::vector<LogAction> StartNext();
   std::vector<LogAction> CatchUp();
   std::vector<LogAction> OnRows(Result<std::vector<Row>> rows);
   std::vector<LogAction> OnCommit(TransactionOutcome outcome);
@@ -341,58 +350,59 @@
   std::vector<LogAction> Validate();
   std::vector<LogAction> Commit();
   std::vector<LogAction> OnRejected(const Rejected& rejected);
-  std::vector<LogAction> Lost();
-  std::vector<LogAction> Won();
+  std::vector<LogAction> OnRaceLost();
+  std::vector<LogAction> OnCommitted();
   std::vector<LogAction> Finish(Result<Sequence> outcome);
 
   LogReader& reader_;
   RandomBits random_;
   State state_ = State::kIdle;
-  std::deque<Pending> queue_;  // the front is in flight
-  LogRecord record_;           // what the front is being written as
-  RowCondition commit_head_;   // the head row as read before it
+  std::deque<Pending> queue_;    // the front is in flight
+  LogRecord record_;             // the record of the append in flight
+  RowCondition head_condition_;  // requires the head row to be unchanged
   std::optional<RowVersion> head_version_;
   Sequence scanned_from_ = 0;
-  std::optional<Sequence> base_;  // entries after it raced with the front
+  std::optional<Sequence> base_sequence_;  // entries after it are concurrent with the front
   int attempts_ = 0;
-  bool may_have_landed_ = false;  // an earlier try's answer was lost
+  bool may_be_committed_ = false;  // the outcome of an earlier attempt is unknown
 };
 
-// Writes the fold to the object store every kEntriesPerSnapshot entries, then
-// deletes entries that are kEntriesKept older than it. Entries newer than a
-// committed snapshot are never deleted, so a reader finds either the rows or a
+// Writes the state to the object store every kEntriesPerSnapshot entries, then
+// deletes entries that are at least kEntriesKept older than that snapshot. Entries newer
+// than a committed snapshot are never deleted, so a reader finds either the rows or a
 // snapshot that covers them.
 inline constexpr Sequence kEntriesPerSnapshot = 256;
 inline constexpr Sequence kEntriesKept = 256;
 class LogCompactor {
  public:
   LogCompactor(const LogReader& reader, RandomBits random);
-  // After this node's own append. Only appenders compact, so that nodes don't
-  // race over it; a compaction cut short is taken up after a later append.
+  // Call after an append by this node; starts a compaction if one is due. Only nodes
+  // that append compact, so that few nodes compete for it; an interrupted compaction is
+  // resumed after a later append.
   [[nodiscard]] std::vector<LogAction> Consider();
   [[nodiscard]] std::vector<LogAction> On(LogEvent event);
 
  private:
-  enum class State : std::uint8_t { kIdle, kReading, kWritingFold, kWritingRow, kDeleting };
+  enum class State : std::uint8_t { kIdle, kReading, kWritingObject, kWritingRow, kDeleting };
   std::vector<LogAction> OnSnapshotRow(Result<std::optional<Row>> row);
-  std::vector<LogAction> OnFoldPut(const Result<Ok>& outcome);
+  std::vector<LogAction> OnStatePut(const Result<Ok>& outcome);
   std::vector<LogAction> OnCommit(const TransactionOutcome& outcome);
-  std::vector<LogAction> DeleteSome();
+  std::vector<LogAction> DeleteBatch();
 
   const LogReader& reader_;
   RandomBits random_;
   State state_ = State::kIdle;
-  std::shared_ptr<const Fold> folded_;
-  Sequence known_ = 0;         // the newest committed snapshot, as far as known
-  Sequence stale_object_ = 0;  // the snapshot two before the one being written
+  std::shared_ptr<const Fold> compacted_state_;
+  Sequence known_snapshot_ = 0;  // the newest committed snapshot known here
+  Sequence stale_snapshot_ = 0;  // sequence of the snapshot two before the one being written
   Sequence next_delete_ = 1;
   RowVersion row_version_ = 0;
 };
 
 // --- Leases ------------------------------------------------------------------------
 
-// A row `lease/<name>`. It is released by emptying the holder, never deleted, as
-// the epoch must not start over.
+// A row `lease/<name>`. Releasing clears the holder and never deletes the row, as
+// the epoch must not restart.
 struct LeaseRow {
   Token token;
   NodeId holder;  // empty: released
@@ -410,17 +420,17 @@
   Duration term{6'000'000};
 };
 
-// A lease just taken.
+// A newly acquired lease.
 struct LeaseGrant {
   Epoch epoch = 0;
   RowVersion version = 0;
   std::uint64_t renewals = 0;
-  Time sent;  // when the write that took it was sent
+  Time sent;  // when the acquiring write was sent
 };
 struct LeaseTaken {
   LeaseGrant grant;
 };
-// Someone else holds it now; `row` is empty if that couldn't be read.
+// Another holder has the lease; `row` is empty if the row is missing or malformed.
 struct LeaseLost {
   std::optional<LeaseRow> row;
 };
@@ -428,26 +438,26 @@
 // Answers to ReadRow and CommitRows.
 using LeaseEvent = std::variant<RowWasRead, CommitEnded>;
 
-// Watches a lease and takes it over once the row has not changed for a whole
-// term of the watcher's own time. Hosts' clocks are never compared: a holder
-// stops two thirds of a term after it sent its last good renewal, which is
-// before the watcher could see that renewal, so a third of a term is left for
-// clocks that run at different rates.
+// Watches a lease and takes it over once the row has not changed for a full term,
+// measured by the watcher's own clock. Clocks of hosts are never compared: a holder
+// stops two thirds of a term after it sent its last successful renewal, and the watcher
+// can only see that renewal later, so a third of a term remains as a margin for clocks
+// that run at different rates.
 class LeaseWatcher {
  public:
   LeaseWatcher(LeaseSettings settings, RandomBits random);
   // Call about every quarter of a term.
   [[nodiscard]] std::vector<LeaseAction> Tick(Time now);
   [[nodiscard]] std::vector<LeaseAction> On(Time now, LeaseEvent event);
-  // The row as last seen.
+  // The row as last read.
   [[nodiscard]] const std::optional<LeaseRow>& seen() const { return seen_; }
 
  private:
   std::vector<LeaseAction> OnRow(Time now, const Result<std::optional<Row>>& row);
   std::vector<LeaseAction> OnOutcome(Time now, const TransactionOutcome& outcome);
   std::vector<LeaseAction> TakeOver(Time now);
-  std::vector<LeaseAction> Taken(RowVersion version);
-  bool Note(Time now, const std::optional<Row>& row);
+  std::vector<LeaseAction> Acquired(RowVersion version);
+  bool Observe(Time now, const std::optional<Row>& row);
 
   LeaseSettings settings_;
   RandomBits random_;
@@ -455,21 +465,21 @@
   std::optional<Time> unchanged_since_;
   RowVersion version_ = 0;
   std::optional<LeaseRow> seen_;
-  LeaseRow tried_;  // of the take-over whose answer is out or lost
-  RowVersion tried_version_ = 0;
-  std::optional<Time> tried_at_;
+  LeaseRow attempt_;  // of the takeover that is in flight or has an unknown outcome
+  RowVersion attempt_version_ = 0;
+  std::optional<Time> attempt_sent_;
 };
 
-// Holds a lease: renews it, and says whether the holder may act.
+// Renews a held lease and tracks whether it is still valid.
 class LeaseHolder {
  public:
   LeaseHolder(LeaseSettings settings, const LeaseGrant& grant, RandomBits random);
   [[nodiscard]] std::vector<LeaseAction> Tick(Time now);
   [[nodiscard]] std::vector<LeaseAction> On(Time now, LeaseEvent event);
-  // Stop acting first, then call this: others may take the lease at once.
+  // Stop all work under the lease before the call: others may acquire it immediately.
   [[nodiscard]] std::vector<LeaseAction> Release(Time now);
-  // Asked before each step under the lease. It guards progress only: a holder
-  // can be paused right after asking, so writes carry the epoch besides.
+  // Check before each step under the lease. This only stops work early: a holder can
+  // be paused right after the check, so writes must also be fenced by the epoch.
   [[nodiscard]] bool MayAct(Time now) const;
   [[nodiscard]] Epoch epoch() const { return epoch_; }
 
@@ -481,19 +491,19 @@
   std::vector<LeaseAction> Write(Time now, bool release);
   std::vector<LeaseAction> ReadBack();
   std::vector<LeaseAction> OnOutcome(const TransactionOutcome& outcome);
-  std::vector<LeaseAction> Seen(const std::optional<Row>& row);
-  std::vector<LeaseAction> Lose(std::optional<LeaseRow> row);
+  std::vector<LeaseAction> OnRow(const std::optional<Row>& row);
+  std::vector<LeaseAction> OnLost(std::optional<LeaseRow> row);
 
   LeaseSettings settings_;
   RandomBits random_;
   Epoch epoch_ = 0;
   RowVersion version_ = 0;
   std::uint64_t renewals_ = 0;
-  Time renewed_;                  // when the last good renewal was sent
-  std::deque<Attempt> attempts_;  // renewals that may still land
-  Time tried_;
+  Time renewal_sent_;             // when the last successful renewal was sent
+  std::deque<Attempt> attempts_;  // renewals that may still take effect
+  Time last_attempt_;
   bool busy_ = false;
-  bool in_doubt_ = false;  // an answer was lost: read before writing
+  bool outcome_unknown_ = false;  // outcome of a write unknown: read the row before writing
   bool released_ = false;
   bool release_sent_ = false;
   bool lost_ = false;
@@ -514,88 +524,91 @@
   std::vector<ServiceName> serves;  // agents only
   bool leaving = false;
   Liveness liveness = Liveness::kAlive;
-  Sequence control_sequence = 0;  // the orders this member runs on
+  Sequence control_sequence = 0;  // head of the control log as applied by this member
 };
 
-// What traffic threads route from: immutable, published whole.
+// The configuration and members that traffic threads route by. Immutable; published
+// as a whole.
 struct Snapshot {
   Sequence sequence = 0;
   std::shared_ptr<const Config> config;
   std::vector<Member> members;            // alive and suspect ones, by node id
-  std::shared_ptr<const Fold> fold = {};  // `config` is a part of it
+  std::shared_ptr<const Fold> fold = {};  // owns `config`
 };
-// Members under a drain order are marked leaving, so routing has one flag to see.
+// Drained members are marked as leaving, so that routing checks a single flag.
 [[nodiscard]] Snapshot MakeSnapshot(std::shared_ptr<const Fold> fold, std::vector<Member> members);
 
 struct MembershipSettings {
-  Duration probe_period{1'000'000};       // one member is probed a period
-  Duration ack_timeout{300'000};          // then others are asked to probe it
-  Duration suspicion{5'000'000};          // time to refute before death
-  Duration dead_kept{900'000'000};        // a death outlives older news of life
-  std::uint32_t bytes_per_second = 1800;  // sent, headers included; so 3.6 KB/s both ways
+  Duration probe_period{1'000'000};       // one member is probed per period
+  Duration ack_timeout{300'000};          // then other members probe it indirectly
+  Duration suspicion{5'000'000};          // a suspect is declared dead after this time
+  Duration dead_kept{900'000'000};        // longer than older alive updates circulate
+  std::uint32_t bytes_per_second = 1800;  // sent, with headers; 3.6 KB/s in both directions
 };
 
 struct SendDatagram {
   Address to;
   std::string bytes;
 };
-// `peer` runs on a higher control sequence.
+// `peer` has applied more of the control log than this member.
 struct SequenceSeen {
   NodeId peer;
   Sequence sequence = 0;
 };
-// Send `have` to `peer` over HTTP, which answers with OnFetch(have): more differs
-// than datagrams would carry in time.
+// Send `have` to `peer` over HTTP, which answers with OnFetch(have). Used when the
+// tables differ by more than datagrams would carry in time.
 struct FetchMembers {
   NodeId peer;
   Address http;
-  std::string have;  // this member's record, and 8 bytes for each it knows
+  std::string have;  // this member's record, and a digest of 8 bytes per known member
 };
 struct MembersChanged {};
-// A newer process has this one's slot. This one must stop: outbidding the newer
-// one's incarnation would let a paused process win when it wakes.
+// A newer process runs under this node id. This process must stop: if it raised its
+// incarnation instead, a process that resumes after a pause would displace its
+// replacement.
 struct Superseded {
   Incarnation by = 0;
 };
 using MembershipAction =
     std::variant<SendDatagram, SequenceSeen, FetchMembers, MembersChanged, Superseded>;
 
-// Who runs on `sequence` or later, as far as this node has heard.
+// Which members have applied `sequence`, as far as this node knows.
 struct InForceReport {
   std::size_t in_force = 0;
-  std::vector<NodeId> lagging;      // alive, on an older sequence
-  std::vector<NodeId> unreachable;  // suspect or lately dead: may be cut off and serving
+  std::vector<NodeId> lagging;      // alive, at an older sequence
+  std::vector<NodeId> unreachable;  // suspect or recently dead: may be partitioned and serving
 };
 
-// Gossip: probes with piggybacked news, hashes of the table to find what news
-// missed, and a control sequence on every datagram.
+// Gossip membership: probes with piggybacked updates, hashes of the member table that
+// detect missed updates, and the control sequence on every datagram.
 class Membership {
  public:
   Membership(Member self, MembershipSettings settings, RandomBits random);
   ~Membership();
-  // The platform's list lags: it says whom to try, and nothing about life.
+  // Hosts to contact for joining. The platform's list is outdated at times, so it is
+  // not used to decide liveness.
   void Seed(std::span<const ListedHost> hosts);
-  // Every 100 ms.
+  // Call every 100 ms.
   [[nodiscard]] std::vector<MembershipAction> Tick(Time now);
   [[nodiscard]] std::vector<MembershipAction> OnDatagram(Time now, std::string_view bytes,
                                                          const Address& from);
-  // Answers a peer's FetchMembers with what it lacks. Errors: kBadRequest.
+  // Answers a peer's FetchMembers with the records it lacks. Errors: kBadRequest.
   [[nodiscard]] Result<std::string> OnFetch(Time now, std::string_view have);
   [[nodiscard]] std::vector<MembershipAction> OnMembers(Time now, std::string_view bytes);
 
   [[nodiscard]] std::vector<MembershipAction> SetLeaving(Time now);
   [[nodiscard]] std::vector<MembershipAction> SetServes(Time now, std::vector<ServiceName> serves);
   [[nodiscard]] std::vector<MembershipAction> SetSequence(Time now, Sequence sequence);
-  // Asks the alive members that are not known to run on `sequence`, a few at a
-  // time; call it again until InForce is satisfied.
+  // Queries the members that are not known to have applied `sequence` for their
+  // control sequence, up to 100 per call; call again until InForce reports no lagging ones.
   [[nodiscard]] std::vector<MembershipAction> Ask(Time now, Sequence sequence);
   [[nodiscard]] InForceReport InForce(Sequence sequence) const;
 
   [[nodiscard]] const Member& self() const;
-  // Alive and suspect ones with this node, by node id.
+  // Alive and suspect members including this node, by node id.
   [[nodiscard]] std::vector<Member> Members() const;
   [[nodiscard]] std::optional<Member> Find(const NodeId& node) const;
-  // When a peer last answered, if any did.
+  // When the last valid datagram of a peer arrived, if any.
   [[nodiscard]] std::optional<Time> heard() const;
 
   struct Counts {
@@ -610,8 +623,8 @@
   std::unique_ptr<Impl> impl_;
 };
 
-// Whether `self` is one of the `count` members of its data centre that read the
-// log's head from the store; the others learn it by gossip.
+// Whether `self` is one of the `count` members of its data centre that poll the store
+// for new log entries; the others get the head sequence by gossip.
 [[nodiscard]] bool ReadsStore(const Member& self, std::span<const Member> members,
                               std::size_t count);
 
--- a/src/control/config_json.cc
+++ b/src/control/config_json.cc
@@ -4,65 +4,65 @@
 namespace detail {
 namespace {
 
-RouteRule ReadRoute(const Json& json, const std::string& where, Reading& reading) {
+RouteRule ReadRoute(const Json& json, const std::string& where, ParseStatus& status) {
   RouteRule rule;
-  ObjectReader object(json, where, reading);
+  ObjectReader object(json, where, status);
   object.Allow({"path_prefix", "repeatable"});
   object.NeedText("path_prefix", rule.path_prefix);
   object.Bool("repeatable", rule.repeatable);
   return rule;
 }
 
-LatencyTarget ReadTarget(const Json& json, const std::string& where, Reading& reading) {
+LatencyTarget ReadTarget(const Json& json, const std::string& where, ParseStatus& status) {
   LatencyTarget target;
-  ObjectReader object(json, where, reading);
+  ObjectReader object(json, where, status);
   object.Allow({"first_token_ms", "token_gap_ms"});
   object.Milliseconds("first_token_ms", target.first_token);
   object.Milliseconds("token_gap_ms", target.token_gap);
   return target;
 }
 
-// Fills `map` from an array; two elements with one key are refused, as one of
-// them would silently not hold.
+// Fills `map` from an array. Duplicate keys are an error, as one of the elements
+// would silently not apply.
 template <typename Key, typename Value, typename Read, typename KeyOf>
 void ReadByKey(ObjectReader& object, std::string_view name, std::map<Key, Value>& map, Read read,
                KeyOf key_of) {
   object.Array(name, [&](const Json& element, const std::string& where) {
-    Value value = read(element, where, object.reading());
+    Value value = read(element, where, object.status());
     const Key key = key_of(value);
     if (!map.emplace(key, std::move(value)).second) {
-      object.reading().Fail(where + " repeats '" + key.value + "'");
+      object.status().Fail(where + " repeats '" + key.value + "'");
     }
   });
 }
 
 }  // namespace
 
-ServiceConfig ReadService(const Json& json, const std::string& where, Reading& reading) {
+ServiceConfig ReadService(const Json& json, const std::string& where, ParseStatus& status) {
   ServiceConfig service;
-  ObjectReader object(json, where, reading);
+  ObjectReader object(json, where, status);
   object.Allow({"name", "kind", "repeatable", "routes", "target", "default_deadline_ms"});
   object.NeedId("name", service.name);
   std::string kind = "model";
   object.Text("kind", kind);
   if (kind != "model" && kind != "plain") {
-    reading.Fail(object.Path("kind") + " must be \"model\" or \"plain\"");
+    status.Fail(object.Path("kind") + " must be \"model\" or \"plain\"");
   }
   service.kind = kind == "model" ? ServiceKind::kModel : ServiceKind::kPlain;
   object.Bool("repeatable", service.repeatable);
   object.Array("routes", [&](const Json& element, const std::string& at) {
-    service.routes.push_back(ReadRoute(element, at, reading));
+    service.routes.push_back(ReadRoute(element, at, status));
   });
   if (const Json* target = object.Find("target")) {
-    service.target = ReadTarget(*target, object.Path("target"), reading);
+    service.target = ReadTarget(*target, object.Path("target"), status);
   }
   object.Milliseconds("default_deadline_ms", service.default_deadline);
   return service;
 }
 
-TeamLimit ReadLimit(const Json& json, const std::string& where, Reading& reading) {
+TeamLimit ReadLimit(const Json& json, const std::string& where, ParseStatus& status) {
   TeamLimit limit;
-  ObjectReader object(json, where, reading);
+  ObjectReader object(json, where, status);
   object.Allow({"team", "requests_per_second", "tokens_per_second", "burst_seconds"});
   object.NeedId("team", limit.team);
   object.Number("requests_per_second", limit.requests_per_second);
@@ -71,9 +71,9 @@
   return limit;
 }
 
-BackendConfig ReadBackend(const Json& json, const std::string& where, Reading& reading) {
+BackendConfig ReadBackend(const Json& json, const std::string& where, ParseStatus& status) {
   BackendConfig backend;
-  ObjectReader object(json, where, reading);
+  ObjectReader object(json, where, status);
   object.Allow({"agent", "serves", "checks_fencing"});
   object.NeedId("agent", backend.agent);
   object.Ids("serves", backend.serves);
@@ -81,9 +81,9 @@
   return backend;
 }
 
-Config ReadConfig(const Json& json, const std::string& where, Reading& reading) {
+Config ReadConfig(const Json& json, const std::string& where, ParseStatus& status) {
   Config config;
-  ObjectReader object(json, where, reading);
+  ObjectReader object(json, where, status);
   object.Allow({"services", "limits", "backends"});
   ReadByKey(object, "services", config.services, ReadService,
             [](const ServiceConfig& service) { return service.name; });
--- a/src/control/config_json.h
+++ b/src/control/config_json.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// JSON of the configuration's parts, shared by whole documents, log entries and
-// folds. Private to the control library.
+// JSON conversion of the configuration's elements, shared by configuration documents,
+// log entries and control states. Private to the control library.
 
 #include "control/json.h"
 #include "figmill/control.h"
@@ -9,13 +9,15 @@
 namespace figmill::detail {
 
 [[nodiscard]] ServiceConfig ReadService(const Json& json, const std::string& where,
-                                        Reading& reading);
-[[nodiscard]] TeamLimit ReadLimit(const Json& json, const std::string& where, Reading& reading);
+                                        ParseStatus& status);
+[[nodiscard]] TeamLimit ReadLimit(const Json& json, const std::string& where, ParseStatus& status);
 [[nodiscard]] BackendConfig ReadBackend(const Json& json, const std::string& where,
-                                        Reading& reading);
-[[nodiscard]] Config ReadConfig(const Json& json, const std::string& where, Reading& reading);
-[[nodiscard]] ControlEntry ReadEntry(const Json& json, const std::string& where, Reading& reading);
-[[nodiscard]] Placement ReadPlacement(const Json& json, const std::string& where, Reading& reading);
+                                        ParseStatus& status);
+[[nodiscard]] Config ReadConfig(const Json& json, const std::string& where, ParseStatus& status);
+[[nodiscard]] ControlEntry ReadEntry(const Json& json, const std::string& where,
+                                     ParseStatus& status);
+[[nodiscard]] Placement ReadPlacement(const Json& json, const std::string& where,
+                                      ParseStatus& status);
 
 [[nodiscard]] Json WriteService(const ServiceConfig& service);
 [[nodiscard]] Json WriteLimit(const TeamLimit& limit);
--- a/src/control/entry_json.cc
+++ b/src/control/entry_json.cc
@@ -11,7 +11,7 @@
   object.Array(name, [&](const Json& element, const std::string& where) {
     Id<struct NameTag> id;
     Id<struct VersionTag> version;
-    ObjectReader reader(element, where, object.reading());
+    ObjectReader reader(element, where, object.status());
     reader.Allow({"name", "version"});
     reader.NeedId("name", id);
     reader.NeedId("version", version);
@@ -28,42 +28,42 @@
   return out;
 }
 
-// One kind of entry: its name on the wire, its one field, how that is read.
-struct EntryForm {
+// One kind of entry: its name on the wire, its only field, and the parser of the field.
+struct EntryFormat {
   std::string_view order;
   std::string_view field;
-  ControlEntry (*read)(const Json&, const std::string&, Reading&);
+  ControlEntry (*read)(const Json&, const std::string&, ParseStatus&);
 };
 
 template <typename Tag>
-Id<Tag> ReadId(const Json& json, const std::string& where, Reading& reading) {
+Id<Tag> ReadId(const Json& json, const std::string& where, ParseStatus& status) {
   if (!json.is_string()) {
-    reading.Fail(where + " must be a string");
+    status.Fail(where + " must be a string");
     return {};
   }
   const Result<std::string> id = ParseId(json.get_ref<const std::string&>(), where);
   if (IsOk(id)) return {ValueOf(id)};
-  reading.Fail(ErrorOf(id).detail);
+  status.Fail(ErrorOf(id).detail);
   return {};
 }
 
 template <typename Entry, auto kRead>
-ControlEntry ReadAs(const Json& json, const std::string& where, Reading& reading) {
-  return Entry{kRead(json, where, reading)};
+ControlEntry ReadAs(const Json& json, const std::string& where, ParseStatus& status) {
+  return Entry{kRead(json, where, status)};
 }
 
-constexpr std::array kForms = {
-    EntryForm{"put-service", "service", ReadAs<PutService, ReadService>},
-    EntryForm{"remove-service", "name", ReadAs<RemoveService, ReadId<struct ServiceTag>>},
-    EntryForm{"put-limit", "limit", ReadAs<PutLimit, ReadLimit>},
-    EntryForm{"put-backend", "backend", ReadAs<PutBackend, ReadBackend>},
-    EntryForm{"remove-backend", "agent", ReadAs<RemoveBackend, ReadId<struct NodeTag>>},
-    EntryForm{"drain", "node", ReadAs<Drain, ReadId<struct NodeTag>>},
-    EntryForm{"undrain", "node", ReadAs<Undrain, ReadId<struct NodeTag>>},
-    EntryForm{"cancel-job", "job", ReadAs<CancelJob, ReadId<struct JobTag>>},
-    EntryForm{"replace-config", "config", ReadAs<ReplaceConfig, ReadConfig>},
+constexpr std::array kEntryFormats = {
+    EntryFormat{"put-service", "service", ReadAs<PutService, ReadService>},
+    EntryFormat{"remove-service", "name", ReadAs<RemoveService, ReadId<struct ServiceTag>>},
+    EntryFormat{"put-limit", "limit", ReadAs<PutLimit, ReadLimit>},
+    EntryFormat{"put-backend", "backend", ReadAs<PutBackend, ReadBackend>},
+    EntryFormat{"remove-backend", "agent", ReadAs<RemoveBackend, ReadId<struct NodeTag>>},
+    EntryFormat{"drain", "node", ReadAs<Drain, ReadId<struct NodeTag>>},
+    EntryFormat{"undrain", "node", ReadAs<Undrain, ReadId<struct NodeTag>>},
+    EntryFormat{"cancel-job", "job", ReadAs<CancelJob, ReadId<struct JobTag>>},
+    EntryFormat{"replace-config", "config", ReadAs<ReplaceConfig, ReadConfig>},
 };
-// Place has two fields.
+// Not in the table above, as it has two fields.
 constexpr std::string_view kPlace = "place";
 
 ControlEntry ReadPlace(ObjectReader& object) {
@@ -71,16 +71,16 @@
   object.Allow({"order", "agent", "placement"});
   object.NeedId("agent", place.agent);
   if (const Json* placement = object.Need("placement")) {
-    place.placement = ReadPlacement(*placement, object.Path("placement"), object.reading());
+    place.placement = ReadPlacement(*placement, object.Path("placement"), object.status());
   }
   return place;
 }
 
 }  // namespace
 
-Placement ReadPlacement(const Json& json, const std::string& where, Reading& reading) {
+Placement ReadPlacement(const Json& json, const std::string& where, ParseStatus& status) {
   Placement placement;
-  ObjectReader object(json, where, reading);
+  ObjectReader object(json, where, status);
   object.Allow({"models", "adapters", "unwanted_models", "unwanted_adapters", "role"});
   placement.models = ReadVersioned(object, "models");
   placement.adapters = ReadVersioned(object, "adapters");
@@ -98,19 +98,19 @@
           {"role", placement.role}};
 }
 
-ControlEntry ReadEntry(const Json& json, const std::string& where, Reading& reading) {
-  ObjectReader object(json, where, reading);
+ControlEntry ReadEntry(const Json& json, const std::string& where, ParseStatus& status) {
+  ObjectReader object(json, where, status);
   std::string order;
   object.NeedText("order", order);
   if (order == kPlace) return ReadPlace(object);
-  for (const EntryForm& form : kForms) {
-    if (form.order != order) continue;
-    object.Allow({"order", form.field});
-    const Json* field = object.Need(form.field);
+  for (const EntryFormat& format : kEntryFormats) {
+    if (format.order != order) continue;
+    object.Allow({"order", format.field});
+    const Json* field = object.Need(format.field);
     if (field == nullptr) return {};
-    return form.read(*field, object.Path(form.field), reading);
+    return format.read(*field, object.Path(format.field), status);
   }
-  reading.Fail(where + ": '" + order + "' is no order");
+  status.Fail(where + ": '" + order + "' is not an order");
   return {};
 }
 
@@ -155,12 +155,12 @@
 
 using detail::Json;
 using detail::ObjectReader;
-using detail::Reading;
+using detail::ParseStatus;
 
 Result<ControlEntry> ParseControlEntry(std::string_view json) {
   return detail::ParseDocument<ControlEntry>(
       json, "the order",
-      [](const Json& document, Reading& r) { return detail::ReadEntry(document, "order", r); });
+      [](const Json& document, ParseStatus& r) { return detail::ReadEntry(document, "order", r); });
 }
 
 std::string ToJson(const ControlEntry& entry) {
@@ -168,18 +168,19 @@
 }
 
 Result<LogRecord> ParseLogRecord(std::string_view json) {
-  return detail::ParseDocument<LogRecord>(json, "the record", [](const Json& document, Reading& r) {
-    LogRecord record;
-    ObjectReader object(document, "record", r);
-    object.Allow({"sequence", "token", "author", "entry"});
-    object.NeedNatural("sequence", record.sequence);
-    object.NeedText("token", record.token.value);
-    object.NeedText("author", record.author);
-    if (const Json* entry = object.Need("entry")) {
-      record.entry = detail::ReadEntry(*entry, "record.entry", r);
-    }
-    return record;
-  });
+  return detail::ParseDocument<LogRecord>(
+      json, "the record", [](const Json& document, ParseStatus& r) {
+        LogRecord record;
+        ObjectReader object(document, "record", r);
+        object.Allow({"sequence", "token", "author", "entry"});
+        object.NeedNatural("sequence", record.sequence);
+        object.NeedText("token", record.token.value);
+        object.NeedText("author", record.author);
+        if (const Json* entry = object.Need("entry")) {
+          record.entry = detail::ReadEntry(*entry, "record.entry", r);
+        }
+        return record;
+      });
 }
 
 std::string ToJson(const LogRecord& record) {
@@ -249,7 +250,7 @@
                     entry);
 }
 
-bool PartOfConfig(SubjectKind kind) {
+bool IsPartOfConfig(SubjectKind kind) {
   return kind == SubjectKind::kService || kind == SubjectKind::kLimit ||
          kind == SubjectKind::kBackend || kind == SubjectKind::kConfig;
 }
@@ -260,7 +261,7 @@
   const Subject a = SubjectOf(one);
   const Subject b = SubjectOf(other);
   if (a.kind == SubjectKind::kConfig || b.kind == SubjectKind::kConfig) {
-    return PartOfConfig(a.kind) && PartOfConfig(b.kind);
+    return IsPartOfConfig(a.kind) && IsPartOfConfig(b.kind);
   }
   return a.kind == b.kind && a.id == b.id;
 }
--- a/src/control/fold.cc
+++ b/src/control/fold.cc
@@ -7,8 +7,8 @@
 namespace figmill {
 namespace {
 
-// Of one entry's JSON; the largest, a whole configuration at the two-year size,
-// is about a third of it.
+// Limit of an entry's JSON. The largest entry, a whole configuration at the size
+// expected in two years, has about a third of it.
 constexpr std::size_t kMaxEntryBytes = 1U << 20;
 constexpr std::size_t kMaxPlacedNames = 256;
 
@@ -25,7 +25,7 @@
   }
 }
 
-void ForgetOldCancellations(Fold& fold) {
+void EvictOldCancellations(Fold& fold) {
   while (fold.cancelled_jobs.size() > kMaxCancelledJobs) {
     const auto oldest =
         std::min_element(fold.cancelled_jobs.begin(), fold.cancelled_jobs.end(),
@@ -34,8 +34,8 @@
   }
 }
 
-// Changes `config` as the entry says; entries that aren't about it do nothing.
-void Edit(Config& config, const ControlEntry& entry) {
+// Applies the entry to `config`; entries that don't concern it have no effect.
+void EditConfig(Config& config, const ControlEntry& entry) {
   std::visit(Overloaded{[&](const PutService& e) { config.services[e.service.name] = e.service; },
                         [&](const RemoveService& e) { config.services.erase(e.service); },
                         [&](const PutLimit& e) { config.limits[e.limit.team] = e.limit; },
@@ -87,7 +87,7 @@
   return Ok{};
 }
 
-// What must be there before the entry makes sense.
+// Checks that the subject of the entry exists, or may be created, in this state.
 Result<Ok> CheckSubject(const Fold& fold, const ControlEntry& entry) {
   return std::visit(
       Overloaded{[&](const RemoveService& e) -> Result<Ok> {
@@ -132,7 +132,7 @@
   Result<Ok> subject = CheckSubject(fold, entry);
   if (!IsOk(subject)) return subject;
   Config config = fold.config;
-  Edit(config, entry);
+  EditConfig(config, entry);
   return Validate(config);
 }
 
@@ -141,7 +141,7 @@
   fold.sequence = record.sequence;
   fold.author = record.author;
   fold.change = Describe(record.entry);
-  Edit(fold.config, record.entry);
+  EditConfig(fold.config, record.entry);
   std::visit(Overloaded{[&](const Drain& e) { fold.drained.insert(e.node); },
                         [&](const Undrain& e) { fold.drained.erase(e.node); },
                         [&](const CancelJob& e) { fold.cancelled_jobs[e.job] = record.sequence; },
@@ -150,10 +150,10 @@
                         },
                         [](const auto&) {}},
              record.entry);
-  // A placement without its backend server has nobody to carry it out.
+  // A placement for an agent without a backend server can't be applied.
   std::erase_if(fold.placements,
                 [&](const auto& each) { return !fold.config.backends.contains(each.first); });
-  ForgetOldCancellations(fold);
+  EvictOldCancellations(fold);
   MarkDrained(fold);
 }
 
@@ -183,8 +183,8 @@
 Result<Fold> ParseFold(std::string_view json) {
   using detail::Json;
   using detail::ObjectReader;
-  using detail::Reading;
-  return detail::ParseDocument<Fold>(json, "the fold", [](const Json& document, Reading& r) {
+  using detail::ParseStatus;
+  return detail::ParseDocument<Fold>(json, "the fold", [](const Json& document, ParseStatus& r) {
     Fold fold;
     ObjectReader object(document, "fold", r);
     object.Allow(
--- a/src/control/gossip_codec.cc
+++ b/src/control/gossip_codec.cc
@@ -8,22 +8,22 @@
 
 using Json = nlohmann::json;
 
-// Fields of a datagram; one letter each, as every datagram carries them.
+// Field names of a datagram; one letter each, as they are part of every datagram.
 constexpr const char* kKind = "k";
 constexpr const char* kNonce = "n";
 constexpr const char* kSender = "f";
 constexpr const char* kSequence = "s";
 constexpr const char* kHash = "h";
-constexpr const char* kNews = "b";
+constexpr const char* kUpdates = "b";
 constexpr const char* kRecords = "r";
-constexpr const char* kWants = "w";
+constexpr const char* kRequested = "w";
 constexpr const char* kTarget = "t";
 
 constexpr unsigned kLeavingBit = 4;
-constexpr std::size_t kBriefFields = 5;
+constexpr std::size_t kSummaryFields = 5;
 constexpr std::size_t kRecordFields = 12;
 
-// Reads arrays field by field; after the first mismatch everything is refused.
+// Reads the fields of an array in order; all reads after the first mismatch fail.
 class ArrayReader {
  public:
   ArrayReader(const Json& json, std::size_t size)
@@ -57,65 +57,65 @@
   bool ok_;
 };
 
-unsigned Flags(const Brief& brief) {
-  return static_cast<unsigned>(brief.liveness) | (brief.leaving ? kLeavingBit : 0);
+unsigned Flags(const MemberSummary& summary) {
+  return static_cast<unsigned>(summary.liveness) | (summary.leaving ? kLeavingBit : 0);
 }
 
-void SetFlags(ArrayReader& reader, Brief& brief) {
+void SetFlags(ArrayReader& reader, MemberSummary& summary) {
   const unsigned flags = reader.Natural<std::uint8_t>();
   const unsigned liveness = flags % kLeavingBit;
   if (liveness > static_cast<unsigned>(Liveness::kDead) || flags >= 2 * kLeavingBit) {
     return reader.Refuse();
   }
-  brief.liveness = static_cast<Liveness>(liveness);
-  brief.leaving = (flags & kLeavingBit) != 0;
+  summary.liveness = static_cast<Liveness>(liveness);
+  summary.leaving = (flags & kLeavingBit) != 0;
 }
 
-Json Write(const Brief& brief) {
-  return Json::array(
-      {brief.node.value, brief.incarnation, brief.version, brief.shape, Flags(brief)});
+Json Write(const MemberSummary& summary) {
+  return Json::array({summary.node.value, summary.incarnation, summary.version,
+                      summary.details_version, Flags(summary)});
 }
 
-Brief ReadBriefFields(ArrayReader& reader) {
-  Brief brief;
-  brief.node.value = reader.Text();
-  brief.incarnation = reader.Natural<Incarnation>();
-  brief.version = reader.Natural<RecordVersion>();
-  brief.shape = reader.Natural<RecordVersion>();
-  SetFlags(reader, brief);
-  if (brief.node.empty() || brief.shape > brief.version) reader.Refuse();
-  return brief;
+MemberSummary ReadSummaryFields(ArrayReader& reader) {
+  MemberSummary summary;
+  summary.node.value = reader.Text();
+  summary.incarnation = reader.Natural<Incarnation>();
+  summary.version = reader.Natural<RecordVersion>();
+  summary.details_version = reader.Natural<RecordVersion>();
+  SetFlags(reader, summary);
+  if (summary.node.empty() || summary.details_version > summary.version) reader.Refuse();
+  return summary;
 }
 
-std::optional<Brief> ReadBrief(const Json& json) {
-  ArrayReader reader(json, kBriefFields);
-  Brief brief = ReadBriefFields(reader);
+std::optional<MemberSummary> ReadSummary(const Json& json) {
+  ArrayReader reader(json, kSummaryFields);
+  MemberSummary summary = ReadSummaryFields(reader);
   if (!reader.ok()) return std::nullopt;
-  return brief;
+  return summary;
 }
 
-Json Write(const Record& record) {
+Json Write(const MemberRecord& record) {
   const Member& member = record.member;
   Json serves = Json::array();
   for (const ServiceName& name : member.serves) serves.push_back(name.value);
-  Json out = Write(BriefOf(record));
+  Json out = Write(SummaryOf(record));
   out.insert(out.end(),
              {static_cast<unsigned>(member.role), member.data_centre.value, member.http.host,
               member.http.port, member.gossip.host, member.gossip.port, std::move(serves)});
   return out;
 }
 
-std::optional<Record> ReadRecord(const Json& json) {
+std::optional<MemberRecord> ReadRecord(const Json& json) {
   ArrayReader reader(json, kRecordFields);
-  const Brief brief = ReadBriefFields(reader);
-  Record record;
-  record.version = brief.version;
-  record.shape = brief.shape;
+  const MemberSummary summary = ReadSummaryFields(reader);
+  MemberRecord record;
+  record.version = summary.version;
+  record.details_version = summary.details_version;
   Member& member = record.member;
-  member.node = brief.node;
-  member.incarnation = brief.incarnation;
-  member.liveness = brief.liveness;
-  member.leaving = brief.leaving;
+  member.node = summary.node;
+  member.incarnation = summary.incarnation;
+  member.liveness = summary.liveness;
+  member.leaving = summary.leaving;
   const auto role = reader.Natural<std::uint8_t>();
   if (role > static_cast<unsigned>(Role::kAgent)) reader.Refuse();
   member.role = role == 0 ? Role::kEntry : Role::kAgent;
@@ -133,7 +133,7 @@
   return record;
 }
 
-// An absent list is an empty one; false if an element can't be read.
+// A missing list counts as empty; false if an element is malformed.
 template <typename T, typename Read>
 bool ReadList(const Json& json, const char* name, std::vector<T>& out, Read read) {
   const auto found = json.find(name);
@@ -185,8 +185,8 @@
   for (const T& each : list) out.push_back(Write(each));
 }
 
-// Even when told not to, the library throws at an announced size that no memory
-// could hold: one stray datagram would end the process.
+// Even with exceptions disabled, the library throws if an encoded length exceeds what
+// can be allocated. Uncaught, one malformed datagram would terminate the process.
 Json ParseCbor(std::string_view bytes) {
   try {
     return Json::from_cbor(bytes.begin(), bytes.end(), true, false);
@@ -203,9 +203,9 @@
 
 }  // namespace
 
-Brief BriefOf(const Record& record) {
-  return Brief{record.member.node, record.member.incarnation, record.version,
-               record.shape,       record.member.liveness,    record.member.leaving};
+MemberSummary SummaryOf(const MemberRecord& record) {
+  return MemberSummary{record.member.node,     record.member.incarnation, record.version,
+                       record.details_version, record.member.liveness,    record.member.leaving};
 }
 
 std::string Encode(const Message& message) {
@@ -214,11 +214,11 @@
                {kSender, Write(message.sender)},
                {kSequence, message.sequence},
                {kHash, message.hash}};
-  WriteList(json, kNews, message.news);
+  WriteList(json, kUpdates, message.updates);
   WriteList(json, kRecords, message.records);
-  if (!message.wants.empty()) {
-    Json& wants = json[kWants] = Json::array();
-    for (const NodeId& node : message.wants) wants.push_back(node.value);
+  if (!message.requested_records.empty()) {
+    Json& requested_records = json[kRequested] = Json::array();
+    for (const NodeId& node : message.requested_records) requested_records.push_back(node.value);
   }
   if (!message.target.host.empty()) {
     json[kTarget] = Json::array({message.target.host, message.target.port});
@@ -231,58 +231,61 @@
   if (!json.is_object() || !json.contains(kKind) || !json.contains(kSender)) return std::nullopt;
   Message message;
   std::uint8_t kind = 0;
-  bool ok = ReadField(json, kKind, kind) && kind <= static_cast<unsigned>(MessageKind::kAsk);
+  bool ok =
+      ReadField(json, kKind, kind) && kind <= static_cast<unsigned>(MessageKind::kSequenceQuery);
   message.kind = static_cast<MessageKind>(kind);
-  const std::optional<Brief> sender = ReadBrief(json[kSender]);
+  const std::optional<MemberSummary> sender = ReadSummary(json[kSender]);
   if (!ok || !sender) return std::nullopt;
   message.sender = *sender;
   ok = ReadField(json, kNonce, message.nonce) && ReadField(json, kSequence, message.sequence) &&
-       ReadField(json, kHash, message.hash) && ReadList(json, kNews, message.news, ReadBrief) &&
+       ReadField(json, kHash, message.hash) &&
+       ReadList(json, kUpdates, message.updates, ReadSummary) &&
        ReadList(json, kRecords, message.records, ReadRecord) &&
-       ReadList(json, kWants, message.wants, ReadNode) && ReadTarget(json, message.target);
+       ReadList(json, kRequested, message.requested_records, ReadNode) &&
+       ReadTarget(json, message.target);
   if (!ok) return std::nullopt;
   return message;
 }
 
-std::string EncodeTable(const std::vector<Record>& records) {
+std::string EncodeTable(const std::vector<MemberRecord>& records) {
   Json json = Json::array();
-  for (const Record& record : records) json.push_back(Write(record));
+  for (const MemberRecord& record : records) json.push_back(Write(record));
   return Bytes(json);
 }
 
-std::optional<std::vector<Record>> DecodeTable(std::string_view bytes) {
+std::optional<std::vector<MemberRecord>> DecodeTable(std::string_view bytes) {
   const Json json = ParseCbor(bytes);
   if (!json.is_array()) return std::nullopt;
-  std::vector<Record> records;
+  std::vector<MemberRecord> records;
   for (const Json& element : json) {
-    std::optional<Record> record = ReadRecord(element);
+    std::optional<MemberRecord> record = ReadRecord(element);
     if (!record) return std::nullopt;
     records.push_back(std::move(*record));
   }
   return records;
 }
 
-std::string EncodeHave(const Have& have) {
-  std::vector<std::uint8_t> digest(have.digest.begin(), have.digest.end());
-  return Bytes(Json::array({Write(have.self), Json::binary(std::move(digest))}));
+std::string EncodeSyncRequest(const TableSyncRequest& request) {
+  std::vector<std::uint8_t> digest(request.digest.begin(), request.digest.end());
+  return Bytes(Json::array({Write(request.self), Json::binary(std::move(digest))}));
 }
 
-std::optional<Have> DecodeHave(std::string_view bytes) {
+std::optional<TableSyncRequest> DecodeSyncRequest(std::string_view bytes) {
   const Json json = ParseCbor(bytes);
   if (!json.is_array() || json.size() != 2 || !json[1].is_binary()) return std::nullopt;
-  std::optional<Record> self = ReadRecord(json[0]);
+  std::optional<MemberRecord> self = ReadRecord(json[0]);
   if (!self) return std::nullopt;
   const auto& digest = json[1].get_binary();
-  return Have{std::move(*self), std::string(digest.begin(), digest.end())};
+  return TableSyncRequest{std::move(*self), std::string(digest.begin(), digest.end())};
 }
 
-std::size_t BytesOf(const Brief& brief) {
-  return brief.node.value.size() + 24;
+std::size_t BytesOf(const MemberSummary& summary) {
+  return summary.node.value.size() + 24;
 }
 
-std::size_t BytesOf(const Record& record) {
+std::size_t BytesOf(const MemberRecord& record) {
   const Member& member = record.member;
-  std::size_t bytes = BytesOf(BriefOf(record)) + member.data_centre.value.size() +
+  std::size_t bytes = BytesOf(SummaryOf(record)) + member.data_centre.value.size() +
                       member.http.host.size() + member.gossip.host.size() + 18;
   for (const ServiceName& name : member.serves) bytes += name.value.size() + 2;
   return bytes;
--- a/src/control/json.h
+++ b/src/control/json.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Reading of JSON documents that refuses what it doesn't know. Private to the
-// control library.
+// Strict reading of JSON documents: unknown fields are errors. Private to the control
+// library.
 
 #include <cmath>
 #include <initializer_list>
@@ -18,8 +18,8 @@
 
 using Json = nlohmann::json;
 
-// Collects the first error, so that a parser reads as a list of fields.
-class Reading {
+// Keeps the first error, so that a parser can read all fields without checking each.
+class ParseStatus {
  public:
   void Fail(std::string detail) {
     if (!error_) error_ = Error{ErrorKind::kBadRequest, std::move(detail)};
@@ -31,21 +31,21 @@
   std::optional<Error> error_;
 };
 
-// One JSON object, and where it stands in the document for error messages.
+// Reads one JSON object; `where` is its path in the document, for error messages.
 class ObjectReader {
  public:
-  ObjectReader(const Json& json, std::string where, Reading& reading)
-      : json_(json), where_(std::move(where)), reading_(reading) {
-    if (!json_.is_object()) reading_.Fail(where_ + " must be an object");
+  ObjectReader(const Json& json, std::string where, ParseStatus& status)
+      : json_(json), where_(std::move(where)), status_(status) {
+    if (!json_.is_object()) status_.Fail(where_ + " must be an object");
   }
 
-  // Refuses fields that are not among these, by name.
+  // Fails if a field is not among `names`; the error names the field.
   void Allow(std::initializer_list<std::string_view> names) {
     if (!json_.is_object()) return;
     for (const auto& [key, value] : json_.items()) {
       bool known = false;
       for (const std::string_view name : names) known = known || key == name;
-      if (!known) reading_.Fail(where_ + " has no field '" + key + "'");
+      if (!known) status_.Fail(where_ + " has no field '" + key + "'");
     }
   }
 
@@ -56,7 +56,7 @@
   }
   [[nodiscard]] const Json* Need(std::string_view name) {
     const Json* found = Find(name);
-    if (found == nullptr) reading_.Fail(where_ + " needs a field '" + std::string(name) + "'");
+    if (found == nullptr) status_.Fail(where_ + " needs a field '" + std::string(name) + "'");
     return found;
   }
 
@@ -72,9 +72,9 @@
   template <typename Tag>
   void NeedId(std::string_view name, Id<Tag>& out) {
     NeedText(name, out.value);
-    if (!reading_.ok()) return;
+    if (!status_.ok()) return;
     const Result<std::string> id = ParseId(out.value, Path(name));
-    if (!IsOk(id)) reading_.Fail(ErrorOf(id).detail);
+    if (!IsOk(id)) status_.Fail(ErrorOf(id).detail);
   }
   void Bool(std::string_view name, bool& out) {
     if (const Json* found = Find(name)) {
@@ -102,7 +102,7 @@
   void NeedNatural(std::string_view name, N& out) {
     if (Need(name) != nullptr) Natural(name, out);
   }
-  // Milliseconds, whole or not.
+  // Milliseconds, possibly fractional.
   void Milliseconds(std::string_view name, Duration& out) {
     constexpr double kMost = 1e12;  // 31 years; keeps the conversion defined
     double value = static_cast<double>(out.count()) / 1000.0;
@@ -124,9 +124,9 @@
   template <typename Tag>
   void Ids(std::string_view name, std::vector<Id<Tag>>& out) {
     Array(name, [&](const Json& element, const std::string& where) {
-      if (!element.is_string()) return reading_.Fail(where + " must be a string");
+      if (!element.is_string()) return status_.Fail(where + " must be a string");
       const Result<std::string> id = ParseId(element.get_ref<const std::string&>(), where);
-      if (!IsOk(id)) return reading_.Fail(ErrorOf(id).detail);
+      if (!IsOk(id)) return status_.Fail(ErrorOf(id).detail);
       out.push_back(Id<Tag>{ValueOf(id)});
     });
   }
@@ -134,28 +134,28 @@
   [[nodiscard]] std::string Path(std::string_view name) const {
     return where_ + "." + std::string(name);
   }
-  [[nodiscard]] Reading& reading() { return reading_; }
+  [[nodiscard]] ParseStatus& status() { return status_; }
 
  private:
   void Wrong(std::string_view name, std::string_view expected) {
-    reading_.Fail(Path(name) + " must be " + std::string(expected));
+    status_.Fail(Path(name) + " must be " + std::string(expected));
   }
 
   const Json& json_;
   std::string where_;
-  Reading& reading_;
+  ParseStatus& status_;
 };
 
-// Parses `text` and hands the document to `read(json, reading)`.
+// Parses `text` and converts the document by `read(json, status)`.
 template <typename T, typename Read>
 [[nodiscard]] Result<T> ParseDocument(std::string_view text, std::string_view what, Read read) {
   const Json json = Json::parse(text, nullptr, false);
   if (json.is_discarded()) {
     return Error{ErrorKind::kBadRequest, std::string(what) + " is not JSON"};
   }
-  Reading reading;
-  T value = read(json, reading);
-  if (!reading.ok()) return reading.error();
+  ParseStatus status;
+  T value = read(json, status);
+  if (!status.ok()) return status.error();
   return value;
 }
 
--- a/src/control/lease_holder.cc
+++ b/src/control/lease_holder.cc
@@ -18,24 +18,24 @@
       epoch_(grant.epoch),
       version_(grant.version),
       renewals_(grant.renewals),
-      renewed_(grant.sent),
-      tried_(grant.sent) {}
+      renewal_sent_(grant.sent),
+      last_attempt_(grant.sent) {}
 
 bool LeaseHolder::MayAct(Time now) const {
-  return !lost_ && !released_ && now - renewed_ < settings_.term * 2 / 3;
+  return !lost_ && !released_ && now - renewal_sent_ < settings_.term * 2 / 3;
 }
 
 std::vector<LeaseAction> LeaseHolder::Tick(Time now) {
   if (lost_ || released_ || busy_) return {};
-  if (in_doubt_) return ReadBack();
-  if (now - tried_ < settings_.term / kRenewalsPerTerm) return {};
+  if (outcome_unknown_) return ReadBack();
+  if (now - last_attempt_ < settings_.term / kRenewalsPerTerm) return {};
   return Write(now, false);
 }
 
 std::vector<LeaseAction> LeaseHolder::Release(Time now) {
   if (lost_ || released_) return {};
   released_ = true;
-  if (busy_) return {};  // sent when the renewal's answer is here, as it moves the version
+  if (busy_) return {};  // On() releases after the renewal, which changes the row version
   return Write(now, true);
 }
 
@@ -43,12 +43,12 @@
   const Token token = FreshToken(random_);
   busy_ = true;
   release_sent_ = release;
-  tried_ = now;
+  last_attempt_ = now;
   if (!release) attempts_.push_back({token, now});
   if (attempts_.size() > kMaxAttempts) attempts_.pop_front();
   const LeaseRow row{token, release ? NodeId{} : settings_.holder, settings_.incarnation, epoch_,
                      renewals_ + 1};
-  return {detail::LeaseWrite(settings_.name, version_, row)};
+  return {detail::ConditionalLeaseWrite(settings_.name, version_, row)};
 }
 
 std::vector<LeaseAction> LeaseHolder::ReadBack() {
@@ -61,7 +61,7 @@
   if (lost_ || release_sent_) return {};
   std::vector<LeaseAction> actions = std::visit(
       Overloaded{[&](const RowWasRead& e) {
-                   return IsOk(e.row) ? Seen(ValueOf(e.row)) : std::vector<LeaseAction>{};
+                   return IsOk(e.row) ? OnRow(ValueOf(e.row)) : std::vector<LeaseAction>{};
                  },
                  [&](const CommitEnded& e) { return OnOutcome(e.outcome); }},
       event);
@@ -74,42 +74,42 @@
                                  if (committed.rows.empty()) return ReadBack();
                                  version_ = committed.rows.front().version;
                                  ++renewals_;
-                                 renewed_ = attempts_.back().sent;
-                                 attempts_.clear();  // earlier ones required the version before
-                                 in_doubt_ = false;
+                                 renewal_sent_ = attempts_.back().sent;
+                                 attempts_.clear();  // earlier ones required an older version
+                                 outcome_unknown_ = false;
                                  return {};
                                },
-                               // Either someone took over, or an earlier renewal of ours has
-                               // landed after its answer was lost; the row tells.
+                               // Either another holder took over, or an earlier renewal took
+                               // effect after its answer was lost; the row shows which.
                                [&](const Rejected&) { return ReadBack(); },
                                [&](const NotWritten&) -> std::vector<LeaseAction> {
                                  attempts_.pop_back();
                                  return {};
                                },
                                [&](const FateUnknown&) {
-                                 in_doubt_ = true;
+                                 outcome_unknown_ = true;
                                  return ReadBack();
                                }},
                     outcome);
 }
 
-std::vector<LeaseAction> LeaseHolder::Seen(const std::optional<Row>& row) {
-  const std::optional<LeaseRow> lease = detail::LeaseOf(row);
+std::vector<LeaseAction> LeaseHolder::OnRow(const std::optional<Row>& row) {
+  const std::optional<LeaseRow> lease = detail::LeaseFromRow(row);
   const bool ours = lease && lease->holder == settings_.holder &&
                     lease->incarnation == settings_.incarnation && lease->epoch == epoch_;
-  if (!ours) return Lose(lease);
-  in_doubt_ = false;
-  if (row->version == version_) return {};  // nothing has landed so far
+  if (!ours) return OnLost(lease);
+  outcome_unknown_ = false;
+  if (row->version == version_) return {};  // no attempt has taken effect so far
   version_ = row->version;
   renewals_ = lease->renewals;
   const auto landed = std::find_if(attempts_.begin(), attempts_.end(),
                                    [&](const Attempt& each) { return each.token == lease->token; });
-  if (landed != attempts_.end()) renewed_ = std::max(renewed_, landed->sent);
+  if (landed != attempts_.end()) renewal_sent_ = std::max(renewal_sent_, landed->sent);
   attempts_.clear();
   return {};
 }
 
-std::vector<LeaseAction> LeaseHolder::Lose(std::optional<LeaseRow> row) {
+std::vector<LeaseAction> LeaseHolder::OnLost(std::optional<LeaseRow> row) {
   lost_ = true;
   return {LeaseLost{std::move(row)}};
 }
--- a/src/control/lease_row.cc
+++ b/src/control/lease_row.cc
@@ -6,20 +6,21 @@
 
 using detail::Json;
 using detail::ObjectReader;
-using detail::Reading;
+using detail::ParseStatus;
 
 Result<LeaseRow> ParseLeaseRow(std::string_view json) {
-  return detail::ParseDocument<LeaseRow>(json, "the lease", [](const Json& document, Reading& r) {
-    LeaseRow row;
-    ObjectReader object(document, "lease", r);
-    object.Allow({"token", "holder", "incarnation", "epoch", "renewals"});
-    object.NeedText("token", row.token.value);
-    object.NeedText("holder", row.holder.value);
-    object.NeedNatural("incarnation", row.incarnation);
-    object.NeedNatural("epoch", row.epoch);
-    object.NeedNatural("renewals", row.renewals);
-    return row;
-  });
+  return detail::ParseDocument<LeaseRow>(
+      json, "the lease", [](const Json& document, ParseStatus& r) {
+        LeaseRow row;
+        ObjectReader object(document, "lease", r);
+        object.Allow({"token", "holder", "incarnation", "epoch", "renewals"});
+        object.NeedText("token", row.token.value);
+        object.NeedText("holder", row.holder.value);
+        object.NeedNatural("incarnation", row.incarnation);
+        object.NeedNatural("epoch", row.epoch);
+        object.NeedNatural("renewals", row.renewals);
+        return row;
+      });
 }
 
 std::string ToJson(const LeaseRow& row) {
@@ -37,14 +38,14 @@
   return "lease/" + std::string(name);
 }
 
-std::optional<LeaseRow> LeaseOf(const std::optional<Row>& row) {
+std::optional<LeaseRow> LeaseFromRow(const std::optional<Row>& row) {
   if (!row) return std::nullopt;
   Result<LeaseRow> lease = ParseLeaseRow(row->value);
   if (!IsOk(lease)) return std::nullopt;
   return std::move(ValueOf(lease));
 }
 
-CommitRows LeaseWrite(std::string_view name, RowVersion version, const LeaseRow& row) {
+CommitRows ConditionalLeaseWrite(std::string_view name, RowVersion version, const LeaseRow& row) {
   const std::string key = LeaseKey(name);
   return CommitRows{Transaction{{RowCondition{key, version}}, {PutRow{key, ToJson(row)}}}};
 }
--- a/src/control/lease_row.h
+++ b/src/control/lease_row.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// A lease's row in the store. Private to the control library.
+// ParseStatus and writing of lease rows in the store. Private to the control library.
 
 #include <optional>
 #include <string>
@@ -11,8 +11,9 @@
 namespace figmill::detail {
 
 [[nodiscard]] std::string LeaseKey(std::string_view name);
-[[nodiscard]] std::optional<LeaseRow> LeaseOf(const std::optional<Row>& row);
-// Writes `row` if the lease still has this version.
-[[nodiscard]] CommitRows LeaseWrite(std::string_view name, RowVersion version, const LeaseRow& row);
+[[nodiscard]] std::optional<LeaseRow> LeaseFromRow(const std::optional<Row>& row);
+// Writes `row` if the stored row still has this version.
+[[nodiscard]] CommitRows ConditionalLeaseWrite(std::string_view name, RowVersion version,
+                                               const LeaseRow& row);
 
 }  // namespace figmill::detail
--- a/src/control/lease_watcher.cc
+++ b/src/control/lease_watcher.cc
@@ -22,46 +22,46 @@
 }
 
 std::vector<LeaseAction> LeaseWatcher::OnRow(Time now, const Result<std::optional<Row>>& read) {
-  // A read that failed proves nothing, and the time already watched still
-  // counts: a take-over requires the row as it was seen at the start.
+  // A failed read doesn't restart the waiting time: a takeover requires the row version
+  // that was read at its start, so an unseen renewal makes it fail.
   if (!IsOk(read)) return {};
   const std::optional<Row>& row = ValueOf(read);
-  if (!Note(now, row)) return {};
-  if (tried_at_ && seen_ && seen_->token == tried_.token) return Taken(version_);
+  if (!Observe(now, row)) return {};
+  if (attempt_sent_ && seen_ && seen_->token == attempt_.token) return Acquired(version_);
   const bool free = !seen_ || seen_->holder.empty();
   const bool lapsed = unchanged_since_ && now - *unchanged_since_ >= settings_.term;
   if (!free && !lapsed) return {};
   return TakeOver(now);
 }
 
-// False if the row can't be read: taking it over would start the epoch anew.
-bool LeaseWatcher::Note(Time now, const std::optional<Row>& row) {
+// False if the row is malformed: taking it over would restart the epoch.
+bool LeaseWatcher::Observe(Time now, const std::optional<Row>& row) {
   const RowVersion version = row ? row->version : 0;
   if (unchanged_since_ && version == version_) return !row || seen_;
   version_ = version;
   unchanged_since_ = now;
-  seen_ = detail::LeaseOf(row);
+  seen_ = detail::LeaseFromRow(row);
   return !row || seen_;
 }
 
 std::vector<LeaseAction> LeaseWatcher::TakeOver(Time now) {
   const Epoch epoch = (seen_ ? seen_->epoch : 0) + 1;
-  // A try whose answer was lost goes out again as it was: whichever lands, the
-  // token and the earlier time of sending hold for both.
-  const bool again = tried_at_ && tried_.epoch == epoch && tried_version_ == version_;
+  // An attempt with an unknown outcome is sent again unchanged: whichever copy takes
+  // effect, the token and the earlier sending time are valid for both.
+  const bool again = attempt_sent_ && attempt_.epoch == epoch && attempt_version_ == version_;
   if (!again) {
-    tried_ = LeaseRow{FreshToken(random_), settings_.holder, settings_.incarnation, epoch, 0};
-    tried_version_ = version_;
-    tried_at_ = now;
+    attempt_ = LeaseRow{FreshToken(random_), settings_.holder, settings_.incarnation, epoch, 0};
+    attempt_version_ = version_;
+    attempt_sent_ = now;
   }
   busy_ = true;
-  return {detail::LeaseWrite(settings_.name, version_, tried_)};
+  return {detail::ConditionalLeaseWrite(settings_.name, version_, attempt_)};
 }
 
 std::vector<LeaseAction> LeaseWatcher::OnOutcome(Time now, const TransactionOutcome& outcome) {
   return std::visit(Overloaded{[&](const Committed& committed) {
                                  if (committed.rows.empty()) return Tick(now);
-                                 return Taken(committed.rows.front().version);
+                                 return Acquired(committed.rows.front().version);
                                },
                                [&](const Rejected&) { return Tick(now); },
                                [&](const NotWritten&) { return std::vector<LeaseAction>{}; },
@@ -69,9 +69,9 @@
                     outcome);
 }
 
-std::vector<LeaseAction> LeaseWatcher::Taken(RowVersion version) {
-  busy_ = true;  // this watcher is done; the holder takes its place
-  return {LeaseTaken{LeaseGrant{tried_.epoch, version, tried_.renewals, *tried_at_}}};
+std::vector<LeaseAction> LeaseWatcher::Acquired(RowVersion version) {
+  busy_ = true;  // stops this watcher; a LeaseHolder replaces it
+  return {LeaseTaken{LeaseGrant{attempt_.epoch, version, attempt_.renewals, *attempt_sent_}}};
 }
 
 }  // namespace figmill
--- a/src/control/log_compactor.cc
+++ b/src/control/log_compactor.cc
@@ -15,14 +15,14 @@
     : reader_(reader), random_(std::move(random)) {}
 
 std::vector<LogAction> LogCompactor::Consider() {
-  if (state_ != State::kIdle || reader_.head() < known_ + kEntriesPerSnapshot) return {};
+  if (state_ != State::kIdle || reader_.head() < known_snapshot_ + kEntriesPerSnapshot) return {};
   state_ = State::kReading;
   return {ReadRow{std::string(detail::kSnapshotKey)}};
 }
 
 std::vector<LogAction> LogCompactor::On(LogEvent event) {
   return std::visit(Overloaded{[&](RowWasRead& e) { return OnSnapshotRow(std::move(e.row)); },
-                               [&](ObjectWasPut& e) { return OnFoldPut(e.outcome); },
+                               [&](ObjectWasPut& e) { return OnStatePut(e.outcome); },
                                [&](CommitEnded& e) { return OnCommit(e.outcome); },
                                [](auto&) { return std::vector<LogAction>{}; }},
                     event);
@@ -39,45 +39,46 @@
     old = ValueOf(parsed);
     row_version_ = ValueOf(row)->version;
   }
-  known_ = old.sequence;
-  if (reader_.head() < known_ + kEntriesPerSnapshot) return {};
-  folded_ = reader_.fold();
-  stale_object_ = old.previous;
+  known_snapshot_ = old.sequence;
+  if (reader_.head() < known_snapshot_ + kEntriesPerSnapshot) return {};
+  compacted_state_ = reader_.fold();
+  stale_snapshot_ = old.previous;
   next_delete_ = old.deleted + 1;
-  state_ = State::kWritingFold;
-  return {PutObject{detail::FoldKey(folded_->sequence), ToJson(*folded_)}};
+  state_ = State::kWritingObject;
+  return {PutObject{detail::FoldKey(compacted_state_->sequence), ToJson(*compacted_state_)}};
 }
 
-std::vector<LogAction> LogCompactor::OnFoldPut(const Result<Ok>& outcome) {
+std::vector<LogAction> LogCompactor::OnStatePut(const Result<Ok>& outcome) {
   state_ = State::kIdle;
   if (!IsOk(outcome)) return {};
-  // `deleted` names what the round before this one should have deleted, so the
-  // next round goes over this one's rows again, in case it is cut short.
-  const Sequence before = known_ > kEntriesKept ? known_ - kEntriesKept : 0;
-  const detail::SnapshotRow row{FreshToken(random_), folded_->sequence, known_, before};
+  // `deleted` is the last row that the previous compaction had to delete, so that the
+  // next compaction deletes this one's rows again, in case this one is interrupted.
+  const Sequence before = known_snapshot_ > kEntriesKept ? known_snapshot_ - kEntriesKept : 0;
+  const detail::SnapshotRow row{FreshToken(random_), compacted_state_->sequence, known_snapshot_,
+                                before};
   state_ = State::kWritingRow;
   const std::string key(detail::kSnapshotKey);
   return {CommitRows{
       Transaction{{RowCondition{key, row_version_}}, {PutRow{key, detail::ToJson(row)}}}}};
 }
 
-// Nothing is deleted unless the store said plainly that the snapshot's row is
-// written: after a lost answer the next round reads the row and knows.
+// Rows are deleted only after the store has confirmed the commit of the snapshot row.
+// If the answer was lost, the next compaction reads the row to learn the outcome.
 std::vector<LogAction> LogCompactor::OnCommit(const TransactionOutcome& outcome) {
   const State was = std::exchange(state_, State::kIdle);
   const auto* committed = std::get_if<Committed>(&outcome);
   if (committed == nullptr) return {};
-  if (was == State::kDeleting) return DeleteSome();
+  if (was == State::kDeleting) return DeleteBatch();
   if (committed->rows.size() != 1) return {};
   row_version_ = committed->rows.front().version;
-  known_ = folded_->sequence;
-  std::vector<LogAction> actions = DeleteSome();
-  if (stale_object_ != 0) actions.emplace_back(DeleteObject{detail::FoldKey(stale_object_)});
+  known_snapshot_ = compacted_state_->sequence;
+  std::vector<LogAction> actions = DeleteBatch();
+  if (stale_snapshot_ != 0) actions.emplace_back(DeleteObject{detail::FoldKey(stale_snapshot_)});
   return actions;
 }
 
-std::vector<LogAction> LogCompactor::DeleteSome() {
-  const Sequence last = known_ > kEntriesKept ? known_ - kEntriesKept : 0;
+std::vector<LogAction> LogCompactor::DeleteBatch() {
+  const Sequence last = known_snapshot_ > kEntriesKept ? known_snapshot_ - kEntriesKept : 0;
   if (next_delete_ > last) return {};
   Transaction transaction;
   transaction.conditions.push_back({std::string(detail::kSnapshotKey), row_version_});
--- a/src/control/log_reader.cc
+++ b/src/control/log_reader.cc
@@ -8,7 +8,7 @@
 namespace figmill {
 namespace {
 
-// What a node keeps to hand on to peers.
+// Limits of the recent records that a node keeps to serve them to peers.
 constexpr std::size_t kWindowEntries = 512;
 constexpr std::size_t kWindowBytes = 4U << 20;
 constexpr std::uint32_t kRowsPerScan = 256;
@@ -19,7 +19,7 @@
     Result<LogRecord> record = ParseLogRecord(row.value);
     if (!IsOk(record)) return Error{ErrorOf(record).kind, row.key + ": " + ErrorOf(record).detail};
     if (LogKey(ValueOf(record).sequence) != row.key) {
-      return Error{ErrorKind::kInternal, row.key + " holds another row's entry"};
+      return Error{ErrorKind::kInternal, row.key + " contains the entry of another row"};
     }
     records.push_back(std::move(ValueOf(record)));
   }
@@ -42,20 +42,21 @@
 }
 
 std::vector<LogAction> LogReader::Hint(const NodeId& peer, Sequence sequence) {
-  wanted_ = std::max(wanted_, sequence);
+  peer_head_ = std::max(peer_head_, sequence);
   if (sequence <= head() || fetching_from_) return {};
   fetching_from_ = peer;
   return {FetchEntries{peer, head()}};
 }
 
 std::vector<LogAction> LogReader::On(LogEvent event) {
-  return std::visit(Overloaded{[&](RowsScanned& e) { return OnRows(std::move(e.rows)); },
-                               [&](RowWasRead& e) { return OnSnapshotRow(std::move(e.row)); },
-                               [&](ObjectWasRead& e) { return OnFoldBytes(std::move(e.bytes)); },
-                               [&](EntriesFetched& e) { return OnEntries(std::move(e.records)); },
-                               [&](FoldFetched& e) { return OnFold(std::move(e.fold)); },
-                               [](auto&) { return std::vector<LogAction>{}; }},
-                    event);
+  return std::visit(
+      Overloaded{[&](RowsScanned& e) { return OnRows(std::move(e.rows)); },
+                 [&](RowWasRead& e) { return OnSnapshotRow(std::move(e.row)); },
+                 [&](ObjectWasRead& e) { return OnSnapshotObject(std::move(e.bytes)); },
+                 [&](EntriesFetched& e) { return OnEntries(std::move(e.records)); },
+                 [&](FoldFetched& e) { return OnPeerState(std::move(e.fold)); },
+                 [](auto&) { return std::vector<LogAction>{}; }},
+      event);
 }
 
 std::vector<LogAction> LogReader::OnRows(Result<std::vector<Row>> rows) {
@@ -69,7 +70,7 @@
   if (!IsOk(records)) return {LogStuck{head() + 1, ErrorOf(records).detail}};
   const std::vector<LogRecord>& found = ValueOf(records);
   if (found.front().sequence > head() + 1) {
-    // The rows in between were compacted: a snapshot covers them.
+    // The rows in between were deleted by compaction: a snapshot covers them.
     reading_store_ = true;
     return {ReadRow{std::string(detail::kSnapshotKey)}};
   }
@@ -77,7 +78,7 @@
   const bool whole = found.size() < kRowsPerScan &&
                      found.back().sequence - found.front().sequence == found.size() - 1;
   learned_ = learned_ || whole;
-  if (Offer(found)) actions.emplace_back(PublishFold{});
+  if (Advance(found)) actions.emplace_back(PublishFold{});
   if (found.size() == kRowsPerScan) {
     for (LogAction& action : Scan()) actions.push_back(std::move(action));
   }
@@ -94,13 +95,13 @@
   return {GetObject{detail::FoldKey(ValueOf(snapshot).sequence)}};
 }
 
-std::vector<LogAction> LogReader::OnFoldBytes(Result<std::string> bytes) {
+std::vector<LogAction> LogReader::OnSnapshotObject(Result<std::string> bytes) {
   reading_store_ = false;
-  if (!IsOk(bytes)) return {};  // the next poll starts over
+  if (!IsOk(bytes)) return {};  // the next Poll retries
   Result<Fold> fold = ParseFold(ValueOf(bytes));
   if (!IsOk(fold)) return {LogStuck{head() + 1, ErrorOf(fold).detail}};
   std::vector<LogAction> actions;
-  if (Offer(std::move(ValueOf(fold)))) actions.emplace_back(PublishFold{});
+  if (Advance(std::move(ValueOf(fold)))) actions.emplace_back(PublishFold{});
   for (LogAction& action : Scan()) actions.push_back(std::move(action));
   return actions;
 }
@@ -111,37 +112,37 @@
       return {FetchFold{*fetching_from_}};
     }
     fetching_from_.reset();
-    wanted_ = head();  // the next datagram with a higher sequence tries again
+    peer_head_ = head();  // the next gossip message with a higher sequence retries
     return {};
   }
   std::vector<LogAction> actions;
-  const bool moved = Offer(ValueOf(records));
-  learned_ = learned_ || (moved && head() >= wanted_);
+  const bool moved = Advance(ValueOf(records));
+  learned_ = learned_ || (moved && head() >= peer_head_);
   if (moved) actions.emplace_back(PublishFold{});
-  if (!moved) wanted_ = head();
-  for (LogAction& action : NextFetch()) actions.push_back(std::move(action));
+  if (!moved) peer_head_ = head();
+  for (LogAction& action : ContinueFetch()) actions.push_back(std::move(action));
   return actions;
 }
 
-std::vector<LogAction> LogReader::OnFold(Result<Fold> fold) {
+std::vector<LogAction> LogReader::OnPeerState(Result<Fold> fold) {
   std::vector<LogAction> actions;
-  const bool moved = IsOk(fold) && Offer(std::move(ValueOf(fold)));
-  learned_ = learned_ || (moved && head() >= wanted_);
+  const bool moved = IsOk(fold) && Advance(std::move(ValueOf(fold)));
+  learned_ = learned_ || (moved && head() >= peer_head_);
   if (moved) actions.emplace_back(PublishFold{});
-  if (!moved) wanted_ = head();
-  for (LogAction& action : NextFetch()) actions.push_back(std::move(action));
+  if (!moved) peer_head_ = head();
+  for (LogAction& action : ContinueFetch()) actions.push_back(std::move(action));
   return actions;
 }
 
-// Goes on with the same peer if it was seen on more than is here now.
-std::vector<LogAction> LogReader::NextFetch() {
+// Continues with the same peer if a higher sequence than the head was reported.
+std::vector<LogAction> LogReader::ContinueFetch() {
   const std::optional<NodeId> peer = std::exchange(fetching_from_, std::nullopt);
-  if (!peer || wanted_ <= head()) return {};
+  if (!peer || peer_head_ <= head()) return {};
   fetching_from_ = peer;
   return {FetchEntries{*peer, head()}};
 }
 
-bool LogReader::Offer(std::span<const LogRecord> records) {
+bool LogReader::Advance(std::span<const LogRecord> records) {
   std::shared_ptr<Fold> next;
   for (const LogRecord& record : records) {
     const Sequence head = next ? next->sequence : fold_->sequence;
@@ -149,22 +150,22 @@
     if (record.sequence != head + 1) break;
     if (!next) next = std::make_shared<Fold>(*fold_);
     Apply(*next, record);
-    Keep(record);
+    AddToWindow(record);
   }
   if (!next) return false;
   fold_ = std::move(next);
   return true;
 }
 
-bool LogReader::Offer(Fold fold) {
+bool LogReader::Advance(Fold fold) {
   if (fold.sequence <= head()) return false;
-  window_.clear();  // it no longer joins on to the head
+  window_.clear();  // it would no longer be contiguous with the head
   window_bytes_ = 0;
   fold_ = std::make_shared<const Fold>(std::move(fold));
   return true;
 }
 
-void LogReader::Keep(const LogRecord& record) {
+void LogReader::AddToWindow(const LogRecord& record) {
   const std::size_t bytes = ToJson(record).size();
   window_.push_back({record, bytes});
   window_bytes_ += bytes;
@@ -181,11 +182,11 @@
   if (window_.empty() || window_.front().record.sequence > after + 1) return std::nullopt;
   std::size_t bytes = 0;
   const std::size_t skip = after + 1 - window_.front().record.sequence;
-  for (auto kept = window_.begin() + static_cast<std::ptrdiff_t>(skip); kept != window_.end();
-       ++kept) {
-    bytes += kept->bytes;
+  for (auto entry = window_.begin() + static_cast<std::ptrdiff_t>(skip); entry != window_.end();
+       ++entry) {
+    bytes += entry->bytes;
     if (!records.empty() && bytes > max_bytes) break;
-    records.push_back(kept->record);
+    records.push_back(entry->record);
   }
   return records;
 }
--- a/src/control/log_rows.cc
+++ b/src/control/log_rows.cc
@@ -5,16 +5,17 @@
 namespace figmill::detail {
 
 Result<SnapshotRow> ParseSnapshotRow(std::string_view json) {
-  return ParseDocument<SnapshotRow>(json, "the snapshot row", [](const Json& document, Reading& r) {
-    SnapshotRow row;
-    ObjectReader object(document, "snapshot", r);
-    object.Allow({"token", "sequence", "previous", "deleted"});
-    object.NeedText("token", row.token.value);
-    object.NeedNatural("sequence", row.sequence);
-    object.NeedNatural("previous", row.previous);
-    object.NeedNatural("deleted", row.deleted);
-    return row;
-  });
+  return ParseDocument<SnapshotRow>(json, "the snapshot row",
+                                    [](const Json& document, ParseStatus& r) {
+                                      SnapshotRow row;
+                                      ObjectReader object(document, "snapshot", r);
+                                      object.Allow({"token", "sequence", "previous", "deleted"});
+                                      object.NeedText("token", row.token.value);
+                                      object.NeedNatural("sequence", row.sequence);
+                                      object.NeedNatural("previous", row.previous);
+                                      object.NeedNatural("deleted", row.deleted);
+                                      return row;
+                                    });
 }
 
 std::string ToJson(const SnapshotRow& row) {
--- a/src/control/member_table.cc
+++ b/src/control/member_table.cc
@@ -10,21 +10,21 @@
 
 constexpr std::size_t kDigestWord = 4;  // bytes
 
-std::uint64_t StateHash(const Record& record) {
+std::uint64_t StateHash(const MemberRecord& record) {
   const std::string state = std::to_string(record.member.incarnation) + ":" +
                             std::to_string(record.version) + ":" +
                             std::to_string(static_cast<unsigned>(record.member.liveness));
   return RendezvousWeight(record.member.node.value, state);
 }
 
-std::uint64_t HashOf(const Record& record) {
+std::uint64_t TableHash(const MemberRecord& record) {
   return record.member.liveness == Liveness::kDead ? 0 : StateHash(record);
 }
 
-std::uint32_t IdWord(const Record& record) {
+std::uint32_t IdWord(const MemberRecord& record) {
   return static_cast<std::uint32_t>(RendezvousWeight(record.member.node.value, "digest"));
 }
-std::uint32_t StateWord(const Record& record) {
+std::uint32_t StateWord(const MemberRecord& record) {
   return static_cast<std::uint32_t>(StateHash(record));
 }
 
@@ -41,7 +41,7 @@
 
 }  // namespace
 
-bool Beats(const Brief& a, const Brief& b) {
+bool Supersedes(const MemberSummary& a, const MemberSummary& b) {
   return std::tie(a.incarnation, a.version, a.liveness) >
          std::tie(b.incarnation, b.version, b.liveness);
 }
@@ -51,57 +51,60 @@
   return found == entries_.end() ? nullptr : &found->second;
 }
 
-void MemberTable::Toggle(const Entry& entry) {
+void MemberTable::ToggleHash(const Entry& entry) {
   hash_ ^= entry.hash;
 }
 
-void MemberTable::Put(Time now, Record record) {
+void MemberTable::Put(Time now, MemberRecord record) {
   const NodeId node = record.member.node;
   const auto [found, added] = entries_.try_emplace(node);
   Entry& entry = found->second;
-  if (!added) Toggle(entry);
+  if (!added) ToggleHash(entry);
   const bool same_process = !added && entry.record.member.incarnation == record.member.incarnation;
-  const bool same_word = same_process && entry.record.version == record.version &&
-                         entry.record.member.liveness == record.member.liveness;
-  if (!same_word) entry.since = now;
+  const bool same_state = same_process && entry.record.version == record.version &&
+                          entry.record.member.liveness == record.member.liveness;
+  if (!same_state) entry.since = now;
   record.member.control_sequence = same_process ? entry.record.member.control_sequence : 0;
   entry.record = std::move(record);
-  entry.hash = HashOf(entry.record);
-  Toggle(entry);
+  entry.hash = TableHash(entry.record);
+  ToggleHash(entry);
 }
 
-Merged MemberTable::Merge(Time now, const Record& record) {
+MergeResult MemberTable::Merge(Time now, const MemberRecord& record) {
   if (const Entry* entry = Find(record.member.node)) {
-    const Brief mine = BriefOf(entry->record);
-    const Brief theirs = BriefOf(record);
-    if (!Beats(theirs, mine)) return Beats(mine, theirs) ? Merged::kOlder : Merged::kSame;
+    const MemberSummary mine = SummaryOf(entry->record);
+    const MemberSummary theirs = SummaryOf(record);
+    if (!Supersedes(theirs, mine))
+      return Supersedes(mine, theirs) ? MergeResult::kOlder : MergeResult::kSame;
   } else if (record.member.liveness == Liveness::kDead) {
-    return Merged::kSame;  // forgotten here; nothing would come of it
+    return MergeResult::kSame;  // already erased here, and adding it again has no use
   }
   Put(now, record);
-  return Merged::kTaken;
+  return MergeResult::kApplied;
 }
 
-Merged MemberTable::Merge(Time now, const Brief& brief) {
-  const Entry* entry = Find(brief.node);
+MergeResult MemberTable::Merge(Time now, const MemberSummary& summary) {
+  const Entry* entry = Find(summary.node);
   if (entry == nullptr) {
-    return brief.liveness == Liveness::kDead ? Merged::kSame : Merged::kUnknown;
+    return summary.liveness == Liveness::kDead ? MergeResult::kSame : MergeResult::kRecordMissing;
   }
-  const Brief mine = BriefOf(entry->record);
-  if (!Beats(brief, mine)) return Beats(mine, brief) ? Merged::kOlder : Merged::kSame;
-  if (brief.incarnation != mine.incarnation || brief.shape != mine.shape) return Merged::kUnknown;
-  Record record = entry->record;
-  record.version = brief.version;
-  record.member.liveness = brief.liveness;
-  record.member.leaving = brief.leaving;
+  const MemberSummary mine = SummaryOf(entry->record);
+  if (!Supersedes(summary, mine))
+    return Supersedes(mine, summary) ? MergeResult::kOlder : MergeResult::kSame;
+  if (summary.incarnation != mine.incarnation || summary.details_version != mine.details_version)
+    return MergeResult::kRecordMissing;
+  MemberRecord record = entry->record;
+  record.version = summary.version;
+  record.member.liveness = summary.liveness;
+  record.member.leaving = summary.leaving;
   Put(now, std::move(record));
-  return Merged::kTaken;
+  return MergeResult::kApplied;
 }
 
 void MemberTable::SetLiveness(Time now, const NodeId& node, Liveness liveness) {
   const Entry* entry = Find(node);
   if (entry == nullptr) return;
-  Record record = entry->record;
+  MemberRecord record = entry->record;
   record.member.liveness = liveness;
   Put(now, std::move(record));
 }
@@ -117,7 +120,7 @@
 void MemberTable::Erase(const NodeId& node) {
   const auto found = entries_.find(node);
   if (found == entries_.end()) return;
-  Toggle(found->second);
+  ToggleHash(found->second);
   entries_.erase(found);
 }
 
@@ -131,18 +134,19 @@
   return digest;
 }
 
-std::optional<std::vector<Record>> MemberTable::Beyond(std::string_view digest) const {
+std::optional<std::vector<MemberRecord>> MemberTable::RecordsMissingIn(
+    std::string_view digest) const {
   if (digest.size() % (2 * kDigestWord) != 0) return std::nullopt;
   std::map<std::uint32_t, std::uint32_t> theirs;
   for (std::size_t at = 0; at < digest.size(); at += 2 * kDigestWord) {
     theirs[WordAt(digest, at)] = WordAt(digest, at + kDigestWord);
   }
-  std::vector<Record> records;
+  std::vector<MemberRecord> records;
   for (const auto& [node, entry] : entries_) {
     const auto known = theirs.find(IdWord(entry.record));
-    const bool lacking = known == theirs.end() ? entry.record.member.liveness != Liveness::kDead
+    const bool missing = known == theirs.end() ? entry.record.member.liveness != Liveness::kDead
                                                : known->second != StateWord(entry.record);
-    if (lacking) records.push_back(entry.record);
+    if (missing) records.push_back(entry.record);
   }
   return records;
 }
--- a/src/control/member_table.h
+++ b/src/control/member_table.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// What a node believes of all members, and how two beliefs merge. Private to the
+// A node's view of all members, and the merge rule for gossiped updates. Private to the
 // control library.
 
 #include <map>
@@ -13,52 +13,53 @@
 
 namespace figmill::detail {
 
-enum class Merged : std::uint8_t {
-  kOlder,  // what is here beats it
+enum class MergeResult : std::uint8_t {
+  kOlder,  // the stored record is newer
   kSame,
-  kTaken,
-  kUnknown,  // news of a member whose record isn't here: ask for the record
+  kApplied,
+  kRecordMissing,  // the matching full record is missing here and must be requested
 };
 
-// Beliefs are ordered by (incarnation, version, liveness): a newer process beats
-// an older one whatever is said of it, a member's own newer word beats others'
-// doubts, and doubt or death beats the same word heard earlier. Since every node
-// orders them alike, all end up with the same belief in whichever order news
-// come, and an old incarnation can't win.
+// Records of a member are ordered by (incarnation, version, liveness): a newer process
+// supersedes an older one, a newer version published by the member itself supersedes
+// suspicions of other members, and suspect or dead supersedes alive at the same version.
+// Since every node uses the same order, all converge to the same record in whichever
+// order updates arrive, and an old incarnation never supersedes a newer one.
 class MemberTable {
  public:
   struct Entry {
-    Record record;
-    Time since;              // when this word of it was taken in
-    std::uint64_t hash = 0;  // its part in the sums; 0 for a dead member
+    MemberRecord record;
+    Time since;              // when this incarnation, version and liveness was stored
+    std::uint64_t hash = 0;  // its contribution to hash(); 0 for a dead member
   };
 
-  Merged Merge(Time now, const Brief& brief);
-  Merged Merge(Time now, const Record& record);
+  MergeResult Merge(Time now, const MemberSummary& summary);
+  MergeResult Merge(Time now, const MemberRecord& record);
   void SetLiveness(Time now, const NodeId& node, Liveness liveness);
   void SetSequence(const NodeId& node, Incarnation incarnation, Sequence sequence);
   void Erase(const NodeId& node);
 
   [[nodiscard]] const Entry* Find(const NodeId& node) const;
   [[nodiscard]] const std::map<NodeId, Entry>& entries() const { return entries_; }
-  // Of alive and suspect members. Dead ones are left out: nodes forget them at
-  // different times, and that must not look like news.
+  // Hash of the alive and suspect members. Dead ones are excluded: nodes erase them at
+  // different times, which must not count as a difference.
   [[nodiscard]] std::uint64_t hash() const { return hash_; }
-  // For each member a hash of its id and one of its state, 4 bytes each.
+  // For each member a hash of its id and a hash of its state, 4 bytes each.
   [[nodiscard]] std::string Digest() const;
-  // What the sender of such a digest lacks; nothing if it is cut off. Dead ones
-  // only if the sender knows the member, or they would be handed round for ever.
-  [[nodiscard]] std::optional<std::vector<Record>> Beyond(std::string_view digest) const;
+  // The records that the sender of such a digest lacks; nullopt if it is truncated. Dead
+  // members only if the sender knows them, or they would circulate forever.
+  [[nodiscard]] std::optional<std::vector<MemberRecord>> RecordsMissingIn(
+      std::string_view digest) const;
 
  private:
-  void Put(Time now, Record record);
-  void Toggle(const Entry& entry);
+  void Put(Time now, MemberRecord record);
+  void ToggleHash(const Entry& entry);
 
   std::map<NodeId, Entry> entries_;
   std::uint64_t hash_ = 0;
 };
 
-// Whether `a` beats `b`, both of the same member.
-[[nodiscard]] bool Beats(const Brief& a, const Brief& b);
+// Whether `a` supersedes `b`, both of the same member.
+[[nodiscard]] bool Supersedes(const MemberSummary& a, const MemberSummary& b);
 
 }  // namespace figmill::detail
--- a/src/control/membership_api.cc
+++ b/src/control/membership_api.cc
@@ -23,8 +23,8 @@
   return impl_->OnMembers(now, bytes);
 }
 
-Result<std::string> Membership::OnFetch(Time now, std::string_view have) {
-  return impl_->OnFetch(now, have);
+Result<std::string> Membership::OnFetch(Time now, std::string_view request) {
+  return impl_->OnFetch(now, request);
 }
 
 std::vector<MembershipAction> Membership::SetLeaving(Time now) {
--- a/src/control/membership_messages.cc
+++ b/src/control/membership_messages.cc
@@ -9,26 +9,26 @@
 constexpr std::size_t kDatagramBytes = 1400;
 constexpr std::size_t kHeaderBytes = 28;  // IP and UDP
 constexpr std::size_t kMaxPartBytes = 700;
-// An item of news is sent this often by each member that takes it in.
-constexpr int kNewsRepeats = 8;
+// How often each member that receives an update sends it on.
+constexpr int kUpdateRepeats = 8;
 constexpr std::size_t kUrgentPeers = 4;
-constexpr std::size_t kMaxWants = 12;
-constexpr Duration kWantAgain{1'000'000};
-constexpr Duration kRelayFor{1'000'000};
-// Without one equal table hash for so long, a digest goes over HTTP; the time
-// doubles while that goes on. A digest of 960 members is 7.7 KB.
-constexpr Duration kFetchSoonest{5'000'000};
-constexpr Duration kFetchRarely{10'000'000};
+constexpr std::size_t kMaxRecordRequests = 12;
+constexpr Duration kRecordRequestRetry{1'000'000};
+constexpr Duration kRelayTimeout{1'000'000};
+// If no equal table hash arrives for this long, a digest is sent over HTTP; the interval
+// doubles, up to the maximum, until the hashes match. A digest of 960 members is 7.7 KB.
+constexpr Duration kMinFetchInterval{5'000'000};
+constexpr Duration kMaxFetchInterval{10'000'000};
 
 }  // namespace
 
 // --- Sending -----------------------------------------------------------------------
 
-Message Membership::Impl::Make(MessageKind kind, std::uint64_t nonce) const {
+Message Membership::Impl::MakeMessage(MessageKind kind, std::uint64_t nonce) const {
   Message message;
   message.kind = kind;
   message.nonce = nonce;
-  message.sender = BriefOf(self());
+  message.sender = SummaryOf(self());
   message.sequence = self().member.control_sequence;
   message.hash = table_.hash();
   return message;
@@ -36,133 +36,138 @@
 
 void Membership::Impl::Send(const Address& to, const Message& message) {
   std::string bytes = Encode(message);
-  if (bytes.size() > kDatagramBytes) return;  // the sizes' upper bounds exclude it
+  if (bytes.size() > kDatagramBytes) return;  // can't happen: BytesOf gives upper bounds
   const std::size_t cost = bytes.size() + kHeaderBytes;
-  tokens_ -= static_cast<double>(cost);
+  byte_budget_ -= static_cast<double>(cost);
   ++counts_.datagrams_sent;
   counts_.bytes_sent += cost;
   out_.emplace_back(SendDatagram{to, std::move(bytes)});
 }
 
-void Membership::Impl::SendPaid(const Address& to, const Message& message) {
-  if (tokens_ > 0) Send(to, message);
+void Membership::Impl::SendWithinBudget(const Address& to, const Message& message) {
+  if (byte_budget_ > 0) Send(to, message);
 }
 
-std::size_t Membership::Impl::Room() const {
-  const double room = tokens_ - static_cast<double>(detail::kEmptyMessageBytes + kHeaderBytes);
-  return room <= 0 ? 0 : std::min(kMaxPartBytes, static_cast<std::size_t>(room));
+std::size_t Membership::Impl::AvailableBytes() const {
+  const double available =
+      byte_budget_ - static_cast<double>(detail::kEmptyMessageBytes + kHeaderBytes);
+  return available <= 0 ? 0 : std::min(kMaxPartBytes, static_cast<std::size_t>(available));
 }
 
-void Membership::Impl::AddBrief(Message& message, const Brief& brief, std::size_t& room) const {
-  const std::size_t bytes = BytesOf(brief);
-  if (bytes > room) return;
-  room -= bytes;
-  message.news.push_back(brief);
+void Membership::Impl::AddSummary(Message& message, const MemberSummary& summary,
+                                  std::size_t& available) const {
+  const std::size_t bytes = BytesOf(summary);
+  if (bytes > available) return;
+  available -= bytes;
+  message.updates.push_back(summary);
 }
 
-void Membership::Impl::AddRecord(Message& message, const NodeId& node, std::size_t& room) const {
+void Membership::Impl::AddRecord(Message& message, const NodeId& node,
+                                 std::size_t& available) const {
   const auto* entry = table_.Find(node);
   if (entry == nullptr) return;
   const std::size_t bytes = BytesOf(entry->record);
-  if (bytes > room) return;
-  room -= bytes;
+  if (bytes > available) return;
+  available -= bytes;
   message.records.push_back(entry->record);
 }
 
-// The least often sent first. Briefs only: whoever lacks the record asks for it,
-// while most have it already from another.
-void Membership::Impl::AddNews(Message& message, std::size_t& room) {
+// Adds the least often sent updates first. Only summaries are sent: a receiver without the
+// record requests it, while most have already got it from another member.
+void Membership::Impl::AddUpdates(Message& message, std::size_t& available) {
   std::vector<std::pair<int, const NodeId*>> order;
-  for (const auto& [node, times] : news_) {
-    // Who leaves comes first: work sent there is refused until all know.
+  for (const auto& [node, times] : updates_) {
+    // Leaving members first: until all peers know, work sent there is rejected.
     const auto* entry = table_.Find(node);
     const bool urgent = entry != nullptr && entry->record.member.leaving;
-    order.emplace_back(urgent ? times - kNewsRepeats : times, &node);
+    order.emplace_back(urgent ? times - kUpdateRepeats : times, &node);
   }
   std::sort(order.begin(), order.end(), [](const auto& a, const auto& b) {
     return a.first != b.first ? a.first < b.first : *a.second < *b.second;
   });
   std::vector<NodeId> done;
   for (const auto& [times, node] : order) {
-    const std::size_t before = room;
+    const std::size_t before = available;
     const auto* entry = table_.Find(*node);
-    if (entry != nullptr) AddBrief(message, BriefOf(entry->record), room);
-    if (entry != nullptr && room == before) break;  // full
-    if (entry == nullptr || ++news_[*node] >= kNewsRepeats) done.push_back(*node);
+    if (entry != nullptr) AddSummary(message, SummaryOf(entry->record), available);
+    if (entry != nullptr && available == before) break;  // full
+    if (entry == nullptr || ++updates_[*node] >= kUpdateRepeats) done.push_back(*node);
   }
-  for (const NodeId& node : done) news_.erase(node);
+  for (const NodeId& node : done) updates_.erase(node);
 }
 
 void Membership::Impl::SendUrgent() {
-  for (const NodeId& node : Pick(kUrgentPeers)) {
-    Message news = Make(MessageKind::kNews, 0);
-    std::size_t room = Room();
-    AddNews(news, room);
-    SendPaid(table_.Find(node)->record.member.gossip, news);
+  for (const NodeId& node : PickPeers(kUrgentPeers)) {
+    Message updates = MakeMessage(MessageKind::kUpdates, 0);
+    std::size_t available = AvailableBytes();
+    AddUpdates(updates, available);
+    SendWithinBudget(table_.Find(node)->record.member.gossip, updates);
   }
 }
 
-// --- Taking in ---------------------------------------------------------------------
+// --- Receiving ---------------------------------------------------------------------
 
-void Membership::Impl::Spread(const NodeId& node) {
-  news_[node] = 0;
+void Membership::Impl::QueueUpdate(const NodeId& node) {
+  updates_[node] = 0;
   changed_ = true;
 }
 
-// Others' word on this member itself; false if it was about another.
-bool Membership::Impl::TakeOwn(Time now, const Brief& brief) {
-  if (brief.node != self_) return false;
-  const Record& mine = self();
-  if (brief.incarnation > mine.member.incarnation) {
+// Handles what a peer reports about this member itself; false if it is about another.
+bool Membership::Impl::MergeAboutSelf(Time now, const MemberSummary& summary) {
+  if (summary.node != self_) return false;
+  const MemberRecord& mine = self();
+  if (summary.incarnation > mine.member.incarnation) {
     superseded_ = true;
-    out_.emplace_back(Superseded{brief.incarnation});
+    out_.emplace_back(Superseded{summary.incarnation});
     return true;
   }
-  if (!Beats(brief, BriefOf(mine))) return true;
-  // Doubt or death of this very process: a higher version refutes it.
-  Record record = mine;
-  record.version = brief.version + 1;
+  if (!Supersedes(summary, SummaryOf(mine))) return true;
+  // This process is reported as suspect or dead: a higher version refutes it.
+  MemberRecord record = mine;
+  record.version = summary.version + 1;
   (void)table_.Merge(now, record);
-  Spread(self_);
+  QueueUpdate(self_);
   return true;
 }
 
-void Membership::Impl::Take(Time now, const Brief& brief, std::vector<NodeId>& wants) {
-  if (TakeOwn(now, brief)) return;
-  switch (table_.Merge(now, brief)) {
-    case Merged::kTaken: {
-      Spread(brief.node);
-      if (brief.leaving) bursts_ = std::max(bursts_, 2);
+void Membership::Impl::MergeUpdate(Time now, const MemberSummary& summary,
+                                   std::vector<NodeId>& requested_records) {
+  if (MergeAboutSelf(now, summary)) return;
+  switch (table_.Merge(now, summary)) {
+    case MergeResult::kApplied: {
+      QueueUpdate(summary.node);
+      if (summary.leaving) urgent_rounds_ = std::max(urgent_rounds_, 2);
       break;
     }
-    case Merged::kUnknown: {
-      const auto asked = wanted_.find(brief.node);
-      const bool again = asked == wanted_.end() || now - asked->second >= kWantAgain;
-      if (!again || wants.size() >= kMaxWants) break;
-      wanted_[brief.node] = now;
-      wants.push_back(brief.node);
+    case MergeResult::kRecordMissing: {
+      const auto asked = record_requested_.find(summary.node);
+      const bool again =
+          asked == record_requested_.end() || now - asked->second >= kRecordRequestRetry;
+      if (!again || requested_records.size() >= kMaxRecordRequests) break;
+      record_requested_[summary.node] = now;
+      requested_records.push_back(summary.node);
       break;
     }
-    case Merged::kOlder:
-    case Merged::kSame:
+    case MergeResult::kOlder:
+    case MergeResult::kSame:
       break;
   }
 }
 
-void Membership::Impl::Take(Time now, const Record& record) {
-  if (TakeOwn(now, BriefOf(record))) return;
-  if (table_.Merge(now, record) == Merged::kTaken) Spread(record.member.node);
+void Membership::Impl::MergeUpdate(Time now, const MemberRecord& record) {
+  if (MergeAboutSelf(now, SummaryOf(record))) return;
+  if (table_.Merge(now, record) == MergeResult::kApplied) QueueUpdate(record.member.node);
 }
 
-// False if the sender's process has been replaced: it is told so, and nothing it
-// says is taken.
-bool Membership::Impl::TakeSender(const Message& message, const Address& from) {
+// False if a newer process has replaced the sender: the sender is notified, and the
+// message is ignored.
+bool Membership::Impl::AcceptSender(const Message& message, const Address& from) {
   const auto* entry = table_.Find(message.sender.node);
   if (entry == nullptr) return true;
   if (entry->record.member.incarnation > message.sender.incarnation) {
-    Message reply = Make(MessageKind::kNews, 0);
-    reply.news.push_back(BriefOf(entry->record));
-    SendPaid(from, reply);
+    Message reply = MakeMessage(MessageKind::kUpdates, 0);
+    reply.updates.push_back(SummaryOf(entry->record));
+    SendWithinBudget(from, reply);
     return false;
   }
   table_.SetSequence(message.sender.node, message.sender.incarnation, message.sequence);
@@ -181,13 +186,14 @@
     if (!message) ++counts_.unreadable;
     if (!message || superseded_) return {};
   }
-  std::vector<NodeId> wants;
-  Take(now, message->sender, wants);
+  std::vector<NodeId> requested_records;
+  MergeUpdate(now, message->sender, requested_records);
   if (superseded_ || message->sender.node == self_) return Flush();
-  if (!TakeSender(*message, from)) return Flush();
-  heard_ = now;
-  for (const Record& record : message->records) Take(now, record);
-  for (const Brief& brief : message->news) Take(now, brief, wants);
+  if (!AcceptSender(*message, from)) return Flush();
+  last_heard_ = now;
+  for (const MemberRecord& record : message->records) MergeUpdate(now, record);
+  for (const MemberSummary& summary : message->updates)
+    MergeUpdate(now, summary, requested_records);
   if (superseded_) return Flush();
   switch (message->kind) {
     case MessageKind::kAck:
@@ -197,62 +203,65 @@
       OnPingRequest(now, *message, from);
       break;
     case MessageKind::kPing:
-    case MessageKind::kNews:
-    case MessageKind::kAsk:
+    case MessageKind::kUpdates:
+    case MessageKind::kSequenceQuery:
       break;
   }
-  Compare(now, *message);
-  Answer(*message, from, std::move(wants));
+  CompareHashes(now, *message);
+  Reply(*message, from, std::move(requested_records));
   return Flush();
 }
 
 // --- Answering ---------------------------------------------------------------------
 
-void Membership::Impl::Answer(const Message& message, const Address& from,
-                              std::vector<NodeId> wants) {
+void Membership::Impl::Reply(const Message& message, const Address& from,
+                             std::vector<NodeId> requested_records) {
   const bool ping = message.kind == MessageKind::kPing;
-  Message reply = Make(ping ? MessageKind::kAck : MessageKind::kNews, message.nonce);
-  if (message.kind == MessageKind::kAsk) return Send(from, reply);
-  std::size_t room = Room();
-  AddAnswers(reply, message, room);
-  AddWants(reply, std::move(wants), room);
+  Message reply = MakeMessage(ping ? MessageKind::kAck : MessageKind::kUpdates, message.nonce);
+  if (message.kind == MessageKind::kSequenceQuery) return Send(from, reply);
+  std::size_t available = AvailableBytes();
+  AddReplyContent(reply, message, available);
+  AddRecordRequests(reply, std::move(requested_records), available);
   if (ping) {
-    AddNews(reply, room);
+    AddUpdates(reply, available);
     return Send(from, reply);
   }
-  const bool something = !reply.wants.empty() || !reply.records.empty() || !reply.news.empty();
-  if (something) SendPaid(from, reply);
+  const bool something =
+      !reply.requested_records.empty() || !reply.records.empty() || !reply.updates.empty();
+  if (something) SendWithinBudget(from, reply);
 }
 
-void Membership::Impl::AddWants(Message& reply, std::vector<NodeId> wants, std::size_t& room) {
-  for (NodeId& node : wants) {
+void Membership::Impl::AddRecordRequests(Message& reply, std::vector<NodeId> requested_records,
+                                         std::size_t& available) {
+  for (NodeId& node : requested_records) {
     const std::size_t bytes = node.value.size() + 2;
-    if (bytes > room) {
-      wanted_.erase(node);  // to be asked for on the next occasion
+    if (bytes > available) {
+      record_requested_.erase(node);  // requested again with the next update of it
       continue;
     }
-    room -= bytes;
-    reply.wants.push_back(std::move(node));
+    available -= bytes;
+    reply.requested_records.push_back(std::move(node));
   }
 }
 
-void Membership::Impl::AddAnswers(Message& reply, const Message& message, std::size_t& room) {
-  // A member held for suspect or dead that is heard of again must refute it.
+void Membership::Impl::AddReplyContent(Message& reply, const Message& message,
+                                       std::size_t& available) {
+  // A sender that is suspect or dead in this table must be told, so that it refutes it.
   const auto* sender = table_.Find(message.sender.node);
   if (sender != nullptr && sender->record.member.liveness != Liveness::kAlive) {
-    AddBrief(reply, BriefOf(sender->record), room);
+    AddSummary(reply, SummaryOf(sender->record), available);
   }
-  for (const NodeId& node : message.wants) AddRecord(reply, node, room);
+  for (const NodeId& node : message.requested_records) AddRecord(reply, node, available);
 }
 
-void Membership::Impl::Compare(Time now, const Message& message) {
+void Membership::Impl::CompareHashes(Time now, const Message& message) {
   if (message.hash == table_.hash()) {
-    matched_ = now;
-    fetch_gap_ = kFetchSoonest;
+    hash_matched_ = now;
+    fetch_interval_ = kMinFetchInterval;
     return;
   }
-  if (now - std::max(matched_, fetched_members_) < fetch_gap_) return;
-  fetch_gap_ = std::min(kFetchRarely, fetch_gap_ * 2);
+  if (now - std::max(hash_matched_, last_fetch_) < fetch_interval_) return;
+  fetch_interval_ = std::min(kMaxFetchInterval, fetch_interval_ * 2);
   if (const auto* sender = table_.Find(message.sender.node)) {
     Fetch(now, message.sender.node, sender->record.member.http);
   }
@@ -262,49 +271,49 @@
   std::erase_if(probes_, [&](const auto& each) { return each.second.nonce == message.nonce; });
   const auto relay = relays_.find(message.nonce);
   if (relay != relays_.end()) {
-    Send(relay->second.asker, Make(MessageKind::kAck, relay->second.nonce));
+    Send(relay->second.requester, MakeMessage(MessageKind::kAck, relay->second.nonce));
     relays_.erase(relay);
   }
 }
 
 void Membership::Impl::OnPingRequest(Time now, const Message& message, const Address& from) {
   const std::uint64_t nonce = random_() | 1U;
-  relays_[nonce] = Relay{message.nonce, from, now + kRelayFor};
-  Send(message.target, Make(MessageKind::kPing, nonce));
+  relays_[nonce] = Relay{message.nonce, from, now + kRelayTimeout};
+  Send(message.target, MakeMessage(MessageKind::kPing, nonce));
 }
 
 void Membership::Impl::Fetch(Time now, const NodeId& peer, const Address& http) {
-  fetched_members_ = now;
-  out_.emplace_back(
-      FetchMembers{peer, http, detail::EncodeHave({.self = self(), .digest = table_.Digest()})});
+  last_fetch_ = now;
+  out_.emplace_back(FetchMembers{
+      peer, http, detail::EncodeSyncRequest({.self = self(), .digest = table_.Digest()})});
 }
 
-Result<std::string> Membership::Impl::OnFetch(Time now, std::string_view have) {
-  const std::optional<detail::Have> theirs = detail::DecodeHave(have);
-  const auto records = theirs ? table_.Beyond(theirs->digest) : std::nullopt;
+Result<std::string> Membership::Impl::OnFetch(Time now, std::string_view request) {
+  const std::optional<detail::TableSyncRequest> theirs = detail::DecodeSyncRequest(request);
+  const auto records = theirs ? table_.RecordsMissingIn(theirs->digest) : std::nullopt;
   if (!records) {
     ++counts_.unreadable;
-    return Error{ErrorKind::kBadRequest, "the digest can't be read"};
+    return Error{ErrorKind::kBadRequest, "the digest is malformed"};
   }
-  // What follows from it goes out with the next tick.
-  if (theirs->self.member.node != self_) Take(now, theirs->self);
+  // Actions that result from it are returned by the next Tick.
+  if (theirs->self.member.node != self_) MergeUpdate(now, theirs->self);
   return detail::EncodeTable(*records);
 }
 
 Membership::Impl::Actions Membership::Impl::OnMembers(Time now, std::string_view bytes) {
-  const std::optional<std::vector<Record>> records = detail::DecodeTable(bytes);
+  const std::optional<std::vector<MemberRecord>> records = detail::DecodeTable(bytes);
   if (!records) {
     ++counts_.unreadable;
     return {};
   }
   joined_ = true;
-  // What waited to be passed on is in the peer's table, and in others' soon, as
-  // they exchange digests likewise; only news of this member can't be missed.
-  std::erase_if(news_, [&](const auto& each) { return each.first != self_; });
-  for (const Record& record : *records) {
-    if (TakeOwn(now, BriefOf(record)) || record.member.node == self_) continue;
-    // Not passed on as news: whoever lacks it finds out by the hashes.
-    if (table_.Merge(now, record) == Merged::kTaken) changed_ = true;
+  // Pending updates are already in the peer's table and soon reach others, which exchange
+  // digests too; only the update about this member itself may be missing there.
+  std::erase_if(updates_, [&](const auto& each) { return each.first != self_; });
+  for (const MemberRecord& record : *records) {
+    if (MergeAboutSelf(now, SummaryOf(record)) || record.member.node == self_) continue;
+    // Not queued as an update: members without it detect that by the table hashes.
+    if (table_.Merge(now, record) == MergeResult::kApplied) changed_ = true;
   }
   return Flush();
 }
--- a/src/control/validate.cc
+++ b/src/control/validate.cc
@@ -7,13 +7,13 @@
 namespace figmill {
 namespace {
 
-// Far above the two-year size; a document beyond them is a mistake that would
-// cost every node's memory.
+// Far above the size expected in two years; a larger document is a mistake that would
+// use up memory on every node.
 constexpr std::size_t kMaxServices = 1'000;
 constexpr std::size_t kMaxLimits = 20'000;
 constexpr std::size_t kMaxBackends = 5'000;
-constexpr std::size_t kMaxRoutes = 64;  // of one service
-constexpr std::size_t kMaxServed = 64;  // by one backend server
+constexpr std::size_t kMaxRoutes = 64;  // per service
+constexpr std::size_t kMaxServed = 64;  // services per backend server
 constexpr std::size_t kMaxPrefixLength = 256;
 constexpr Duration kLongestDeadline{24LL * 3600 * 1'000'000};
 
@@ -78,7 +78,7 @@
   for (const ServiceName& name : backend.serves) {
     if (!served.insert(name).second) return Bad(who + " names service " + name.value + " twice");
     if (!config.services.contains(name)) {
-      return Bad(who + " serves '" + name.value + "', which is no service");
+      return Bad(who + " serves '" + name.value + "', which is not a configured service");
     }
   }
   return Ok{};
--- a/test/control-fakes.h
+++ b/test/control-fakes.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// The platform's store in memory, with the faults the tests bring about.
+// An in-memory fake of the platform's store, with fault injection.
 
 #include <algorithm>
 #include <functional>
@@ -14,13 +14,13 @@
 
 namespace figmill::fake {
 
-// What happens to the next commits.
+// The fault that the next commit suffers.
 enum class Fault : std::uint8_t {
   kNone,
   kAnswerLost,   // takes effect, the answer is lost
-  kRequestLost,  // takes no effect, and nobody can tell
-  kRequestLate,  // takes effect at Land(), the answer is lost
-  kRefused,      // plainly not written
+  kRequestLost,  // takes no effect, the outcome is unknown
+  kRequestLate,  // takes effect at DeliverLate(), the answer is lost
+  kRefused,      // reported as not written
 };
 
 class Store {
@@ -38,7 +38,7 @@
     if (fault == Fault::kAnswerLost) return FateUnknown{"timed out"};
     return outcome;
   }
-  void Land() {
+  void DeliverLate() {
     if (late_) (void)Execute(*std::exchange(late_, std::nullopt));
   }
   Result<std::optional<Row>> Read(const std::string& key) const {
--- a/test/control-lease-test.cc
+++ b/test/control-lease-test.cc
@@ -22,13 +22,13 @@
   return {"batch", {std::move(holder)}, incarnation, kTerm};
 }
 
-// One candidate: watches until it holds, then holds until it loses.
+// A candidate for the lease: watches it until acquired, then renews it until lost.
 struct Candidate {
   Candidate(Store& its_store, std::string name, std::uint64_t seed)
       : store(its_store), settings(Settings(std::move(name))), seed_(seed), watcher(Watcher()) {}
   LeaseWatcher Watcher() { return LeaseWatcher(settings, fake::Random(++seed_)); }
 
-  // Calls are answered at once, unless `held_back` keeps a commit's answer.
+  // Carries out the actions; store requests are answered immediately.
   void Do(Time now, std::vector<LeaseAction> actions) {
     for (LeaseAction& action : actions) {
       std::visit(
@@ -84,11 +84,10 @@
   CHECK(Current(store).renewals > 30);
 }
 
-TEST_CASE("a paused holder that wakes may not act, and its successor's epoch is higher") {
-  // Symptom: two owners work the same chunk.
-  // Events: the holder is paused for two terms; another takes over; the first wakes in the middle
-  // of its work, its own time having gone on.
-  // Cause: holding is judged by what the holder remembers, not by when it last renewed.
+TEST_CASE("a lease expires for a paused holder, and its successor has a higher epoch") {
+  // Guards against two owners that work on the same chunk: the holder is paused for two terms,
+  // another candidate takes over, and the first one resumes in the middle of its work. This happens
+  // if a holder trusts its own state instead of the time of its last renewal.
   Store store;
   Candidate a(store, "a", 10);
   Candidate b(store, "b", 20);
@@ -100,13 +99,13 @@
   CHECK(b.MayAct(At(13)));
   CHECK(b.epochs == std::vector<Epoch>{2});
   CHECK_FALSE(a.MayAct(At(13)));
-  a.Tick(At(13));  // tries to renew, finds out
+  a.Tick(At(13));  // the renewal is rejected
   CHECK(a.losses == 1);
   CHECK(Current(store).holder == NodeId{"b"});
 }
 
-TEST_CASE("never two at once, whichever of them sleeps and whichever answers are lost") {
-  // Random pauses and lost, late and refused commits on three candidates, for an hour.
+TEST_CASE("at most one holder at any time, under random pauses and lost store answers") {
+  // Three candidates with random pauses and lost, late and refused commits, for one hour.
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     CAPTURE(seed);
     Store store;
@@ -124,7 +123,7 @@
         store.next = static_cast<Fault>(random() % 5);
         store.down = random() % 40 == 0;
       }
-      if (random() % 5 == 0) store.Land();
+      if (random() % 5 == 0) store.DeliverLate();
       int acting = 0;
       for (std::size_t i = 0; i < 3; ++i) {
         if (now >= asleep_until[i]) all[i].Tick(now);
@@ -143,17 +142,17 @@
 }
 
 TEST_CASE("a renewal whose answer was lost counts from when it was sent") {
-  // Events: a renewal lands, its answer is lost, the row can be read later only.
+  // A renewal takes effect, its answer is lost, and the row is read back afterwards.
   Store store;
   Candidate a(store, "a", 10);
   a.Tick(At(0));
   store.next = Fault::kAnswerLost;
-  a.Tick(At(2));  // lands; read back at once
+  a.Tick(At(2));  // takes effect; read back immediately
   CHECK(a.MayAct(At(5.9)));
   CHECK_FALSE(a.MayAct(At(6.1)));
   CHECK(a.losses == 0);
 
-  // One that never lands doesn't count, however often the row is read.
+  // A renewal that never takes effect doesn't count, however often the row is read.
   store.next = Fault::kRequestLost;
   a.Tick(At(4));
   CHECK_FALSE(a.MayAct(At(6.1)));
@@ -161,7 +160,7 @@
   CHECK(a.MayAct(At(9.5)));
 }
 
-TEST_CASE("a lost answer to a take-over is settled by its token") {
+TEST_CASE("a takeover with a lost answer is recognized by its token") {
   Store store;
   Candidate a(store, "a", 10);
   store.next = Fault::kAnswerLost;
@@ -170,7 +169,7 @@
   CHECK(a.epochs == std::vector<Epoch>{1});
 }
 
-TEST_CASE("a released lease is taken at once, under a higher epoch") {
+TEST_CASE("a released lease is acquired immediately, with a higher epoch") {
   Store store;
   Candidate a(store, "a", 10);
   Candidate b(store, "b", 20);
@@ -183,8 +182,8 @@
   CHECK(b.epochs == std::vector<Epoch>{2});
 }
 
-TEST_CASE("a lease row that can't be read is left alone") {
-  // Taking it over would start the epoch anew, and old holders' writes would pass.
+TEST_CASE("a malformed lease row is not taken over") {
+  // Taking it over would restart the epoch, and fencing would accept writes of old holders.
   Store store;
   store.rows["lease/batch"] = Row{"lease/batch", "{\"holder\":", 7};
   Candidate a(store, "a", 10);
--- a/test/control-log-test.cc
+++ b/test/control-log-test.cc
@@ -12,7 +12,7 @@
 
 namespace {
 
-// A node's log machines on a store; calls are answered one at a time by Step.
+// The log state machines of one node on a store. Step carries out one queued request.
 struct Node {
   explicit Node(Store& its_store, std::uint64_t seed = 1)
       : store(its_store),
@@ -30,7 +30,7 @@
                               if (IsOk(e.outcome)) Do(compactor, compactor.Consider());
                             },
                             [&](auto& call) {
-                              calls.push_back([this, &machine, call] {
+                              requests.push_back([this, &machine, call] {
                                 Do(machine, machine.On(Answer(call)));
                               });
                             }},
@@ -53,15 +53,15 @@
   }
   LogEvent Answer(const FetchFold&) { return FoldFetched{ParseFold(ToJson(*peer->reader.fold()))}; }
 
-  // Carries out the oldest call; false if there is none.
+  // Carries out the oldest request; false if there is none.
   bool Step() {
-    if (calls.empty()) return false;
-    const auto call = std::move(calls.front());
-    calls.pop_front();
+    if (requests.empty()) return false;
+    const auto call = std::move(requests.front());
+    requests.pop_front();
     call();
     return true;
   }
-  void Settle() {
+  void RunAll() {
     while (Step()) {
     }
   }
@@ -74,12 +74,12 @@
   Result<Sequence> AppendNow(ControlEntry entry, std::string author = "ana",
                              std::optional<Sequence> if_version = {}) {
     const std::uint64_t id = Append(std::move(entry), std::move(author), if_version);
-    Settle();
+    RunAll();
     return answers.at(id);
   }
   void Poll() {
     Do(reader, reader.Poll());
-    Settle();
+    RunAll();
   }
 
   Store& store;
@@ -87,7 +87,7 @@
   LogReader reader;
   LogWriter writer;
   LogCompactor compactor;
-  std::deque<std::function<void()>> calls;
+  std::deque<std::function<void()>> requests;
   std::map<std::uint64_t, Result<Sequence>> answers;
   std::vector<Sequence> published;
   std::uint64_t last = 0;
@@ -107,7 +107,7 @@
 
 }  // namespace
 
-TEST_CASE("unknown fields are refused by name, and a bad configuration as a whole") {
+TEST_CASE("unknown fields are rejected by name, and an invalid configuration as a whole") {
   const auto detail = [](std::string_view json) {
     const Result<Config> config = ParseConfig(json);
     return IsOk(config) ? std::string() : ErrorOf(config).detail;
@@ -128,7 +128,7 @@
   CHECK(ErrorOf(order).detail.find("'now'") != std::string::npos);
 }
 
-TEST_CASE("every order survives its own JSON, and folds are equal byte for byte") {
+TEST_CASE("orders round-trip through JSON, and the resulting states are equal byte for byte") {
   Config config;
   config.services[{"s"}] = Service("s").service;
   config.services[{"s"}].routes = {{"/hazards", false}};
@@ -164,7 +164,7 @@
   CHECK(ValueOf(fold).placements.at({"n1"}).sequence == 10);
 }
 
-TEST_CASE("an applied file keeps drains, and cancellations don't grow for ever") {
+TEST_CASE("replacing the configuration keeps drains, and the list of cancellations is bounded") {
   Fold fold;
   const auto apply = [&](ControlEntry entry) {
     Apply(fold, LogRecord{fold.sequence + 1, {"t"}, "ana", std::move(entry)});
@@ -182,10 +182,10 @@
   CHECK(fold.cancelled_jobs.contains({"job-10"}));
 }
 
-TEST_CASE("an operator whose answer was lost still learns the truth") {
-  // Symptom: an operator is told "store unavailable, not run", yet the change is in force.
-  // Events: the commit takes effect, its answer is lost, the store stays down for a while.
-  // Cause: a lost answer taken for a failed write.
+TEST_CASE("an append whose commit answer was lost reports the actual outcome") {
+  // Guards against answering "store unavailable, not run" for a change that is in force: the commit
+  // takes effect, its answer is lost, and the store stays down for a while. This happens if a lost
+  // answer is treated as a failed write.
   Store store;
   Node node(store);
   for (const Fault fault : {Fault::kAnswerLost, Fault::kRequestLost, Fault::kRequestLate}) {
@@ -196,14 +196,14 @@
     store.next = fault;
     REQUIRE(node.Step());  // commits
     store.down = true;
-    node.Settle();
+    node.RunAll();
     node.Do(node.writer, node.writer.Tick());
-    node.Settle();
-    CHECK_FALSE(node.answers.contains(id));  // unknown, so nothing is said
+    node.RunAll();
+    CHECK_FALSE(node.answers.contains(id));  // outcome unknown: no answer yet
     store.down = false;
     node.Do(node.writer, node.writer.Tick());
-    node.Settle();
-    store.Land();
+    node.RunAll();
+    store.DeliverLate();
     REQUIRE(node.answers.contains(id));
     REQUIRE(IsOk(node.answers.at(id)));
     CHECK(ValueOf(node.answers.at(id)) == before + 1);
@@ -211,11 +211,10 @@
   }
 }
 
-TEST_CASE("a plain refusal of the second try says nothing about the first") {
-  // Symptom: an operator is told "not run", and a moment later the change is in force.
-  // Events: the first commit is delayed on its way; its row is read as absent; the second commit of
-  // the same record is refused; then the first arrives.
-  // Cause: a refusal speaks for its own try only.
+TEST_CASE("a refused second commit attempt doesn't decide the outcome of the first") {
+  // Guards against answering "not run" shortly before the change takes effect: the first commit is
+  // delayed in the network; its row is read as absent; the second commit of the same record is
+  // refused; then the first one arrives. A refusal only applies to its own attempt.
   Store store;
   Node node(store);
   const std::uint64_t id = node.Append(Service("s"));
@@ -225,20 +224,19 @@
   REQUIRE(node.Step());  // reads the row: absent
   store.next = Fault::kRefused;
   REQUIRE(node.Step());  // commits again
-  node.Settle();
+  node.RunAll();
   CHECK_FALSE(node.answers.contains(id));
-  store.Land();
+  store.DeliverLate();
   node.Do(node.writer, node.writer.Tick());
-  node.Settle();
+  node.RunAll();
   REQUIRE(node.answers.contains(id));
   REQUIRE(IsOk(node.answers.at(id)));
   CHECK(ValueOf(node.answers.at(id)) == 1);
 }
 
-TEST_CASE(
-    "a write that lands late, after another operator won its place, is not said to have won") {
-  // Events: Ana's commit is delayed on its way, Ben's takes the same sequence, then Ana's arrives.
-  // Cause: two commits for one row; only the row's token tells whose it is.
+TEST_CASE("a delayed commit whose sequence was taken by another operator is a conflict") {
+  // Ana's commit is delayed in the network, Ben's gets the same sequence, then Ana's arrives. Only
+  // the token of the row shows which of the two commits created it.
   Store store;
   Node ana(store, 1);
   Node ben(store, 2);
@@ -247,17 +245,17 @@
   store.next = Fault::kRequestLate;
   ana.Step();
   CHECK(IsOk(ben.AppendNow(Service("s", Duration(2'000'000)), "ben")));
-  store.Land();
-  ana.Settle();
+  store.DeliverLate();
+  ana.RunAll();
   REQUIRE(KindOf(ana.answers.at(id)) == ErrorKind::kConflict);
   CHECK(ErrorOf(ana.answers.at(id)).detail == "'put service s' by ben won at sequence 1");
   CHECK(store.rows.size() == 1);
 }
 
-TEST_CASE("an entry made from an older fold doesn't undo what was accepted since") {
-  // Symptom: Ben's change of a service is gone after Ana changed another of its settings.
-  // Events: Ben's change is accepted; Ana's node hasn't heard of it and makes the whole service
-  // out of the one it knows. Cause: the entry is appended after Ben's as if it followed from it.
+TEST_CASE("an entry built on an older state doesn't revert entries accepted since") {
+  // Guards against losing Ben's change of a service when Ana changes another setting of it: Ben's
+  // change is accepted, but Ana's node hasn't received it and builds its entry from the old
+  // service. This happens if that entry is appended after Ben's without a conflict check.
   Store store;
   Node ana(store, 1);
   Node ben(store, 2);
@@ -265,16 +263,16 @@
   CHECK(IsOk(ben.AppendNow(Service("s", Duration(2'000'000)), "ben")));
   CHECK(IsOk(ben.AppendNow(Service("other"), "ben")));
   const std::uint64_t stale = ana.Append(Service("s", Duration(1'000'000)), "ana", {}, 1);
-  ana.Settle();
+  ana.RunAll();
   REQUIRE(KindOf(ana.answers.at(stale)) == ErrorKind::kConflict);
   CHECK(ErrorOf(ana.answers.at(stale)).detail == "'put service s' by ben won at sequence 2");
   const std::uint64_t fresh = ana.Append(Service("s", Duration(3'000'000)), "ana", {}, 3);
-  ana.Settle();
+  ana.RunAll();
   CHECK(IsOk(ana.answers.at(fresh)));
 }
 
-TEST_CASE("racing operators: orders on one subject have one winner, others all pass") {
-  // Four operators on four nodes interleave their steps in a random but repeatable order.
+TEST_CASE("of concurrent orders on one subject exactly one is accepted; others all are") {
+  // Four operators on four nodes run their steps in a random order with a fixed seed.
   Store store;
   std::vector<std::unique_ptr<Node>> nodes;
   for (std::uint64_t i = 0; i < 4; ++i) nodes.push_back(std::make_unique<Node>(store, i + 1));
@@ -293,7 +291,7 @@
       for (std::size_t k = 0; k < 8; ++k) {
         busy = nodes[random() % nodes.size()]->Step() || busy;
       }
-      for (auto& node : nodes) busy = busy || !node->calls.empty();
+      for (auto& node : nodes) busy = busy || !node->requests.empty();
     }
     for (std::size_t i = 0; i < nodes.size(); ++i) {
       const Result<Sequence>& answer = nodes[i]->answers.at(ids[i]);
@@ -319,7 +317,7 @@
   }
 }
 
-TEST_CASE("`if version` refuses when the log has moved, and says by whom") {
+TEST_CASE("`if version` rejects an outdated version and names the author of the last change") {
   Store store;
   Node ana(store, 1);
   Node ben(store, 2);
@@ -330,8 +328,8 @@
   CHECK(IsOk(ben.AppendNow(Service("b"), "ben", 1)));
 }
 
-TEST_CASE("an order that another's entry made invalid is refused with the winner's name") {
-  // Events: Ben removes the service while Ana's backend server for it is on its way.
+TEST_CASE("an order that a concurrent entry made invalid is a conflict that names its author") {
+  // Ben removes a service while Ana's order for a backend server that serves it is in flight.
   Store store;
   Node ana(store, 1);
   Node ben(store, 2);
@@ -339,13 +337,13 @@
   const std::uint64_t id = ana.Append(PutBackend{{{"n1"}, {{"s"}}}});
   ana.Step();
   REQUIRE(IsOk(ben.AppendNow(RemoveService{{"s"}}, "ben")));
-  ana.Settle();
+  ana.RunAll();
   CHECK(KindOf(ana.answers.at(id)) == ErrorKind::kConflict);
   CHECK(ErrorOf(ana.answers.at(id)).detail.find("by ben won at sequence 2; now") !=
         std::string::npos);
 }
 
-TEST_CASE("the store being down refuses an order as not run, and nothing changes") {
+TEST_CASE("an order is rejected as not run while the store is down, and nothing changes") {
   Store store;
   Node node(store);
   store.down = true;
@@ -357,17 +355,16 @@
   CHECK(IsOk(node.AppendNow(Service("s"))));
 }
 
-TEST_CASE("compaction loses nobody, and a writer that slept through it can't write into the past") {
-  // Symptom: an operator is told "accepted at 3", and the change is nowhere.
-  // Events: a node sleeps at 2; others append and compact far beyond; it wakes and appends at 3,
-  // whose row is absent again.
-  // Cause: an absent row alone doesn't prove that the place in the log is free.
+TEST_CASE("no entry is lost by compaction, and a writer paused during it can't append below it") {
+  // Guards against answering "accepted at 3" for a change that never takes effect: a node is paused
+  // at sequence 2; others append and compact far beyond it; the node resumes and appends at 3,
+  // whose row is absent again. An absent row alone doesn't prove that the sequence is free.
   Store store;
-  Node sleeper(store, 1);
-  REQUIRE(IsOk(sleeper.AppendNow(Service("a"))));
-  REQUIRE(IsOk(sleeper.AppendNow(Service("b"))));
-  const std::uint64_t id = sleeper.Append(Service("c"));
-  sleeper.Step();  // has read the head, about to commit at 3
+  Node paused(store, 1);
+  REQUIRE(IsOk(paused.AppendNow(Service("a"))));
+  REQUIRE(IsOk(paused.AppendNow(Service("b"))));
+  const std::uint64_t id = paused.Append(Service("c"));
+  paused.Step();  // has read the head, about to commit at 3
 
   Node busy(store, 2);
   const Sequence many = kEntriesPerSnapshot + kEntriesKept + 300;
@@ -379,23 +376,23 @@
   CHECK(store.rows.size() <= kEntriesPerSnapshot + kEntriesKept + 1);
   CHECK(store.objects.size() <= 2);
 
-  sleeper.Settle();
-  REQUIRE(KindOf(sleeper.answers.at(id)) == ErrorKind::kStaleOrders);
+  paused.RunAll();
+  REQUIRE(KindOf(paused.answers.at(id)) == ErrorKind::kStaleOrders);
   CHECK_FALSE(store.rows.contains(LogKey(3)));
-  sleeper.Poll();
-  CHECK(IsOk(sleeper.AppendNow(Service("c"))));
+  paused.Poll();
+  CHECK(IsOk(paused.AppendNow(Service("c"))));
 
-  // A fresh node has learned nothing until it holds the whole log.
+  // A new node is not caught up until it has read the whole log.
   Node fresh(store, 3);
   fresh.Do(fresh.reader, fresh.reader.Poll());
   while (!fresh.reader.learned()) REQUIRE(fresh.Step());
   CHECK(fresh.reader.head() == many + 1);
   busy.Poll();
   CHECK(ToJson(*fresh.reader.fold()) == ToJson(*busy.reader.fold()));
-  CHECK(ToJson(*sleeper.reader.fold()) == ToJson(*busy.reader.fold()));
+  CHECK(ToJson(*paused.reader.fold()) == ToJson(*busy.reader.fold()));
 }
 
-TEST_CASE("a node that starts while the store is down takes the fold from a peer") {
+TEST_CASE("a node that starts while the store is down gets the state from a peer") {
   Store store;
   Node old(store, 1);
   for (int i = 0; i < 700; ++i) {
@@ -408,15 +405,15 @@
   CHECK(fresh.reader.head() == 0);
   CHECK_FALSE(fresh.reader.learned());
   fresh.Do(fresh.reader, fresh.reader.Hint({"old"}, old.reader.head()));
-  fresh.Settle();
+  fresh.RunAll();
   CHECK(fresh.reader.learned());
   CHECK(ToJson(*fresh.reader.fold()) == ToJson(*old.reader.fold()));
 
-  // A peer that lags, or an older fold, takes nothing back.
+  // A lagging peer or an older state never moves the head back.
   Node lagging(store, 3);
   fresh.peer = &lagging;
   fresh.Do(fresh.reader, fresh.reader.Hint({"lagging"}, old.reader.head() + 5));
-  fresh.Settle();
-  CHECK_FALSE(fresh.reader.Offer(*lagging.reader.fold()));
+  fresh.RunAll();
+  CHECK_FALSE(fresh.reader.Advance(*lagging.reader.fold()));
   CHECK(fresh.reader.head() == old.reader.head());
 }
--- a/test/control-membership-test.cc
+++ b/test/control-membership-test.cc
@@ -10,11 +10,11 @@
 using fake::NameOf;
 using fake::Net;
 
-TEST_CASE("a sleeper that was replaced in its slot doesn't win when it wakes") {
-  // Symptom: requests go to a process that is gone, and the running one is held for dead.
-  // Events: a process is paused; its slot gets a new one; the old one wakes with a lower
-  // incarnation and gossips; it hears of the newer one.
-  // Cause: raising one's own incarnation above whatever is heard.
+TEST_CASE("a paused process that was replaced doesn't displace its replacement when it resumes") {
+  // Guards against routing to a stopped process while its running replacement is considered dead: a
+  // process is paused; another one starts under its node id; the old one resumes with a lower
+  // incarnation and receives gossip about the newer one. This happens if a process raises its own
+  // incarnation above any that it receives.
   Net net(3, 0.0);
   Assemble(net, 20);
   auto old = std::move(net.slots().at("agent-1"));
@@ -22,7 +22,7 @@
   net.Start("agent-1", 2);
   REQUIRE(net.TimeUntil(Duration(30'000'000), [&] { return net.Agreed(); }));
 
-  // The old one probes everyone; each answers for the newer one.
+  // The old process probes all members; each reports the newer incarnation to it.
   bool superseded = false;
   for (int i = 0; i < 50 && !superseded; ++i) {
     net.Run(kTick);
@@ -40,12 +40,12 @@
     }
   }
   CHECK(superseded);
-  CHECK(old.membership->Tick(net.now + Duration(5'000'000)).empty());  // says no more
+  CHECK(old.membership->Tick(net.now + Duration(5'000'000)).empty());  // stays silent
   CHECK(net["entry-0"].Find({"agent-1"})->incarnation == 2);
   CHECK(net.Agreed());
 }
 
-TEST_CASE("a dead member is noticed, a paused one refutes when it wakes") {
+TEST_CASE("a dead member is detected, and a paused one refutes its death when it resumes") {
   Net net(4, 0.2);
   Assemble(net, 60);
   net.Stop("agent-7");
@@ -60,7 +60,7 @@
   CHECK(net.TimeUntil(Duration(30'000'000), [&] { return net.Agreed(); }).has_value());
 }
 
-TEST_CASE("a leaving member is known for leaving within 3 s everywhere") {
+TEST_CASE("all members know within 3 s that a member is leaving") {
   Net net(5, 0.2);
   Assemble(net, 200);
   net.Run(Duration(10'000'000));
@@ -74,11 +74,11 @@
   if (known) MESSAGE("leaving known to all 200 after " << *known << " s");
 }
 
-TEST_CASE("half of the hosts are replaced within a minute") {
-  // Symptom: entries go on sending to hosts that are gone, or never learn of new ones.
+TEST_CASE("membership converges after half of the hosts are replaced within a minute") {
+  // Guards against entries that keep sending to removed hosts, or never discover new ones.
   Net net(6, 0.2);
   Assemble(net, 200);
-  // The list lags: half of the hosts on it are gone by the end.
+  // The list is outdated: half of the hosts on it are removed by the end.
   for (std::size_t i = 150; i < 155; ++i) net.List(NameOf(i));
   (void)net.BytesPerNode();
   for (std::size_t i = 0; i < 100; ++i) {
@@ -94,26 +94,27 @@
   if (agreed) MESSAGE("all agree " << *agreed << " s later, " << during << " B/s meanwhile");
 }
 
-TEST_CASE("regions that lose each other go on, and find together again without reverting") {
-  // Events: two regions are split for three minutes; a change is made on one side; the split ends.
+TEST_CASE("partitioned regions keep working, and converge to the newer state after the partition") {
+  // Two regions are partitioned for three minutes; a change is made on one side; then they
+  // reconnect.
   Net net(7, 0.1);
   Assemble(net, 200, 2);
   net.Order(NameOf(0), 5);
   REQUIRE(net.TimeUntil(Duration(6'000'000), [&] { return net.InForce(5); }));
-  net.split = true;
+  net.partitioned = true;
   net.Run(Duration(60'000'000));
   for (auto& [name, slot] : net.slots()) {
     std::size_t alive = 0;
     for (const Member& member : slot.membership->Members()) {
       if (member.liveness == Liveness::kAlive) ++alive;
     }
-    CHECK(alive == 100);  // its own region, whole
+    CHECK(alive == 100);  // all members of its own region
   }
   net.Order(NameOf(0), 6);
   net.Run(Duration(120'000'000));
   const InForceReport report = net[NameOf(0)].InForce(6);
-  CHECK(report.unreachable.size() == 100);  // not claimed to be in force there
-  net.split = false;
+  CHECK(report.unreachable.size() == 100);  // not reported as in force there
+  net.partitioned = false;
   const auto spread = net.TimeUntil(Duration(6'000'000), [&] { return net.InForce(6); });
   CHECK(spread.has_value());
   const auto healed = net.TimeUntil(Duration(120'000'000), [&] { return net.Agreed(); });
@@ -122,7 +123,7 @@
                                                     << *healed << " s after that");
 }
 
-TEST_CASE("asking tells who runs on older orders") {
+TEST_CASE("queries show which members have applied only older orders") {
   Net net(8, 0.2);
   Assemble(net, 100);
   net.Order("entry-0", 3);
@@ -135,7 +136,7 @@
   CHECK(net["entry-0"].InForce(4).lagging.size() == 100);
 }
 
-TEST_CASE("what isn't a message is counted and changes nothing") {
+TEST_CASE("malformed datagrams are counted and change nothing") {
   Net net(9, 0.0);
   Assemble(net, 2);
   RandomBits random = fake::Random(1);
@@ -150,7 +151,7 @@
   CHECK(net["entry-0"].Members().size() == before.size());
 }
 
-TEST_CASE("two members of a data centre read the store, and others take over when they go") {
+TEST_CASE("two members of a data centre read the store, and others replace them when they leave") {
   std::vector<Member> members;
   for (std::size_t i = 0; i < 40; ++i) {
     Member member;
--- a/test/control-net.h
+++ b/test/control-net.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// A network of members in virtual time, for the tests of membership.
+// A simulated network of members in virtual time, for membership tests.
 
 #include <doctest/doctest.h>
 
@@ -21,8 +21,8 @@
 inline constexpr Duration kTick{100'000};
 inline constexpr std::uint64_t kHttpBytes = 600;  // headers of one exchange, and a small body
 
-// Many members on a network in virtual time: datagrams take 1 to 3 ms and are
-// lost at a given rate; a table or log entry from a peer takes 5 ms.
+// Simulates many members: datagrams take 1 to 3 ms and are lost at a given rate;
+// fetching a member table or a log entry from a peer takes 5 ms.
 class Net {
  public:
   Net(std::uint64_t seed, double loss) : loss_(loss), random_(Random(seed)) {}
@@ -55,7 +55,7 @@
   }
   void Stop(const std::string& name) { slots_.erase(name); }
 
-  // The platform's list, here of hosts that were there at the start.
+  // Adds a host to the platform's list, which members get when they start.
   void List(const std::string& name) {
     listed.push_back(ListedHost{{name}, {"10.0.0.1", 8080}, AddressOf(name), "entry", {"x"}});
   }
@@ -71,7 +71,7 @@
       }
     }
   }
-  // Time until `done`, or nothing within `limit`.
+  // Seconds until `done` returns true, or nullopt if not within `limit`.
   std::optional<double> TimeUntil(Duration limit, const std::function<bool()>& done) {
     const Time start = now;
     Run(limit, done);
@@ -98,7 +98,7 @@
   Membership& operator[](const std::string& name) { return *slots_.at(name).membership; }
   std::map<std::string, Slot>& slots() { return slots_; }
 
-  // Every running member holds exactly the running ones for alive or suspect.
+  // Whether every running member considers exactly the running ones alive or suspect.
   bool Agreed() {
     for (auto& [name, slot] : slots_) {
       std::size_t alive = 0;
@@ -118,7 +118,7 @@
     }
     return true;
   }
-  // Bytes sent and received by gossip and tables, a second and node, since the last call.
+  // Bytes per second and node of gossip and table fetches since the last call.
   double BytesPerNode() {
     std::uint64_t bytes = 0;
     for (auto& [name, slot] : slots_) {
@@ -133,8 +133,8 @@
   }
 
   Time now{};
-  bool split = false;
-  int check_every = 1;  // ticks between looks at what a run waits for
+  bool partitioned = false;
+  int check_every = 1;  // ticks between evaluations of the condition that Run waits for
   std::vector<ListedHost> listed;
 
  private:
@@ -156,7 +156,7 @@
     const auto from = slots_.find(a);
     const auto to = slots_.find(b);
     if (from == slots_.end() || to == slots_.end() || to->second.paused) return false;
-    return !split || from->second.region == to->second.region;
+    return !partitioned || from->second.region == to->second.region;
   }
   void After(Duration delay, std::function<void()> run) {
     events_.push(Event{now + delay, ++order_, std::move(run)});
@@ -221,7 +221,7 @@
 
 inline constexpr std::size_t kStartedAtOnce = 50;
 
-// `count` members that have found each other; a third of them entries.
+// Starts `count` members, a third of them entries, and waits until all know each other.
 inline void Assemble(Net& net, std::size_t count, int regions = 1) {
   for (std::size_t i = 0; i < 5; ++i) net.List(NameOf(i));
   for (std::size_t i = 0; i < count; ++i) {
@@ -235,9 +235,9 @@
   MESSAGE(count << " members found each other in " << *joined << " s");
 }
 
-// The same by way of one listed host, which all ask when they start and once more:
-// then they know each other much sooner.
-inline void Acquaint(Net& net, std::size_t count) {
+// The same with a single listed host, from which all members fetch the table when they
+// start and once more later; they know each other much sooner.
+inline void AssembleFromOneSeed(Net& net, std::size_t count) {
   net.List(NameOf(0));
   for (std::size_t i = 0; i < count; ++i) net.Start(NameOf(i), 1);
   net.check_every = 10;
--- a/test/control-scale-test.cc
+++ b/test/control-scale-test.cc
@@ -3,16 +3,16 @@
 #include "test/control-net.h"
 
 using namespace figmill;  // NOLINT(google-build-using-namespace): tests read better
-using fake::Acquaint;
+using fake::AssembleFromOneSeed;
 using fake::NameOf;
 using fake::Net;
 
-TEST_CASE("a change is in force on all 960 within 6 s, and an idle member spends under 4 KB/s") {
-  // With a fifth of all datagrams lost. Prints what docs/design/control.md gives.
+TEST_CASE("a change is in force on 960 members within 6 s, and an idle member uses under 4 KB/s") {
+  // With a fifth of all datagrams lost. Prints the figures quoted in docs/design/control.md.
   for (const std::size_t count : {100, 300, 960}) {
     CAPTURE(count);
     Net net(count, 0.2);
-    Acquaint(net, count);
+    AssembleFromOneSeed(net, count);
     net.Run(Duration(10'000'000));
     (void)net.BytesPerNode();
     net.Run(Duration(20'000'000));
