--- a/include/figmill/control.h
+++ b/include/figmill/control.h
@@ -138,7 +138,7 @@
 [[nodiscard]] std::string Describe(const ControlEntry& entry);
 // Whether the two entries change the same subject, so that their order matters and
 // one of two concurrent appends must be rejected.
-[[nodiscard]] bool Clash(const ControlEntry& one, const ControlEntry& other);
+[[nodiscard]] bool Conflicts(const ControlEntry& one, const ControlEntry& other);
 
 // One row of the log.
 struct LogRecord {
@@ -333,7 +333,7 @@
     kCatchingUp,
     kCommitting,
     kReadingBack,
-    kOutcomeUnknown
+    kReadBackPending
   };
   struct Pending {
     std::uint64_t append = 0;
@@ -491,7 +491,7 @@
   std::vector<LeaseAction> Write(Time now, bool release);
   std::vector<LeaseAction> ReadBack();
   std::vector<LeaseAction> OnOutcome(const TransactionOutcome& outcome);
-  std::vector<LeaseAction> OnRow(const std::optional<Row>& row);
+  std::vector<LeaseAction> OnLeaseRow(const std::optional<Row>& row);
   std::vector<LeaseAction> OnLost(std::optional<LeaseRow> row);
 
   LeaseSettings settings_;
@@ -541,8 +541,8 @@
 struct MembershipSettings {
   Duration probe_period{1'000'000};       // one member is probed per period
   Duration ack_timeout{300'000};          // then other members probe it indirectly
-  Duration suspicion{5'000'000};          // a suspect is declared dead after this time
-  Duration dead_kept{900'000'000};        // longer than older alive updates circulate
+  Duration suspicion_timeout{5'000'000};  // a suspect is declared dead after this time
+  Duration dead_retention{900'000'000};   // longer than older alive updates circulate
   std::uint32_t bytes_per_second = 1800;  // sent, with headers; 3.6 KB/s in both directions
 };
 
--- a/src/control/entry_json.cc
+++ b/src/control/entry_json.cc
@@ -64,9 +64,9 @@
     EntryFormat{"replace-config", "config", ReadAs<ReplaceConfig, ReadConfig>},
 };
 // Not in the table above, as it has two fields.
-constexpr std::string_view kPlace = "place";
+constexpr std::string_view kSetPlacement = "place";
 
-ControlEntry ReadPlace(ObjectReader& object) {
+ControlEntry ReadSetPlacement(ObjectReader& object) {
   Place place;
   object.Allow({"order", "agent", "placement"});
   object.NeedId("agent", place.agent);
@@ -102,7 +102,7 @@
   ObjectReader object(json, where, status);
   std::string order;
   object.NeedText("order", order);
-  if (order == kPlace) return ReadPlace(object);
+  if (order == kSetPlacement) return ReadSetPlacement(object);
   for (const EntryFormat& format : kEntryFormats) {
     if (format.order != order) continue;
     object.Allow({"order", format.field});
@@ -209,7 +209,15 @@
 
 namespace {
 
-enum class SubjectKind : std::uint8_t { kService, kLimit, kBackend, kDrain, kJob, kPlace, kConfig };
+enum class SubjectKind : std::uint8_t {
+  kService,
+  kLimit,
+  kBackend,
+  kDrain,
+  kJob,
+  kPlacement,
+  kConfig
+};
 struct Subject {
   SubjectKind kind;
   std::string_view id;
@@ -242,7 +250,7 @@
                                  return Subject{kJob, e.job.value};
                                },
                                [](const Place& e) {
-                                 return Subject{kPlace, e.agent.value};
+                                 return Subject{kPlacement, e.agent.value};
                                },
                                [](const ReplaceConfig&) {
                                  return Subject{kConfig, {}};
@@ -257,7 +265,7 @@
 
 }  // namespace
 
-bool Clash(const ControlEntry& one, const ControlEntry& other) {
+bool Conflicts(const ControlEntry& one, const ControlEntry& other) {
   const Subject a = SubjectOf(one);
   const Subject b = SubjectOf(other);
   if (a.kind == SubjectKind::kConfig || b.kind == SubjectKind::kConfig) {
--- a/src/control/fold.cc
+++ b/src/control/fold.cc
@@ -60,7 +60,7 @@
   return Ok{};
 }
 
-Result<Ok> CheckPlace(const Fold& fold, const Place& place) {
+Result<Ok> CheckSetPlacement(const Fold& fold, const Place& place) {
   if (!fold.config.backends.contains(place.agent)) {
     return Missing("no backend server is configured for agent " + place.agent.value);
   }
@@ -111,7 +111,7 @@
                    if (!IsOk(id)) return ErrorOf(id);
                    return Ok{};
                  },
-                 [&](const Place& e) { return CheckPlace(fold, e); },
+                 [&](const Place& e) { return CheckSetPlacement(fold, e); },
                  [](const auto&) -> Result<Ok> { return Ok{}; }},
       entry);
 }
--- a/src/control/lease_holder.cc
+++ b/src/control/lease_holder.cc
@@ -61,7 +61,7 @@
   if (lost_ || release_sent_) return {};
   std::vector<LeaseAction> actions = std::visit(
       Overloaded{[&](const RowWasRead& e) {
-                   return IsOk(e.row) ? OnRow(ValueOf(e.row)) : std::vector<LeaseAction>{};
+                   return IsOk(e.row) ? OnLeaseRow(ValueOf(e.row)) : std::vector<LeaseAction>{};
                  },
                  [&](const CommitEnded& e) { return OnOutcome(e.outcome); }},
       event);
@@ -93,7 +93,7 @@
                     outcome);
 }
 
-std::vector<LeaseAction> LeaseHolder::OnRow(const std::optional<Row>& row) {
+std::vector<LeaseAction> LeaseHolder::OnLeaseRow(const std::optional<Row>& row) {
   const std::optional<LeaseRow> lease = detail::LeaseFromRow(row);
   const bool ours = lease && lease->holder == settings_.holder &&
                     lease->incarnation == settings_.incarnation && lease->epoch == epoch_;
--- a/src/control/log_compactor.cc
+++ b/src/control/log_compactor.cc
@@ -45,7 +45,8 @@
   stale_snapshot_ = old.previous;
   next_delete_ = old.deleted + 1;
   state_ = State::kWritingObject;
-  return {PutObject{detail::FoldKey(compacted_state_->sequence), ToJson(*compacted_state_)}};
+  return {
+      PutObject{detail::SnapshotObjectKey(compacted_state_->sequence), ToJson(*compacted_state_)}};
 }
 
 std::vector<LogAction> LogCompactor::OnStatePut(const Result<Ok>& outcome) {
@@ -73,7 +74,8 @@
   row_version_ = committed->rows.front().version;
   known_snapshot_ = compacted_state_->sequence;
   std::vector<LogAction> actions = DeleteBatch();
-  if (stale_snapshot_ != 0) actions.emplace_back(DeleteObject{detail::FoldKey(stale_snapshot_)});
+  if (stale_snapshot_ != 0)
+    actions.emplace_back(DeleteObject{detail::SnapshotObjectKey(stale_snapshot_)});
   return actions;
 }
 
--- a/src/control/log_reader.cc
+++ b/src/control/log_reader.cc
@@ -92,7 +92,7 @@
   if (!IsOk(snapshot)) return {LogStuck{head() + 1, ErrorOf(snapshot).detail}};
   if (ValueOf(snapshot).sequence <= head()) return {};
   reading_store_ = true;
-  return {GetObject{detail::FoldKey(ValueOf(snapshot).sequence)}};
+  return {GetObject{detail::SnapshotObjectKey(ValueOf(snapshot).sequence)}};
 }
 
 std::vector<LogAction> LogReader::OnSnapshotObject(Result<std::string> bytes) {
--- a/src/control/log_rows.cc
+++ b/src/control/log_rows.cc
@@ -26,7 +26,7 @@
       .dump();
 }
 
-std::string FoldKey(Sequence sequence) {
+std::string SnapshotObjectKey(Sequence sequence) {
   return "fold/" + std::to_string(sequence);
 }
 
--- a/src/control/log_rows.h
+++ b/src/control/log_rows.h
@@ -21,6 +21,6 @@
 };
 [[nodiscard]] Result<SnapshotRow> ParseSnapshotRow(std::string_view json);
 [[nodiscard]] std::string ToJson(const SnapshotRow& row);
-[[nodiscard]] std::string FoldKey(Sequence sequence);
+[[nodiscard]] std::string SnapshotObjectKey(Sequence sequence);
 
 }  // namespace figmill::detail
--- a/src/control/log_writer.cc
+++ b/src/control/log_writer.cc
@@ -77,7 +77,7 @@
 }
 
 std::vector<LogAction> LogWriter::Tick() {
-  if (state_ != State::kOutcomeUnknown) return {};
+  if (state_ != State::kReadBackPending) return {};
   state_ = State::kReadingBack;
   return {ReadRow{LogKey(record_.sequence)}};
 }
@@ -125,7 +125,7 @@
         Error{ErrorKind::kConflict, "too many other orders were committed meanwhile", Ran::kNo});
   }
   for (const LogRecord& record : *concurrent) {
-    if (Clash(record.entry, pending.entry)) {
+    if (Conflicts(record.entry, pending.entry)) {
       return Finish(Error{ErrorKind::kConflict, DescribeWinner(record), Ran::kNo});
     }
   }
@@ -156,7 +156,7 @@
                                [&](const NotWritten& refused) {
                                  // This attempt wrote nothing, but an earlier one may have.
                                  if (!may_be_committed_) return Finish(StoreError(refused.why));
-                                 state_ = State::kOutcomeUnknown;
+                                 state_ = State::kReadBackPending;
                                  return std::vector<LogAction>{};
                                },
                                [&](const FateUnknown&) {
@@ -188,7 +188,7 @@
 // whichever attempt arrives first.
 std::vector<LogAction> LogWriter::OnReadBack(Result<std::optional<Row>> row) {
   if (!IsOk(row)) {
-    state_ = State::kOutcomeUnknown;
+    state_ = State::kReadBackPending;
     return {};
   }
   if (!ValueOf(row)) return Commit();
--- a/src/control/membership.cc
+++ b/src/control/membership.cc
@@ -166,8 +166,8 @@
   for (const auto& [node, entry] : table_.entries()) {
     const Liveness liveness = entry.record.member.liveness;
     const Duration age = now - entry.since;
-    if (liveness == Liveness::kSuspect && age >= settings_.suspicion) dead.push_back(node);
-    if (liveness == Liveness::kDead && age >= settings_.dead_kept) forgotten.push_back(node);
+    if (liveness == Liveness::kSuspect && age >= settings_.suspicion_timeout) dead.push_back(node);
+    if (liveness == Liveness::kDead && age >= settings_.dead_retention) forgotten.push_back(node);
   }
   for (const NodeId& node : dead) {
     table_.SetLiveness(now, node, Liveness::kDead);
