--- a/bench/routing_bench.cc
+++ b/bench/routing_bench.cc
@@ -79,8 +79,8 @@
   return prompt;
 }
 
-Snapshot Fleet() {
-  Snapshot snapshot;
+RoutingSnapshot Fleet() {
+  RoutingSnapshot snapshot;
   for (int i = 0; i < kEngines; ++i) {
     Member member;
     member.node = {std::to_string(i)};
@@ -102,7 +102,7 @@
  public:
   Simulation(Way way, int entries)
       : way_(way), random_(3), next_(static_cast<std::size_t>(entries)) {
-    const Snapshot fleet = Fleet();
+    const RoutingSnapshot fleet = Fleet();
     for (int i = 0; i < entries; ++i) {
       routers_.push_back(std::make_unique<Router>(NodeId{"e" + std::to_string(i)}, DataCentre{},
                                                   [this] { return random_(); }));
@@ -236,7 +236,7 @@
 
 // Processor time of a refusal by a team's limit.
 void PrintRefusals() {
-  Snapshot snapshot;
+  RoutingSnapshot snapshot;
   auto config = std::make_shared<Config>();
   for (int i = 0; i < 2700; ++i) {
     const TeamId team{"team-" + std::to_string(i)};
--- a/include/figmill/control.h
+++ b/include/figmill/control.h
@@ -119,7 +119,7 @@
 struct CancelJob {
   JobId job;
 };
-struct Place {
+struct SetPlacement {
   NodeId agent;
   Placement placement;
 };
@@ -129,7 +129,7 @@
 };
 // The orders that operators can append to the control log.
 using ControlEntry = std::variant<PutService, RemoveService, PutLimit, PutBackend, RemoveBackend,
-                                  Drain, Undrain, CancelJob, Place, ReplaceConfig>;
+                                  Drain, Undrain, CancelJob, SetPlacement, ReplaceConfig>;
 
 // Errors of the parsers: kBadRequest, naming the field.
 [[nodiscard]] Result<ControlEntry> ParseControlEntry(std::string_view json);
@@ -155,7 +155,7 @@
 // The state that results from applying all log entries up to `sequence`. Applying is
 // deterministic: nodes at the same sequence have the same state, whether they read
 // it from the store, from a snapshot or from a peer.
-struct Fold {
+struct ControlState {
   struct PlacementOrder {
     Placement placement;
     Sequence sequence = 0;
@@ -177,11 +177,11 @@
 
 // Whether the entry may be applied to this state; the resulting configuration is
 // validated as a whole. Errors: kBadRequest, kNotFound, kTooLarge.
-[[nodiscard]] Result<Ok> Check(const Fold& fold, const ControlEntry& entry);
-// Requires record.sequence == fold.sequence + 1.
-void Apply(Fold& fold, const LogRecord& record);
-[[nodiscard]] Result<Fold> ParseFold(std::string_view json);
-[[nodiscard]] std::string ToJson(const Fold& fold);
+[[nodiscard]] Result<Ok> CheckEntry(const ControlState& state, const ControlEntry& entry);
+// Requires record.sequence == state.sequence + 1.
+void Apply(ControlState& state, const LogRecord& record);
+[[nodiscard]] Result<ControlState> ParseControlState(std::string_view json);
+[[nodiscard]] std::string ToJson(const ControlState& state);
 
 // Actions of the log's state machines. The I/O layer answers each request exactly
 // once with the matching event (ScanRows with RowsScanned, ReadRow with RowWasRead,
@@ -209,23 +209,23 @@
   NodeId peer;
   Sequence after = 0;
 };
-struct FetchFold {
+struct FetchState {
   NodeId peer;
 };
 // The state has changed: publish it to the traffic threads and to gossip.
-struct PublishFold {};
+struct PublishState {};
 struct AnswerAppend {
   std::uint64_t append = 0;
   Result<Sequence> outcome;
 };
 // A row can't be parsed. This node stops applying the log, as skipping the row would
 // make its state differ from that of other nodes.
-struct LogStuck {
+struct LogUnreadable {
   Sequence sequence = 0;
   std::string why;
 };
 using LogAction = std::variant<ScanRows, ReadRow, CommitRows, PutObject, GetObject, DeleteObject,
-                               FetchEntries, FetchFold, PublishFold, AnswerAppend, LogStuck>;
+                               FetchEntries, FetchState, PublishState, AnswerAppend, LogUnreadable>;
 
 struct RowsScanned {
   Result<std::vector<Row>> rows;
@@ -246,11 +246,11 @@
 struct EntriesFetched {
   Result<std::vector<LogRecord>> records;
 };
-struct FoldFetched {
-  Result<Fold> fold;
+struct StateFetched {
+  Result<ControlState> state;
 };
 using LogEvent = std::variant<RowsScanned, RowWasRead, CommitEnded, ObjectWasPut, ObjectWasRead,
-                              EntriesFetched, FoldFetched>;
+                              EntriesFetched, StateFetched>;
 
 // Follows the log, from the store or from peers. The head sequence never decreases.
 class LogReader {
@@ -259,20 +259,20 @@
   // Starts reading the store from the head on, unless a read is in progress.
   [[nodiscard]] std::vector<LogAction> Poll();
   // `peer` has reported that it is at `sequence`; fetches from it if that is ahead.
-  [[nodiscard]] std::vector<LogAction> Hint(const NodeId& peer, Sequence sequence);
+  [[nodiscard]] std::vector<LogAction> OnPeerAhead(const NodeId& peer, Sequence sequence);
   [[nodiscard]] std::vector<LogAction> On(LogEvent event);
 
   // Applies the records that continue the log without a gap; true if the head moved.
   bool Advance(std::span<const LogRecord> records);
   // Replaces the state; one at or below the head is ignored. True if the head moved.
-  bool Advance(Fold fold);
+  bool Advance(ControlState state);
 
-  [[nodiscard]] const std::shared_ptr<const Fold>& fold() const { return fold_; }
-  [[nodiscard]] Sequence head() const { return fold_->sequence; }
+  [[nodiscard]] const std::shared_ptr<const ControlState>& state() const { return state_; }
+  [[nodiscard]] Sequence head() const { return state_->sequence; }
   // Whether the end of the log was reached at least once, from the store or from a
   // peer that is ahead. Before that the state may lack most orders, and a process that
   // routes by it would use a configuration that was never in force.
-  [[nodiscard]] bool learned() const { return learned_; }
+  [[nodiscard]] bool caught_up() const { return caught_up_; }
   // The entries after `after`, oldest first, at most `max_bytes` but at least one;
   // nullopt if the window doesn't reach back that far.
   [[nodiscard]] std::optional<std::vector<LogRecord>> EntriesAfter(Sequence after,
@@ -287,15 +287,15 @@
   std::vector<LogAction> OnSnapshotRow(Result<std::optional<Row>> row);
   std::vector<LogAction> OnSnapshotObject(Result<std::string> bytes);
   std::vector<LogAction> OnEntries(Result<std::vector<LogRecord>> records);
-  std::vector<LogAction> OnPeerState(Result<Fold> fold);
+  std::vector<LogAction> OnPeerState(Result<ControlState> state);
   std::vector<LogAction> Scan();
   std::vector<LogAction> ContinueFetch();
   void AddToWindow(const LogRecord& record);
 
-  std::shared_ptr<const Fold> fold_;
+  std::shared_ptr<const ControlState> state_;
   std::deque<WindowEntry> window_;  // the newest records up to the head, served to peers
   std::size_t window_bytes_ = 0;
-  bool learned_ = false;
+  bool caught_up_ = false;
   bool reading_store_ = false;
   std::optional<NodeId> fetching_from_;
   Sequence peer_head_ = 0;  // the highest sequence reported by a peer
@@ -310,7 +310,7 @@
 class LogWriter {
  public:
   LogWriter(LogReader& reader, RandomBits random);
-  // `append` identifies the AnswerAppend action. Errors in its outcome: those of Check;
+  // `append` identifies the AnswerAppend action. Errors in its outcome: those of CheckEntry;
   // kStaleVersion if `if_version` isn't the head; kConflict if a concurrent entry on the
   // same subject was committed first, naming its author and sequence;
   // kStoreUnavailable (nothing written); kOverloaded (queue full).
@@ -379,7 +379,7 @@
   // Call after an append by this node; starts a compaction if one is due. Only nodes
   // that append compact, so that few nodes compete for it; an interrupted compaction is
   // resumed after a later append.
-  [[nodiscard]] std::vector<LogAction> Consider();
+  [[nodiscard]] std::vector<LogAction> CompactIfDue();
   [[nodiscard]] std::vector<LogAction> On(LogEvent event);
 
  private:
@@ -392,7 +392,7 @@
   const LogReader& reader_;
   RandomBits random_;
   State state_ = State::kIdle;
-  std::shared_ptr<const Fold> compacted_state_;
+  std::shared_ptr<const ControlState> compacted_state_;
   Sequence known_snapshot_ = 0;  // the newest committed snapshot known here
   Sequence stale_snapshot_ = 0;  // sequence of the snapshot two before the one being written
   Sequence next_delete_ = 1;
@@ -427,14 +427,14 @@
   std::uint64_t renewals = 0;
   Time sent;  // when the acquiring write was sent
 };
-struct LeaseTaken {
+struct LeaseAcquired {
   LeaseGrant grant;
 };
 // Another holder has the lease; `row` is empty if the row is missing or malformed.
 struct LeaseLost {
   std::optional<LeaseRow> row;
 };
-using LeaseAction = std::variant<ReadRow, CommitRows, LeaseTaken, LeaseLost>;
+using LeaseAction = std::variant<ReadRow, CommitRows, LeaseAcquired, LeaseLost>;
 // Answers to ReadRow and CommitRows.
 using LeaseEvent = std::variant<RowWasRead, CommitEnded>;
 
@@ -480,7 +480,7 @@
   [[nodiscard]] std::vector<LeaseAction> Release(Time now);
   // Check before each step under the lease. This only stops work early: a holder can
   // be paused right after the check, so writes must also be fenced by the epoch.
-  [[nodiscard]] bool MayAct(Time now) const;
+  [[nodiscard]] bool IsValid(Time now) const;
   [[nodiscard]] Epoch epoch() const { return epoch_; }
 
  private:
@@ -529,14 +529,15 @@
 
 // The configuration and members that traffic threads route by. Immutable; published
 // as a whole.
-struct Snapshot {
+struct RoutingSnapshot {
   Sequence sequence = 0;
   std::shared_ptr<const Config> config;
-  std::vector<Member> members;            // alive and suspect ones, by node id
-  std::shared_ptr<const Fold> fold = {};  // owns `config`
+  std::vector<Member> members;                             // alive and suspect ones, by node id
+  std::shared_ptr<const ControlState> control_state = {};  // owns `config`
 };
 // Drained members are marked as leaving, so that routing checks a single flag.
-[[nodiscard]] Snapshot MakeSnapshot(std::shared_ptr<const Fold> fold, std::vector<Member> members);
+[[nodiscard]] RoutingSnapshot MakeRoutingSnapshot(std::shared_ptr<const ControlState> state,
+                                                  std::vector<Member> members);
 
 struct MembershipSettings {
   Duration probe_period{1'000'000};       // one member is probed per period
@@ -551,16 +552,16 @@
   std::string bytes;
 };
 // `peer` has applied more of the control log than this member.
-struct SequenceSeen {
+struct PeerAhead {
   NodeId peer;
   Sequence sequence = 0;
 };
-// Send `have` to `peer` over HTTP, which answers with OnFetch(have). Used when the
+// Send `request` to `peer` over HTTP, which answers with OnFetch(request). Used when the
 // tables differ by more than datagrams would carry in time.
 struct FetchMembers {
   NodeId peer;
   Address http;
-  std::string have;  // this member's record, and a digest of 8 bytes per known member
+  std::string request;  // this member's record, and a digest of 8 bytes per known member
 };
 struct MembersChanged {};
 // A newer process runs under this node id. This process must stop: if it raised its
@@ -570,7 +571,7 @@
   Incarnation by = 0;
 };
 using MembershipAction =
-    std::variant<SendDatagram, SequenceSeen, FetchMembers, MembersChanged, Superseded>;
+    std::variant<SendDatagram, PeerAhead, FetchMembers, MembersChanged, Superseded>;
 
 // Which members have applied `sequence`, as far as this node knows.
 struct InForceReport {
@@ -587,13 +588,13 @@
   ~Membership();
   // Hosts to contact for joining. The platform's list is outdated at times, so it is
   // not used to decide liveness.
-  void Seed(std::span<const ListedHost> hosts);
+  void SetSeeds(std::span<const ListedHost> hosts);
   // Call every 100 ms.
   [[nodiscard]] std::vector<MembershipAction> Tick(Time now);
   [[nodiscard]] std::vector<MembershipAction> OnDatagram(Time now, std::string_view bytes,
                                                          const Address& from);
   // Answers a peer's FetchMembers with the records it lacks. Errors: kBadRequest.
-  [[nodiscard]] Result<std::string> OnFetch(Time now, std::string_view have);
+  [[nodiscard]] Result<std::string> OnFetch(Time now, std::string_view request);
   [[nodiscard]] std::vector<MembershipAction> OnMembers(Time now, std::string_view bytes);
 
   [[nodiscard]] std::vector<MembershipAction> SetLeaving(Time now);
@@ -601,7 +602,7 @@
   [[nodiscard]] std::vector<MembershipAction> SetSequence(Time now, Sequence sequence);
   // Queries the members that are not known to have applied `sequence` for their
   // control sequence, up to 100 per call; call again until InForce reports no lagging ones.
-  [[nodiscard]] std::vector<MembershipAction> Ask(Time now, Sequence sequence);
+  [[nodiscard]] std::vector<MembershipAction> QuerySequences(Time now, Sequence sequence);
   [[nodiscard]] InForceReport InForce(Sequence sequence) const;
 
   [[nodiscard]] const Member& self() const;
@@ -609,7 +610,7 @@
   [[nodiscard]] std::vector<Member> Members() const;
   [[nodiscard]] std::optional<Member> Find(const NodeId& node) const;
   // When the last valid datagram of a peer arrived, if any.
-  [[nodiscard]] std::optional<Time> heard() const;
+  [[nodiscard]] std::optional<Time> last_heard() const;
 
   struct Counts {
     std::uint64_t datagrams_sent = 0, datagrams_received = 0;
@@ -625,7 +626,7 @@
 
 // Whether `self` is one of the `count` members of its data centre that poll the store
 // for new log entries; the others get the head sequence by gossip.
-[[nodiscard]] bool ReadsStore(const Member& self, std::span<const Member> members,
-                              std::size_t count);
+[[nodiscard]] bool ReadsLogFromStore(const Member& self, std::span<const Member> members,
+                                     std::size_t count);
 
 }  // namespace figmill
--- a/include/figmill/online.h
+++ b/include/figmill/online.h
@@ -78,7 +78,7 @@
 
   // Leaving, dead and drained agents are out at once; suspect ones serve only a
   // service that has no other.
-  void Update(const Snapshot& snapshot, Time now);
+  void Update(const RoutingSnapshot& snapshot, Time now);
 
   // Errors: kNoBackend (nobody left to try), ran no.
   [[nodiscard]] Result<Pick> Choose(const RouteQuery& query, Time now);
@@ -189,7 +189,7 @@
   static constexpr std::size_t kMaxTeams = 8192;
 
   explicit TeamLimits(NodeId self) : self_(std::move(self)) {}
-  void Update(const Snapshot& snapshot, Time now);
+  void Update(const RoutingSnapshot& snapshot, Time now);
 
   // Charges one request of `tokens`. Errors: kTeamLimit, ran no, with retry_after.
   [[nodiscard]] Result<Ok> Admit(const TeamId& team, double tokens, Time now);
--- a/include/figmill/query.h
+++ b/include/figmill/query.h
@@ -205,14 +205,14 @@
 // command leaves out are the fold's, so it must be the newest one known when the
 // entry is appended: a change of the same subject in between then loses the
 // append instead of being undone by it. Errors: kNotFound, kConflict.
-[[nodiscard]] Result<ControlEntry> EntryFor(const Command& command, const Fold& fold);
+[[nodiscard]] Result<ControlEntry> EntryFor(const Command& command, const ControlState& fold);
 
 // The question's columns and no rows.
 [[nodiscard]] Table EmptyTable(const Question& question);
-[[nodiscard]] Table HostTable(const Fold& fold, std::span<const Member> members);
-[[nodiscard]] Table ServiceTable(const Fold& fold, std::span<const Member> members);
-[[nodiscard]] Table LimitTable(const Fold& fold);
-[[nodiscard]] Table PlacementTable(const Fold& fold);
+[[nodiscard]] Table HostTable(const ControlState& fold, std::span<const Member> members);
+[[nodiscard]] Table ServiceTable(const ControlState& fold, std::span<const Member> members);
+[[nodiscard]] Table LimitTable(const ControlState& fold);
+[[nodiscard]] Table PlacementTable(const ControlState& fold);
 [[nodiscard]] Table LogTable(std::span<const LogRecord> records);
 [[nodiscard]] Table ConfigTable(const Config& config);
 // Paths whose values differ: path, now, wanted.
--- a/src/control/fold.cc
+++ b/src/control/control_state.cc
@@ -19,18 +19,18 @@
   return Error{ErrorKind::kNotFound, std::move(detail)};
 }
 
-void MarkDrained(Fold& fold) {
-  for (auto& [agent, backend] : fold.config.backends) {
-    backend.drained = fold.drained.contains(agent);
+void MarkDrained(ControlState& state) {
+  for (auto& [agent, backend] : state.config.backends) {
+    backend.drained = state.drained.contains(agent);
   }
 }
 
-void EvictOldCancellations(Fold& fold) {
-  while (fold.cancelled_jobs.size() > kMaxCancelledJobs) {
+void EvictOldCancellations(ControlState& state) {
+  while (state.cancelled_jobs.size() > kMaxCancelledJobs) {
     const auto oldest =
-        std::min_element(fold.cancelled_jobs.begin(), fold.cancelled_jobs.end(),
+        std::min_element(state.cancelled_jobs.begin(), state.cancelled_jobs.end(),
                          [](const auto& a, const auto& b) { return a.second < b.second; });
-    fold.cancelled_jobs.erase(oldest);
+    state.cancelled_jobs.erase(oldest);
   }
 }
 
@@ -60,8 +60,8 @@
   return Ok{};
 }
 
-Result<Ok> CheckSetPlacement(const Fold& fold, const Place& place) {
-  if (!fold.config.backends.contains(place.agent)) {
+Result<Ok> CheckSetPlacement(const ControlState& state, const SetPlacement& place) {
+  if (!state.config.backends.contains(place.agent)) {
     return Missing("no backend server is configured for agent " + place.agent.value);
   }
   if (!place.placement.role.empty()) {
@@ -88,18 +88,19 @@
 }
 
 // Checks that the subject of the entry exists, or may be created, in this state.
-Result<Ok> CheckSubject(const Fold& fold, const ControlEntry& entry) {
+Result<Ok> CheckSubject(const ControlState& state, const ControlEntry& entry) {
   return std::visit(
       Overloaded{[&](const RemoveService& e) -> Result<Ok> {
-                   if (fold.config.services.contains(e.service)) return Ok{};
+                   if (state.config.services.contains(e.service)) return Ok{};
                    return Missing("there is no service " + e.service.value);
                  },
                  [&](const RemoveBackend& e) -> Result<Ok> {
-                   if (fold.config.backends.contains(e.agent)) return Ok{};
+                   if (state.config.backends.contains(e.agent)) return Ok{};
                    return Missing("no backend server is configured for agent " + e.agent.value);
                  },
                  [&](const Drain& e) -> Result<Ok> {
-                   if (fold.drained.size() >= kMaxDrainedNodes && !fold.drained.contains(e.node)) {
+                   if (state.drained.size() >= kMaxDrainedNodes &&
+                       !state.drained.contains(e.node)) {
                      return Error{ErrorKind::kTooLarge,
                                   "too many nodes are drained; undrain those that are gone"};
                    }
@@ -111,7 +112,7 @@
                    if (!IsOk(id)) return ErrorOf(id);
                    return Ok{};
                  },
-                 [&](const Place& e) { return CheckSetPlacement(fold, e); },
+                 [&](const SetPlacement& e) { return CheckSetPlacement(state, e); },
                  [](const auto&) -> Result<Ok> { return Ok{}; }},
       entry);
 }
@@ -124,111 +125,113 @@
   return text.data();
 }
 
-Result<Ok> Check(const Fold& fold, const ControlEntry& entry) {
+Result<Ok> CheckEntry(const ControlState& state, const ControlEntry& entry) {
   if (ToJson(entry).size() > kMaxEntryBytes) {
     return Error{ErrorKind::kTooLarge,
                  "an order has at most " + std::to_string(kMaxEntryBytes) + " bytes"};
   }
-  Result<Ok> subject = CheckSubject(fold, entry);
+  Result<Ok> subject = CheckSubject(state, entry);
   if (!IsOk(subject)) return subject;
-  Config config = fold.config;
+  Config config = state.config;
   EditConfig(config, entry);
   return Validate(config);
 }
 
-void Apply(Fold& fold, const LogRecord& record) {
-  assert(record.sequence == fold.sequence + 1);
-  fold.sequence = record.sequence;
-  fold.author = record.author;
-  fold.change = Describe(record.entry);
-  EditConfig(fold.config, record.entry);
-  std::visit(Overloaded{[&](const Drain& e) { fold.drained.insert(e.node); },
-                        [&](const Undrain& e) { fold.drained.erase(e.node); },
-                        [&](const CancelJob& e) { fold.cancelled_jobs[e.job] = record.sequence; },
-                        [&](const Place& e) {
-                          fold.placements[e.agent] = {e.placement, record.sequence};
+void Apply(ControlState& state, const LogRecord& record) {
+  assert(record.sequence == state.sequence + 1);
+  state.sequence = record.sequence;
+  state.author = record.author;
+  state.change = Describe(record.entry);
+  EditConfig(state.config, record.entry);
+  std::visit(Overloaded{[&](const Drain& e) { state.drained.insert(e.node); },
+                        [&](const Undrain& e) { state.drained.erase(e.node); },
+                        [&](const CancelJob& e) { state.cancelled_jobs[e.job] = record.sequence; },
+                        [&](const SetPlacement& e) {
+                          state.placements[e.agent] = {e.placement, record.sequence};
                         },
                         [](const auto&) {}},
              record.entry);
   // A placement for an agent without a backend server can't be applied.
-  std::erase_if(fold.placements,
-                [&](const auto& each) { return !fold.config.backends.contains(each.first); });
-  EvictOldCancellations(fold);
-  MarkDrained(fold);
+  std::erase_if(state.placements,
+                [&](const auto& each) { return !state.config.backends.contains(each.first); });
+  EvictOldCancellations(state);
+  MarkDrained(state);
 }
 
-std::string ToJson(const Fold& fold) {
+std::string ToJson(const ControlState& state) {
   detail::Json drained = detail::Json::array();
-  for (const NodeId& node : fold.drained) drained.push_back(node.value);
+  for (const NodeId& node : state.drained) drained.push_back(node.value);
   detail::Json cancelled = detail::Json::array();
-  for (const auto& [job, sequence] : fold.cancelled_jobs) {
+  for (const auto& [job, sequence] : state.cancelled_jobs) {
     cancelled.push_back({{"job", job.value}, {"sequence", sequence}});
   }
   detail::Json placements = detail::Json::array();
-  for (const auto& [agent, order] : fold.placements) {
+  for (const auto& [agent, order] : state.placements) {
     placements.push_back({{"agent", agent.value},
                           {"placement", detail::WritePlacement(order.placement)},
                           {"sequence", order.sequence}});
   }
-  return detail::Json{{"sequence", fold.sequence},
-                      {"author", fold.author},
-                      {"change", fold.change},
-                      {"config", detail::WriteConfig(fold.config)},
+  return detail::Json{{"sequence", state.sequence},
+                      {"author", state.author},
+                      {"change", state.change},
+                      {"config", detail::WriteConfig(state.config)},
                       {"drained", std::move(drained)},
                       {"cancelled_jobs", std::move(cancelled)},
                       {"placements", std::move(placements)}}
       .dump();
 }
 
-Result<Fold> ParseFold(std::string_view json) {
+Result<ControlState> ParseControlState(std::string_view json) {
   using detail::Json;
   using detail::ObjectReader;
   using detail::ParseStatus;
-  return detail::ParseDocument<Fold>(json, "the fold", [](const Json& document, ParseStatus& r) {
-    Fold fold;
-    ObjectReader object(document, "fold", r);
-    object.Allow(
-        {"sequence", "author", "change", "config", "drained", "cancelled_jobs", "placements"});
-    object.NeedNatural("sequence", fold.sequence);
-    object.Text("author", fold.author);
-    object.Text("change", fold.change);
-    if (const Json* config = object.Need("config")) {
-      fold.config = detail::ReadConfig(*config, "fold.config", r);
-    }
-    std::vector<NodeId> drained;
-    object.Ids("drained", drained);
-    fold.drained.insert(drained.begin(), drained.end());
-    object.Array("cancelled_jobs", [&](const Json& element, const std::string& where) {
-      JobId job;
-      ObjectReader reader(element, where, r);
-      reader.NeedId("job", job);
-      reader.NeedNatural("sequence", fold.cancelled_jobs[job]);
-    });
-    object.Array("placements", [&](const Json& element, const std::string& where) {
-      NodeId agent;
-      Fold::PlacementOrder order;
-      ObjectReader reader(element, where, r);
-      reader.NeedId("agent", agent);
-      reader.NeedNatural("sequence", order.sequence);
-      if (const Json* placement = reader.Need("placement")) {
-        order.placement = detail::ReadPlacement(*placement, where + ".placement", r);
-      }
-      fold.placements[agent] = std::move(order);
-    });
-    MarkDrained(fold);
-    return fold;
-  });
+  return detail::ParseDocument<ControlState>(
+      json, "the fold", [](const Json& document, ParseStatus& r) {
+        ControlState state;
+        ObjectReader object(document, "fold", r);
+        object.Allow(
+            {"sequence", "author", "change", "config", "drained", "cancelled_jobs", "placements"});
+        object.NeedNatural("sequence", state.sequence);
+        object.Text("author", state.author);
+        object.Text("change", state.change);
+        if (const Json* config = object.Need("config")) {
+          state.config = detail::ReadConfig(*config, "fold.config", r);
+        }
+        std::vector<NodeId> drained;
+        object.Ids("drained", drained);
+        state.drained.insert(drained.begin(), drained.end());
+        object.Array("cancelled_jobs", [&](const Json& element, const std::string& where) {
+          JobId job;
+          ObjectReader reader(element, where, r);
+          reader.NeedId("job", job);
+          reader.NeedNatural("sequence", state.cancelled_jobs[job]);
+        });
+        object.Array("placements", [&](const Json& element, const std::string& where) {
+          NodeId agent;
+          ControlState::PlacementOrder order;
+          ObjectReader reader(element, where, r);
+          reader.NeedId("agent", agent);
+          reader.NeedNatural("sequence", order.sequence);
+          if (const Json* placement = reader.Need("placement")) {
+            order.placement = detail::ReadPlacement(*placement, where + ".placement", r);
+          }
+          state.placements[agent] = std::move(order);
+        });
+        MarkDrained(state);
+        return state;
+      });
 }
 
-Snapshot MakeSnapshot(std::shared_ptr<const Fold> fold, std::vector<Member> members) {
+RoutingSnapshot MakeRoutingSnapshot(std::shared_ptr<const ControlState> state,
+                                    std::vector<Member> members) {
   for (Member& member : members) {
-    if (fold->drained.contains(member.node)) member.leaving = true;
+    if (state->drained.contains(member.node)) member.leaving = true;
   }
-  Snapshot snapshot;
-  snapshot.sequence = fold->sequence;
-  snapshot.config = std::shared_ptr<const Config>(fold, &fold->config);
+  RoutingSnapshot snapshot;
+  snapshot.sequence = state->sequence;
+  snapshot.config = std::shared_ptr<const Config>(state, &state->config);
   snapshot.members = std::move(members);
-  snapshot.fold = std::move(fold);
+  snapshot.control_state = std::move(state);
   return snapshot;
 }
 
--- a/src/control/entry_json.cc
+++ b/src/control/entry_json.cc
@@ -67,7 +67,7 @@
 constexpr std::string_view kSetPlacement = "place";
 
 ControlEntry ReadSetPlacement(ObjectReader& object) {
-  Place place;
+  SetPlacement place;
   object.Allow({"order", "agent", "placement"});
   object.NeedId("agent", place.agent);
   if (const Json* placement = object.Need("placement")) {
@@ -140,7 +140,7 @@
                  [](const CancelJob& e) -> Json {
                    return {{"order", "cancel-job"}, {"job", e.job.value}};
                  },
-                 [](const Place& e) -> Json {
+                 [](const SetPlacement& e) -> Json {
                    return {{"order", "place"},
                            {"agent", e.agent.value},
                            {"placement", WritePlacement(e.placement)}};
@@ -202,7 +202,7 @@
           [](const Drain& e) { return "drain " + e.node.value; },
           [](const Undrain& e) { return "undrain " + e.node.value; },
           [](const CancelJob& e) { return "cancel job " + e.job.value; },
-          [](const Place& e) { return "place on " + e.agent.value; },
+          [](const SetPlacement& e) { return "place on " + e.agent.value; },
           [](const ReplaceConfig&) { return std::string("replace the configuration"); }},
       entry);
 }
@@ -249,7 +249,7 @@
                                [](const CancelJob& e) {
                                  return Subject{kJob, e.job.value};
                                },
-                               [](const Place& e) {
+                               [](const SetPlacement& e) {
                                  return Subject{kPlacement, e.agent.value};
                                },
                                [](const ReplaceConfig&) {
--- a/src/control/lease_holder.cc
+++ b/src/control/lease_holder.cc
@@ -21,7 +21,7 @@
       renewal_sent_(grant.sent),
       last_attempt_(grant.sent) {}
 
-bool LeaseHolder::MayAct(Time now) const {
+bool LeaseHolder::IsValid(Time now) const {
   return !lost_ && !released_ && now - renewal_sent_ < settings_.term * 2 / 3;
 }
 
--- a/src/control/lease_watcher.cc
+++ b/src/control/lease_watcher.cc
@@ -71,7 +71,7 @@
 
 std::vector<LeaseAction> LeaseWatcher::Acquired(RowVersion version) {
   busy_ = true;  // stops this watcher; a LeaseHolder replaces it
-  return {LeaseTaken{LeaseGrant{attempt_.epoch, version, attempt_.renewals, *attempt_sent_}}};
+  return {LeaseAcquired{LeaseGrant{attempt_.epoch, version, attempt_.renewals, *attempt_sent_}}};
 }
 
 }  // namespace figmill
--- a/src/control/log_compactor.cc
+++ b/src/control/log_compactor.cc
@@ -14,7 +14,7 @@
 LogCompactor::LogCompactor(const LogReader& reader, RandomBits random)
     : reader_(reader), random_(std::move(random)) {}
 
-std::vector<LogAction> LogCompactor::Consider() {
+std::vector<LogAction> LogCompactor::CompactIfDue() {
   if (state_ != State::kIdle || reader_.head() < known_snapshot_ + kEntriesPerSnapshot) return {};
   state_ = State::kReading;
   return {ReadRow{std::string(detail::kSnapshotKey)}};
@@ -41,7 +41,7 @@
   }
   known_snapshot_ = old.sequence;
   if (reader_.head() < known_snapshot_ + kEntriesPerSnapshot) return {};
-  compacted_state_ = reader_.fold();
+  compacted_state_ = reader_.state();
   stale_snapshot_ = old.previous;
   next_delete_ = old.deleted + 1;
   state_ = State::kWritingObject;
--- a/src/control/log_reader.cc
+++ b/src/control/log_reader.cc
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-LogReader::LogReader() : fold_(std::make_shared<const Fold>()) {}
+LogReader::LogReader() : state_(std::make_shared<const ControlState>()) {}
 
 std::vector<LogAction> LogReader::Poll() {
   if (reading_store_) return {};
@@ -41,7 +41,7 @@
   return {ScanRows{RowRange{std::string(detail::kLogPrefix), after, kRowsPerScan}}};
 }
 
-std::vector<LogAction> LogReader::Hint(const NodeId& peer, Sequence sequence) {
+std::vector<LogAction> LogReader::OnPeerAhead(const NodeId& peer, Sequence sequence) {
   peer_head_ = std::max(peer_head_, sequence);
   if (sequence <= head() || fetching_from_) return {};
   fetching_from_ = peer;
@@ -54,7 +54,7 @@
                  [&](RowWasRead& e) { return OnSnapshotRow(std::move(e.row)); },
                  [&](ObjectWasRead& e) { return OnSnapshotObject(std::move(e.bytes)); },
                  [&](EntriesFetched& e) { return OnEntries(std::move(e.records)); },
-                 [&](FoldFetched& e) { return OnPeerState(std::move(e.fold)); },
+                 [&](StateFetched& e) { return OnPeerState(std::move(e.state)); },
                  [](auto&) { return std::vector<LogAction>{}; }},
       event);
 }
@@ -63,11 +63,11 @@
   reading_store_ = false;
   if (!IsOk(rows)) return {};
   if (ValueOf(rows).empty()) {
-    learned_ = true;
+    caught_up_ = true;
     return {};
   }
   const Result<std::vector<LogRecord>> records = ParseRows(ValueOf(rows));
-  if (!IsOk(records)) return {LogStuck{head() + 1, ErrorOf(records).detail}};
+  if (!IsOk(records)) return {LogUnreadable{head() + 1, ErrorOf(records).detail}};
   const std::vector<LogRecord>& found = ValueOf(records);
   if (found.front().sequence > head() + 1) {
     // The rows in between were deleted by compaction: a snapshot covers them.
@@ -77,8 +77,8 @@
   std::vector<LogAction> actions;
   const bool whole = found.size() < kRowsPerScan &&
                      found.back().sequence - found.front().sequence == found.size() - 1;
-  learned_ = learned_ || whole;
-  if (Advance(found)) actions.emplace_back(PublishFold{});
+  caught_up_ = caught_up_ || whole;
+  if (Advance(found)) actions.emplace_back(PublishState{});
   if (found.size() == kRowsPerScan) {
     for (LogAction& action : Scan()) actions.push_back(std::move(action));
   }
@@ -89,7 +89,7 @@
   reading_store_ = false;
   if (!IsOk(row) || !ValueOf(row)) return {};
   const Result<detail::SnapshotRow> snapshot = detail::ParseSnapshotRow(ValueOf(row)->value);
-  if (!IsOk(snapshot)) return {LogStuck{head() + 1, ErrorOf(snapshot).detail}};
+  if (!IsOk(snapshot)) return {LogUnreadable{head() + 1, ErrorOf(snapshot).detail}};
   if (ValueOf(snapshot).sequence <= head()) return {};
   reading_store_ = true;
   return {GetObject{detail::SnapshotObjectKey(ValueOf(snapshot).sequence)}};
@@ -98,10 +98,10 @@
 std::vector<LogAction> LogReader::OnSnapshotObject(Result<std::string> bytes) {
   reading_store_ = false;
   if (!IsOk(bytes)) return {};  // the next Poll retries
-  Result<Fold> fold = ParseFold(ValueOf(bytes));
-  if (!IsOk(fold)) return {LogStuck{head() + 1, ErrorOf(fold).detail}};
+  Result<ControlState> state = ParseControlState(ValueOf(bytes));
+  if (!IsOk(state)) return {LogUnreadable{head() + 1, ErrorOf(state).detail}};
   std::vector<LogAction> actions;
-  if (Advance(std::move(ValueOf(fold)))) actions.emplace_back(PublishFold{});
+  if (Advance(std::move(ValueOf(state)))) actions.emplace_back(PublishState{});
   for (LogAction& action : Scan()) actions.push_back(std::move(action));
   return actions;
 }
@@ -109,7 +109,7 @@
 std::vector<LogAction> LogReader::OnEntries(Result<std::vector<LogRecord>> records) {
   if (!IsOk(records)) {
     if (ErrorOf(records).kind == ErrorKind::kNotFound && fetching_from_) {
-      return {FetchFold{*fetching_from_}};
+      return {FetchState{*fetching_from_}};
     }
     fetching_from_.reset();
     peer_head_ = head();  // the next gossip message with a higher sequence retries
@@ -117,18 +117,18 @@
   }
   std::vector<LogAction> actions;
   const bool moved = Advance(ValueOf(records));
-  learned_ = learned_ || (moved && head() >= peer_head_);
-  if (moved) actions.emplace_back(PublishFold{});
+  caught_up_ = caught_up_ || (moved && head() >= peer_head_);
+  if (moved) actions.emplace_back(PublishState{});
   if (!moved) peer_head_ = head();
   for (LogAction& action : ContinueFetch()) actions.push_back(std::move(action));
   return actions;
 }
 
-std::vector<LogAction> LogReader::OnPeerState(Result<Fold> fold) {
+std::vector<LogAction> LogReader::OnPeerState(Result<ControlState> state) {
   std::vector<LogAction> actions;
-  const bool moved = IsOk(fold) && Advance(std::move(ValueOf(fold)));
-  learned_ = learned_ || (moved && head() >= peer_head_);
-  if (moved) actions.emplace_back(PublishFold{});
+  const bool moved = IsOk(state) && Advance(std::move(ValueOf(state)));
+  caught_up_ = caught_up_ || (moved && head() >= peer_head_);
+  if (moved) actions.emplace_back(PublishState{});
   if (!moved) peer_head_ = head();
   for (LogAction& action : ContinueFetch()) actions.push_back(std::move(action));
   return actions;
@@ -143,25 +143,25 @@
 }
 
 bool LogReader::Advance(std::span<const LogRecord> records) {
-  std::shared_ptr<Fold> next;
+  std::shared_ptr<ControlState> next;
   for (const LogRecord& record : records) {
-    const Sequence head = next ? next->sequence : fold_->sequence;
+    const Sequence head = next ? next->sequence : state_->sequence;
     if (record.sequence <= head) continue;
     if (record.sequence != head + 1) break;
-    if (!next) next = std::make_shared<Fold>(*fold_);
+    if (!next) next = std::make_shared<ControlState>(*state_);
     Apply(*next, record);
     AddToWindow(record);
   }
   if (!next) return false;
-  fold_ = std::move(next);
+  state_ = std::move(next);
   return true;
 }
 
-bool LogReader::Advance(Fold fold) {
-  if (fold.sequence <= head()) return false;
+bool LogReader::Advance(ControlState state) {
+  if (state.sequence <= head()) return false;
   window_.clear();  // it would no longer be contiguous with the head
   window_bytes_ = 0;
-  fold_ = std::make_shared<const Fold>(std::move(fold));
+  state_ = std::make_shared<const ControlState>(std::move(state));
   return true;
 }
 
--- a/src/control/log_writer.cc
+++ b/src/control/log_writer.cc
@@ -99,7 +99,7 @@
                         Ran::kNo});
   }
   std::vector<LogAction> actions;
-  if (reader_.Advance(records)) actions.emplace_back(PublishFold{});
+  if (reader_.Advance(records)) actions.emplace_back(PublishState{});
   const bool at_head = reader_.head() == (records.empty() ? 0 : records.back().sequence);
   const bool more = records.size() == kRowsPerScan || !at_head;
   if (at_head && !records.empty()) head_version_ = ValueOf(rows).back().version;
@@ -109,16 +109,16 @@
 
 std::vector<LogAction> LogWriter::Validate() {
   const Pending& pending = queue_.front();
-  const Fold& fold = *reader_.fold();
-  if (pending.if_version && *pending.if_version != fold.sequence) {
+  const ControlState& state = *reader_.state();
+  if (pending.if_version && *pending.if_version != state.sequence) {
     return Finish(Error{ErrorKind::kStaleVersion,
-                        "the configuration is at " + std::to_string(fold.sequence) + ", not " +
-                            std::to_string(*pending.if_version) + ": '" + fold.change + "' by " +
-                            fold.author + " came last",
+                        "the configuration is at " + std::to_string(state.sequence) + ", not " +
+                            std::to_string(*pending.if_version) + ": '" + state.change + "' by " +
+                            state.author + " came last",
                         Ran::kNo});
   }
   if (!base_sequence_)
-    base_sequence_ = std::min(fold.sequence, pending.built_on.value_or(fold.sequence));
+    base_sequence_ = std::min(state.sequence, pending.built_on.value_or(state.sequence));
   const auto concurrent = reader_.EntriesAfter(*base_sequence_, SIZE_MAX);
   if (!concurrent) {
     return Finish(
@@ -129,7 +129,7 @@
       return Finish(Error{ErrorKind::kConflict, DescribeWinner(record), Ran::kNo});
     }
   }
-  const Result<Ok> valid = Check(fold, pending.entry);
+  const Result<Ok> valid = CheckEntry(state, pending.entry);
   if (IsOk(valid)) return Commit();
   if (concurrent->empty()) return Finish(ErrorOf(valid));
   return Finish(Error{ErrorKind::kConflict,
@@ -205,7 +205,7 @@
 
 std::vector<LogAction> LogWriter::OnCommitted() {
   std::vector<LogAction> actions;
-  if (reader_.Advance(std::span(&record_, 1))) actions.emplace_back(PublishFold{});
+  if (reader_.Advance(std::span(&record_, 1))) actions.emplace_back(PublishState{});
   for (LogAction& action : Finish(record_.sequence)) actions.push_back(std::move(action));
   return actions;
 }
--- a/src/control/membership.cc
+++ b/src/control/membership.cc
@@ -25,7 +25,7 @@
   byte_budget_ = settings_.bytes_per_second * kBurstSeconds;
 }
 
-void Membership::Impl::Seed(std::span<const ListedHost> hosts) {
+void Membership::Impl::SetSeeds(std::span<const ListedHost> hosts) {
   seeds_.clear();
   for (const ListedHost& host : hosts) {
     if (host.node != self_) seeds_[host.node] = host;
@@ -242,7 +242,7 @@
   return Flush();
 }
 
-Membership::Impl::Actions Membership::Impl::Ask(Time now, Sequence sequence) {
+Membership::Impl::Actions Membership::Impl::QuerySequences(Time now, Sequence sequence) {
   std::size_t left = kMaxQueriesPerCall;
   for (const auto& [node, entry] : table_.entries()) {
     const Member& member = entry.record.member;
--- a/src/control/membership_api.cc
+++ b/src/control/membership_api.cc
@@ -9,8 +9,8 @@
     : impl_(std::make_unique<Impl>(std::move(self), settings, std::move(random))) {}
 Membership::~Membership() = default;
 
-void Membership::Seed(std::span<const ListedHost> hosts) {
-  impl_->Seed(hosts);
+void Membership::SetSeeds(std::span<const ListedHost> hosts) {
+  impl_->SetSeeds(hosts);
 }
 std::vector<MembershipAction> Membership::Tick(Time now) {
   return impl_->Tick(now);
@@ -38,8 +38,8 @@
 std::vector<MembershipAction> Membership::SetSequence(Time now, Sequence sequence) {
   return impl_->SetSequence(now, sequence);
 }
-std::vector<MembershipAction> Membership::Ask(Time now, Sequence sequence) {
-  return impl_->Ask(now, sequence);
+std::vector<MembershipAction> Membership::QuerySequences(Time now, Sequence sequence) {
+  return impl_->QuerySequences(now, sequence);
 }
 
 InForceReport Membership::InForce(Sequence sequence) const {
@@ -75,14 +75,14 @@
   return entry->record.member;
 }
 
-std::optional<Time> Membership::heard() const {
-  return impl_->heard();
+std::optional<Time> Membership::last_heard() const {
+  return impl_->last_heard();
 }
 const Membership::Counts& Membership::counts() const {
   return impl_->counts();
 }
 
-bool ReadsStore(const Member& self, std::span<const Member> members, std::size_t count) {
+bool ReadsLogFromStore(const Member& self, std::span<const Member> members, std::size_t count) {
   constexpr std::string_view kKey = "log-readers";
   const std::uint64_t mine = RendezvousWeight(kKey, self.node.value);
   const auto ahead = std::count_if(members.begin(), members.end(), [&](const Member& other) {
--- a/src/control/membership_impl.h
+++ b/src/control/membership_impl.h
@@ -41,18 +41,18 @@
 
   Impl(Member self, MembershipSettings settings, RandomBits random);
 
-  void Seed(std::span<const ListedHost> hosts);
+  void SetSeeds(std::span<const ListedHost> hosts);
   Actions Tick(Time now);
   Actions OnDatagram(Time now, std::string_view bytes, const Address& from);
   Result<std::string> OnFetch(Time now, std::string_view request);
   Actions OnMembers(Time now, std::string_view bytes);
   Actions Change(Time now, bool details_changed, const std::function<void(Member&)>& edit);
   Actions SetSequence(Time now, Sequence sequence);
-  Actions Ask(Time now, Sequence sequence);
+  Actions QuerySequences(Time now, Sequence sequence);
 
   [[nodiscard]] const MemberRecord& self() const { return table_.Find(self_)->record; }
   [[nodiscard]] const detail::MemberTable& table() const { return table_; }
-  [[nodiscard]] std::optional<Time> heard() const { return last_heard_; }
+  [[nodiscard]] std::optional<Time> last_heard() const { return last_heard_; }
   [[nodiscard]] const Counts& counts() const { return counts_; }
 
  private:
--- a/src/control/membership_messages.cc
+++ b/src/control/membership_messages.cc
@@ -172,7 +172,7 @@
   }
   table_.SetSequence(message.sender.node, message.sender.incarnation, message.sequence);
   if (message.sequence > self().member.control_sequence) {
-    out_.emplace_back(SequenceSeen{message.sender.node, message.sequence});
+    out_.emplace_back(PeerAhead{message.sender.node, message.sequence});
   }
   return true;
 }
--- a/src/figmilld/agent/agent.cc
+++ b/src/figmilld/agent/agent.cc
@@ -51,7 +51,7 @@
         },
         [this](std::function<void()> finished) { Leave(std::move(finished)); },
         [this] { return gate_.leaving(); },
-        [this](const std::shared_ptr<const Snapshot>& snapshot) { OnSnapshot(*snapshot); },
+        [this](const std::shared_ptr<const RoutingSnapshot>& snapshot) { OnSnapshot(*snapshot); },
     });
   }
 
@@ -62,12 +62,13 @@
     gate_.OnDrained(std::move(finished));
   }
 
-  void OnSnapshot(const Snapshot& snapshot) {
+  void OnSnapshot(const RoutingSnapshot& snapshot) {
     gate_.OnMembers(snapshot);
     gate_.SetOrders(snapshot.sequence);
-    drained_ = snapshot.fold && snapshot.fold->drained.contains(daemon_.self().node);
+    drained_ =
+        snapshot.control_state && snapshot.control_state->drained.contains(daemon_.self().node);
     SetLeaving();
-    if (snapshot.fold) placement_.OnFold(*snapshot.fold);
+    if (snapshot.control_state) placement_.OnFold(*snapshot.control_state);
     for (const ServiceName& service : models_.services()) {
       const auto found = snapshot.config->services.find(service);
       if (found != snapshot.config->services.end()) gate_.SetTarget(found->second.target);
--- a/src/figmilld/agent/agent_gate.cc
+++ b/src/figmilld/agent/agent_gate.cc
@@ -336,7 +336,7 @@
   Do(Supersede{job, epoch});
 }
 
-void AgentGate::OnMembers(const Snapshot& snapshot) {
+void AgentGate::OnMembers(const RoutingSnapshot& snapshot) {
   std::set<NodeId> entries;
   for (const Member& member : snapshot.members) {
     if (member.role == Role::kEntry) entries.insert(member.node);
--- a/src/figmilld/agent/agent_gate.h
+++ b/src/figmilld/agent/agent_gate.h
@@ -40,7 +40,7 @@
   void SupersedeJob(const JobId& job, Epoch epoch);
 
   // From membership and configuration.
-  void OnMembers(const Snapshot& snapshot);
+  void OnMembers(const RoutingSnapshot& snapshot);
   void SetTarget(const LatencyTarget& target) { gate_.SetTarget(target); }
   void SetOrders(Sequence orders) { orders_ = orders; }
   // A leaving gate takes nothing new; what runs goes on.
--- a/src/figmilld/agent/placement_shell.cc
+++ b/src/figmilld/agent/placement_shell.cc
@@ -34,7 +34,7 @@
   return "orderer/" + node.value;
 }
 
-std::optional<DesiredPlacement> DesiredFor(const Fold& fold, const NodeId& node) {
+std::optional<DesiredPlacement> DesiredFor(const ControlState& fold, const NodeId& node) {
   const auto found = fold.placements.find(node);
   const auto backend = fold.config.backends.find(node);
   if (found == fold.placements.end() || backend == fold.config.backends.end()) {
@@ -55,7 +55,7 @@
   ticks_ = parts_.loop.Every(kTick, [this] { Say(PlacerTick{}); });
 }
 
-void PlacementShell::OnFold(const Fold& fold) {
+void PlacementShell::OnFold(const ControlState& fold) {
   if (const auto desired = DesiredFor(fold, parts_.self)) Say(*desired);
 }
 
--- a/src/figmilld/agent/placement_shell.h
+++ b/src/figmilld/agent/placement_shell.h
@@ -30,7 +30,7 @@
   PlacementShell(PlacementParts parts, PlacerSettings settings);
 
   // Whenever the fold moved.
-  void OnFold(const Fold& fold);
+  void OnFold(const ControlState& fold);
   [[nodiscard]] bool settled() const { return placer_.settled(); }
 
  private:
@@ -49,7 +49,8 @@
 };
 
 // What the fold wants of the engine beside `node`; nothing if no order named it.
-[[nodiscard]] std::optional<DesiredPlacement> DesiredFor(const Fold& fold, const NodeId& node);
+[[nodiscard]] std::optional<DesiredPlacement> DesiredFor(const ControlState& fold,
+                                                         const NodeId& node);
 
 // The row that says which incarnation of an agent orders its engine.
 [[nodiscard]] std::string OrdererKey(const NodeId& node);
--- a/src/figmilld/batch/batch_lease.cc
+++ b/src/figmilld/batch/batch_lease.cc
@@ -84,7 +84,7 @@
                                      return LeaseEvent{CommitEnded{std::move(outcome)}};
                                    }));
                    },
-                   [&](const LeaseTaken& a) {
+                   [&](const LeaseAcquired& a) {
                      highest_ = a.grant.epoch;
                      holder_ = std::make_unique<LeaseHolder>(settings_, a.grant, random_);
                      if (purpose_ == Purpose::kFence) Release();
--- a/src/figmilld/batch/batch_lease.h
+++ b/src/figmilld/batch/batch_lease.h
@@ -26,7 +26,7 @@
 
   void Tick();
   void Release();
-  [[nodiscard]] bool may_act() const { return holder_ && holder_->MayAct(Loop::Now()); }
+  [[nodiscard]] bool may_act() const { return holder_ && holder_->IsValid(Loop::Now()); }
   [[nodiscard]] std::optional<Epoch> epoch() const;
   // Several answers in a row said that the store is down. One alone may be that of
   // a call which timed out while this process was paused.
--- a/src/figmilld/batch/entry_batch.cc
+++ b/src/figmilld/batch/entry_batch.cc
@@ -81,7 +81,7 @@
   Loop& server_loop() { return server_loop_; }
   BatchJobs& jobs() { return jobs_; }
 
-  void Update(const Snapshot& snapshot) {
+  void Update(const RoutingSnapshot& snapshot) {
     FleetUpdate fleet;
     std::map<NodeId, Address> agents;
     entries_.clear();
@@ -103,7 +103,7 @@
     }
     jobs_.SetRule(fleet.repeatable);
     dispatcher_.SetAgents(std::move(agents));
-    fold_ = snapshot.fold;
+    fold_ = snapshot.control_state;
     CancelAsOrdered();
     Feed(fleet);
   }
@@ -115,7 +115,7 @@
   }
 
  private:
-  static bool IsLeaving(const Member& member, const Snapshot& snapshot) {
+  static bool IsLeaving(const Member& member, const RoutingSnapshot& snapshot) {
     if (member.leaving || member.liveness == Liveness::kDead) return true;
     if (!snapshot.config) return false;
     const auto backend = snapshot.config->backends.find(member.node);
@@ -209,7 +209,7 @@
   BatchDispatcher dispatcher_;
   BatchJobs jobs_;
   std::map<NodeId, Address> entries_;
-  std::shared_ptr<const Fold> fold_;
+  std::shared_ptr<const ControlState> fold_;
   std::set<JobId> owned_;
   std::set<JobId> cancelling_;  // a write of the row is under way
   std::deque<BatchEvent> waiting_;
@@ -236,7 +236,7 @@
   });
 }
 
-void EntryBatch::Update(const std::shared_ptr<const Snapshot>& snapshot) {
+void EntryBatch::Update(const std::shared_ptr<const RoutingSnapshot>& snapshot) {
   worker_->loop().Post([worker = worker_.get(), snapshot] { worker->Update(*snapshot); });
 }
 
--- a/src/figmilld/batch/entry_batch.h
+++ b/src/figmilld/batch/entry_batch.h
@@ -30,7 +30,7 @@
   [[nodiscard]] static bool Takes(std::string_view path) { return path.starts_with("/v1/jobs/"); }
   void OnRequest(HttpRequest request, std::shared_ptr<HttpReply> reply);
   // Entries and agents that are alive, and the configuration.
-  void Update(const std::shared_ptr<const Snapshot>& snapshot);
+  void Update(const std::shared_ptr<const RoutingSnapshot>& snapshot);
   // Binds `job-changed`, by which one entry tells another of a cancellation.
   void BindOrders(RpcServer& server);
   // For operators' cancellations. The row as it stands afterwards. Errors: those
--- a/src/figmilld/control/control_access.h
+++ b/src/figmilld/control/control_access.h
@@ -15,7 +15,7 @@
 class ControlAccess {
  public:
   virtual ~ControlAccess() = default;
-  [[nodiscard]] virtual std::shared_ptr<const Fold> CurrentFold() const = 0;
+  [[nodiscard]] virtual std::shared_ptr<const ControlState> CurrentFold() const = 0;
   // Alive and suspect ones, this process with them.
   [[nodiscard]] virtual std::vector<Member> CurrentMembers() const = 0;
   // As LogWriter::Append; `done` is called once, on the loop.
--- a/src/figmilld/control/control_log_shell.cc
+++ b/src/figmilld/control/control_log_shell.cc
@@ -27,8 +27,8 @@
 }
 
 LogEvent ParsedFold(const Result<std::string>& body) {
-  if (!IsOk(body)) return FoldFetched{ErrorOf(body)};
-  return FoldFetched{ParseFold(ValueOf(body))};
+  if (!IsOk(body)) return StateFetched{ErrorOf(body)};
+  return StateFetched{ParseControlState(ValueOf(body))};
 }
 
 }  // namespace
@@ -39,7 +39,7 @@
       compactor_(reader_, SystemRandom()) {}
 
 void ControlLogShell::Hint(const NodeId& peer, Sequence sequence) {
-  Carry(Machine::kReader, reader_.Hint(peer, sequence));
+  Carry(Machine::kReader, reader_.OnPeerAhead(peer, sequence));
 }
 
 void ControlLogShell::Append(ControlEntry entry, std::string author,
@@ -62,7 +62,7 @@
 }
 
 HttpResponse ControlLogShell::WholeFold() const {
-  return {200, "application/json", {}, ToJson(*reader_.fold())};
+  return {200, "application/json", {}, ToJson(*reader_.state())};
 }
 
 void ControlLogShell::Carry(Machine machine, const std::vector<LogAction>& actions) {
@@ -81,7 +81,7 @@
       Carry(machine, compactor_.On(std::move(event)));
       break;
   }
-  if (reader_.learned()) parts_.learned();
+  if (reader_.caught_up()) parts_.learned();
 }
 
 void ControlLogShell::Do(Machine machine, const LogAction& action) {
@@ -112,12 +112,12 @@
             FetchFrom(machine, fetch.peer, "/control/entries?after=" + std::to_string(fetch.after),
                       &ParsedEntries);
           },
-          [&](const FetchFold& fetch) {
+          [&](const FetchState& fetch) {
             FetchFrom(machine, fetch.peer, "/control/fold", &ParsedFold);
           },
-          [&](const PublishFold&) { parts_.fold_moved(); },
+          [&](const PublishState&) { parts_.fold_moved(); },
           [&](const AnswerAppend& done) { Finish(done); },
-          [&](const LogStuck& stuck) {
+          [&](const LogUnreadable& stuck) {
             Log(LogLevel::kError, "control_log_stuck",
                 {{"sequence", std::to_string(stuck.sequence)}, {"why", stuck.why}});
           },
@@ -153,7 +153,7 @@
       {{"outcome", won ? "sequence " + std::to_string(ValueOf(answer.outcome))
                        : std::string(RowOf(ErrorOf(answer.outcome).kind).name)}});
   done(answer.outcome);
-  if (won) return Carry(Machine::kCompactor, compactor_.Consider());
+  if (won) return Carry(Machine::kCompactor, compactor_.CompactIfDue());
   // This node lags: unless it reads on now, the operator's next try is refused too.
   if (ErrorOf(answer.outcome).kind == ErrorKind::kStaleOrders) Poll();
 }
--- a/src/figmilld/control/control_log_shell.h
+++ b/src/figmilld/control/control_log_shell.h
@@ -35,7 +35,7 @@
   void Append(ControlEntry entry, std::string author, std::optional<Sequence> if_version,
               std::optional<Sequence> built_on, std::function<void(Result<Sequence>)> done);
 
-  [[nodiscard]] const std::shared_ptr<const Fold>& fold() const { return reader_.fold(); }
+  [[nodiscard]] const std::shared_ptr<const ControlState>& fold() const { return reader_.state(); }
   // For GET /control/entries?after=N and GET /control/fold.
   [[nodiscard]] HttpResponse EntriesAfter(Sequence after) const;
   [[nodiscard]] HttpResponse WholeFold() const;
--- a/src/figmilld/control/control_shell.cc
+++ b/src/figmilld/control/control_shell.cc
@@ -87,7 +87,7 @@
   }
   void Ask(Sequence sequence) {
     const std::lock_guard lock(mutex_);
-    CarryOut(membership_.Ask(Loop::Now(), sequence));
+    CarryOut(membership_.QuerySequences(Loop::Now(), sequence));
   }
   // Any thread.
   InForceReport InForce(Sequence sequence) {
@@ -130,7 +130,7 @@
     for (const MembershipAction& action : actions) {
       std::visit(Overloaded{
                      [&](const SendDatagram& send) { socket_->Send(send.bytes, send.to); },
-                     [&](const SequenceSeen& seen) {
+                     [&](const PeerAhead& seen) {
                        loop_.Post([this, seen] { log_.Hint(seen.peer, seen.sequence); });
                      },
                      [&](const FetchMembers& fetch) { Fetch(fetch); },
@@ -146,7 +146,7 @@
     call.method = "POST";
     call.to = fetch.http;
     call.target = "/control/members";
-    call.body = fetch.have;
+    call.body = fetch.request;
     call.total_timeout = kPeerTimeout;
     client_.Fetch(std::move(call), [this](const Result<HttpResponse>& response) {
       if (!IsOk(response) || ValueOf(response).status != 200) return;
@@ -178,7 +178,8 @@
     }
     sequence_.Set(static_cast<double>(log_.fold()->sequence));
     members_.Set(static_cast<double>(members.size()));
-    auto snapshot = std::make_shared<const Snapshot>(MakeSnapshot(log_.fold(), std::move(members)));
+    auto snapshot = std::make_shared<const RoutingSnapshot>(
+        MakeRoutingSnapshot(log_.fold(), std::move(members)));
     shell_.snapshot_.store(snapshot);
     ToTraffic([shell = &shell_, snapshot] {
       if (shell->changed_) shell->changed_(snapshot);
@@ -212,8 +213,8 @@
       bool heard = false;
       {
         const std::lock_guard lock(mutex_);
-        if (IsOk(hosts)) membership_.Seed(ValueOf(hosts));
-        heard = membership_.heard().has_value();
+        if (IsOk(hosts)) membership_.SetSeeds(ValueOf(hosts));
+        heard = membership_.last_heard().has_value();
       }
       if (IsOk(hosts)) TellLeaving(ValueOf(hosts));
       const Duration period = heard && !ReadsForDataCentre() ? kSlowSeedPeriod : kSeedPeriod;
@@ -232,7 +233,7 @@
   }
 
   [[nodiscard]] bool ReadsForDataCentre() const {
-    return ReadsStore(membership_.self(), shell_.current()->members, kReadersPerDataCentre);
+    return ReadsLogFromStore(membership_.self(), shell_.current()->members, kReadersPerDataCentre);
   }
 
   ControlShell& shell_;
@@ -256,8 +257,9 @@
 
 ControlShell::ControlShell(Loop& traffic, Metrics& metrics, ControlSettings settings)
     : traffic_(traffic) {
-  Snapshot nothing = MakeSnapshot(std::make_shared<const Fold>(), {settings.self});
-  snapshot_.store(std::make_shared<const Snapshot>(std::move(nothing)));
+  RoutingSnapshot nothing =
+      MakeRoutingSnapshot(std::make_shared<const ControlState>(), {settings.self});
+  snapshot_.store(std::make_shared<const RoutingSnapshot>(std::move(nothing)));
   core_ = std::make_unique<Core>(*this, metrics, std::move(settings));
 }
 
@@ -271,7 +273,8 @@
   core_->Stop();
 }
 
-void ControlShell::OnChange(std::function<void(const std::shared_ptr<const Snapshot>&)> changed) {
+void ControlShell::OnChange(
+    std::function<void(const std::shared_ptr<const RoutingSnapshot>&)> changed) {
   changed_ = std::move(changed);
 }
 
@@ -287,8 +290,8 @@
   core_->loop().Post([this, serves = std::move(serves)] { core_->SetServes(serves); });
 }
 
-std::shared_ptr<const Fold> ControlShell::CurrentFold() const {
-  return current()->fold;
+std::shared_ptr<const ControlState> ControlShell::CurrentFold() const {
+  return current()->control_state;
 }
 
 void ControlShell::Append(ControlEntry entry, std::string author,
--- a/src/figmilld/control/control_shell.h
+++ b/src/figmilld/control/control_shell.h
@@ -35,12 +35,12 @@
   // Ends the control thread; what was published stays.
   void Stop();
   // Called with each new snapshot.
-  void OnChange(std::function<void(const std::shared_ptr<const Snapshot>&)> changed);
+  void OnChange(std::function<void(const std::shared_ptr<const RoutingSnapshot>&)> changed);
   // Called once when a newer process has taken this one's slot; this one must
   // stop, as its dispatches would be refused and its writes fenced anyway.
   void OnSuperseded(std::function<void()> superseded);
 
-  [[nodiscard]] std::shared_ptr<const Snapshot> current() const { return snapshot_.load(); }
+  [[nodiscard]] std::shared_ptr<const RoutingSnapshot> current() const { return snapshot_.load(); }
   // Whether the orders in force could be learned since the start, from the store
   // or from a peer.
   [[nodiscard]] bool ready() const { return ready_.load(); }
@@ -53,7 +53,7 @@
   [[nodiscard]] static bool Handles(std::string_view path) { return path.starts_with("/control/"); }
   void OnRequest(HttpRequest request, std::shared_ptr<HttpReply> reply);
 
-  [[nodiscard]] std::shared_ptr<const Fold> CurrentFold() const override;
+  [[nodiscard]] std::shared_ptr<const ControlState> CurrentFold() const override;
   // As last heard: a snapshot is made anew when members come and go, but not
   // for each sequence that one of them reports.
   [[nodiscard]] std::vector<Member> CurrentMembers() const override;
@@ -67,9 +67,9 @@
   class Core;  // all that lives on the control thread
 
   Loop& traffic_;
-  std::atomic<std::shared_ptr<const Snapshot>> snapshot_;
+  std::atomic<std::shared_ptr<const RoutingSnapshot>> snapshot_;
   std::atomic<bool> ready_{false};
-  std::function<void(const std::shared_ptr<const Snapshot>&)> changed_;
+  std::function<void(const std::shared_ptr<const RoutingSnapshot>&)> changed_;
   std::function<void()> superseded_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
   std::unique_ptr<Core> core_;
--- a/src/figmilld/control/entry_query.cc
+++ b/src/figmilld/control/entry_query.cc
@@ -64,7 +64,7 @@
 }
 
 void EntryQuery::GetConfig(HttpReply& reply) const {
-  const std::shared_ptr<const Fold> fold = shared_->parts.control.CurrentFold();
+  const std::shared_ptr<const ControlState> fold = shared_->parts.control.CurrentFold();
   reply.Send({200,
               "application/json",
               {},
--- a/src/figmilld/control/log_tables.cc
+++ b/src/figmilld/control/log_tables.cc
@@ -12,7 +12,7 @@
 // Replays the log up to one sequence with a reader of its own.
 class Replay : public std::enable_shared_from_this<Replay> {
  public:
-  using Done = std::function<void(Result<std::shared_ptr<const Fold>>)>;
+  using Done = std::function<void(Result<std::shared_ptr<const ControlState>>)>;
   Replay(TableStore& table, ObjectStore& objects, Sequence at, Done done)
       : table_(table), objects_(objects), at_(at), done_(std::move(done)) {}
 
@@ -71,7 +71,7 @@
   }
 
   void Finish() {
-    if (reader_.head() == at_) return done_(reader_.fold());
+    if (reader_.head() == at_) return done_(reader_.state());
     if (failure_) return done_(*failure_);
     done_(Error{ErrorKind::kNotFound,
                 "the log no longer reaches back to version " + std::to_string(at_)});
@@ -105,7 +105,7 @@
 }
 
 void ReadFoldAt(TableStore& table, ObjectStore& objects, Sequence at,
-                std::function<void(Result<std::shared_ptr<const Fold>>)> done) {
+                std::function<void(Result<std::shared_ptr<const ControlState>>)> done) {
   std::make_shared<Replay>(table, objects, at, std::move(done))->Start();
 }
 
--- a/src/figmilld/control/query_operations.cc
+++ b/src/figmilld/control/query_operations.cc
@@ -67,7 +67,7 @@
 
 void QueryOperations::Ask(const query::Show& show, TableDone done) {
   EntryQueryParts& parts = shared_->parts;
-  const std::shared_ptr<const Fold> fold = parts.control.CurrentFold();
+  const std::shared_ptr<const ControlState> fold = parts.control.CurrentFold();
   const auto members = [&] { return parts.control.CurrentMembers(); };
   std::visit(
       Overloaded{
@@ -91,12 +91,12 @@
 
 void QueryOperations::AskConfig(const query::ShowConfig& question, TableDone done) {
   EntryQueryParts& parts = shared_->parts;
-  const std::shared_ptr<const Fold> fold = parts.control.CurrentFold();
+  const std::shared_ptr<const ControlState> fold = parts.control.CurrentFold();
   const Sequence at = question.at.value_or(fold->sequence);
   if (at > fold->sequence) return done(NotYet(at, fold->sequence));
   if (at == fold->sequence) return done(query::ConfigTable(fold->config));
   ReadFoldAt(parts.table, parts.objects, at,
-             [done = std::move(done)](const Result<std::shared_ptr<const Fold>>& then) {
+             [done = std::move(done)](const Result<std::shared_ptr<const ControlState>>& then) {
                if (!IsOk(then)) return done(ErrorOf(then));
                done(query::ConfigTable(ValueOf(then)->config));
              });
@@ -132,7 +132,7 @@
 void QueryOperations::Append(const query::Order& order,
                              std::function<void(Result<Sequence>)> done) {
   ControlAccess& control = shared_->parts.control;
-  const std::shared_ptr<const Fold> fold = control.CurrentFold();
+  const std::shared_ptr<const ControlState> fold = control.CurrentFold();
   const Result<ControlEntry> entry = query::EntryFor(order.command, *fold);
   if (!IsOk(entry)) return done(ErrorOf(entry));
   control.Append(ValueOf(entry), author_, order.if_version, fold->sequence, std::move(done));
--- a/src/figmilld/daemon.h
+++ b/src/figmilld/daemon.h
@@ -22,7 +22,7 @@
     // Nothing new from now on; `finished` is called when what ran has ended.
     std::function<void(std::function<void()> finished)> leave;
     std::function<bool()> leaving;
-    std::function<void(const std::shared_ptr<const Snapshot>& snapshot)> changed;
+    std::function<void(const std::shared_ptr<const RoutingSnapshot>& snapshot)> changed;
   };
 
   // `kind` names the process in logs and traces.
--- a/src/figmilld/entry.cc
+++ b/src/figmilld/entry.cc
@@ -55,7 +55,7 @@
         },
         [this](std::function<void()> finished) { Leave(std::move(finished)); },
         [] { return false; },
-        [this](const std::shared_ptr<const Snapshot>& snapshot) {
+        [this](const std::shared_ptr<const RoutingSnapshot>& snapshot) {
           online_.Update(snapshot);
           batch_.Update(snapshot);
         },
--- a/src/figmilld/traffic/entry_online.cc
+++ b/src/figmilld/traffic/entry_online.cc
@@ -68,7 +68,7 @@
 
 EntryOnline::~EntryOnline() = default;
 
-void EntryOnline::Update(std::shared_ptr<const Snapshot> snapshot) {
+void EntryOnline::Update(std::shared_ptr<const RoutingSnapshot> snapshot) {
   snapshot_ = std::move(snapshot);
   const Time now = Loop::Now();
   parts_.router.Update(*snapshot_, now);
--- a/src/figmilld/traffic/entry_online.h
+++ b/src/figmilld/traffic/entry_online.h
@@ -27,7 +27,7 @@
   ~EntryOnline();
 
   // At each change of configuration or members.
-  void Update(std::shared_ptr<const Snapshot> snapshot);
+  void Update(std::shared_ptr<const RoutingSnapshot> snapshot);
   // Without it, keyed and unrepeatable work runs, but isn't remembered.
   void SetOnce(EntryOnce* once) { once_ = once; }
 
@@ -50,7 +50,7 @@
 
   OnlineParts parts_;
   LimitShares shares_;
-  std::shared_ptr<const Snapshot> snapshot_ = std::make_shared<const Snapshot>();
+  std::shared_ptr<const RoutingSnapshot> snapshot_ = std::make_shared<const RoutingSnapshot>();
   EntryOnce* once_ = nullptr;
   std::unordered_set<std::shared_ptr<OnlineCall>> calls_;
 };
--- a/src/figmilld/traffic/once_view.cc
+++ b/src/figmilld/traffic/once_view.cc
@@ -7,7 +7,7 @@
 namespace figmill {
 namespace {
 
-std::optional<Member> FindIn(const Snapshot& snapshot, const NodeId& node) {
+std::optional<Member> FindIn(const RoutingSnapshot& snapshot, const NodeId& node) {
   for (const Member& member : snapshot.members) {
     if (member.node == node) return member;
   }
@@ -18,14 +18,14 @@
 // An entry that knows nobody else may be the one that is cut off, so it calls
 // nobody gone. Being wrong costs a retry, not a second run: that is what the
 // agent's tombstone and the compare-and-set on the row are for.
-bool IsGone(const Snapshot& snapshot, const OnceParty& party) {
+bool IsGone(const RoutingSnapshot& snapshot, const OnceParty& party) {
   const std::optional<Member> present = FindIn(snapshot, party.node);
   if (present) return present->incarnation > party.incarnation;
   return snapshot.members.size() > 1;
 }
 
 // The entry that `duty` falls to: the same for all that see the same members.
-std::optional<Member> EntryFor(std::string_view duty, const Snapshot& snapshot,
+std::optional<Member> EntryFor(std::string_view duty, const RoutingSnapshot& snapshot,
                                const DataCentre* within) {
   std::optional<Member> chosen;
   std::uint64_t highest = 0;
--- a/src/figmilld/traffic/online_work.cc
+++ b/src/figmilld/traffic/online_work.cc
@@ -49,7 +49,7 @@
   return Ok{};
 }
 
-bool IsServed(const Snapshot& snapshot, const ServiceName& service) {
+bool IsServed(const RoutingSnapshot& snapshot, const ServiceName& service) {
   const auto names_it = [&](const std::vector<ServiceName>& serves) {
     return std::find(serves.begin(), serves.end(), service) != serves.end();
   };
@@ -70,8 +70,8 @@
 }
 
 Result<OnlineWork> Begin(const HttpRequest& request, std::string_view service_name,
-                         std::string path, ServiceKind kind, const Snapshot& snapshot, Time now,
-                         const RandomBits& random) {
+                         std::string path, ServiceKind kind, const RoutingSnapshot& snapshot,
+                         Time now, const RandomBits& random) {
   const Result<std::string> name = ParseId(service_name, "the service's name");
   if (!IsOk(name)) return ErrorOf(name);
   OnlineWork work;
@@ -126,8 +126,8 @@
 
 }  // namespace
 
-Result<OnlineWork> ParseCompletion(const HttpRequest& request, const Snapshot& snapshot, Time now,
-                                   const RandomBits& random) {
+Result<OnlineWork> ParseCompletion(const HttpRequest& request, const RoutingSnapshot& snapshot,
+                                   Time now, const RandomBits& random) {
   const json body = json::parse(request.body, nullptr, false);
   if (!body.is_object()) return Bad("the body must be a JSON object");
   const auto model = body.find("model");
@@ -149,8 +149,8 @@
   return begun;
 }
 
-Result<OnlineWork> ParseServiceCall(const HttpRequest& request, const Snapshot& snapshot, Time now,
-                                    const RandomBits& random) {
+Result<OnlineWork> ParseServiceCall(const HttpRequest& request, const RoutingSnapshot& snapshot,
+                                    Time now, const RandomBits& random) {
   const std::string_view rest = std::string_view(request.path).substr(kServicesPath.size());
   const std::size_t slash = std::min(rest.find('/'), rest.size());
   std::string path = slash < rest.size() ? std::string(rest.substr(slash)) : "/";
--- a/src/figmilld/traffic/online_work.h
+++ b/src/figmilld/traffic/online_work.h
@@ -24,11 +24,11 @@
 // `POST /v1/completions` or `/v1/chat/completions`; the model names the service.
 // Errors: kBadRequest, kUnknownService.
 [[nodiscard]] Result<OnlineWork> ParseCompletion(const HttpRequest& request,
-                                                 const Snapshot& snapshot, Time now,
+                                                 const RoutingSnapshot& snapshot, Time now,
                                                  const RandomBits& random);
 // Any method on `/v1/services/{service}/{path}`. Errors: kBadRequest, kUnknownService.
 [[nodiscard]] Result<OnlineWork> ParseServiceCall(const HttpRequest& request,
-                                                  const Snapshot& snapshot, Time now,
+                                                  const RoutingSnapshot& snapshot, Time now,
                                                   const RandomBits& random);
 
 }  // namespace figmill
--- a/src/figmilld/traffic/work_tables.h
+++ b/src/figmilld/traffic/work_tables.h
@@ -32,6 +32,6 @@
 // The fold as it stood at `at`. Errors: kNotFound when the log no longer reaches
 // back that far, kStoreUnavailable.
 void ReadFoldAt(TableStore& table, ObjectStore& objects, Sequence at,
-                std::function<void(Result<std::shared_ptr<const Fold>>)> done);
+                std::function<void(Result<std::shared_ptr<const ControlState>>)> done);
 
 }  // namespace figmill
--- a/src/online/router.cc
+++ b/src/online/router.cc
@@ -75,7 +75,7 @@
 Router::Router(NodeId self, DataCentre here, RandomBits random)
     : self_(std::move(self)), here_(std::move(here)), random_(std::move(random)) {}
 
-void Router::Update(const Snapshot& snapshot, Time now) {
+void Router::Update(const RoutingSnapshot& snapshot, Time now) {
   config_ = snapshot.config;
   const Config* config = config_.get();
   std::unordered_map<NodeId, Agent> before = std::exchange(agents_, {});
--- a/src/online/team_limits.cc
+++ b/src/online/team_limits.cc
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-void TeamLimits::Update(const Snapshot& snapshot, Time now) {
+void TeamLimits::Update(const RoutingSnapshot& snapshot, Time now) {
   config_ = snapshot.config;
   entries_.clear();
   for (const Member& member : snapshot.members) {
--- a/src/query/entry_for.cc
+++ b/src/query/entry_for.cc
@@ -42,7 +42,7 @@
   unwanted.push_back(name);
 }
 
-Placement PlacementOf(const Fold& fold, const NodeId& node) {
+Placement PlacementOf(const ControlState& fold, const NodeId& node) {
   const auto found = fold.placements.find(node);
   return found == fold.placements.end() ? Placement{} : found->second.placement;
 }
@@ -50,7 +50,7 @@
 // Reads what stands, changes what the statement says, and puts it whole.
 class Translator {
  public:
-  explicit Translator(const Fold& fold) : fold_(fold) {}
+  explicit Translator(const ControlState& fold) : fold_(fold) {}
 
   Result<ControlEntry> operator()(const CreateService& command) const {
     if (fold_.config.services.contains(command.name)) {
@@ -109,7 +109,7 @@
   Result<ControlEntry> operator()(const SetRole& command) const {
     Placement placement = PlacementOf(fold_, command.node);
     placement.role = command.role;
-    return ControlEntry(Place{command.node, std::move(placement)});
+    return ControlEntry(SetPlacement{command.node, std::move(placement)});
   }
 
  private:
@@ -124,15 +124,15 @@
     } else {
       move(placement.models, placement.unwanted_models, name);
     }
-    return Place{node, std::move(placement)};
+    return SetPlacement{node, std::move(placement)};
   }
 
-  const Fold& fold_;
+  const ControlState& fold_;
 };
 
 }  // namespace
 
-Result<ControlEntry> EntryFor(const Command& command, const Fold& fold) {
+Result<ControlEntry> EntryFor(const Command& command, const ControlState& fold) {
   return std::visit(Translator(fold), command);
 }
 
--- a/src/query/state_tables.cc
+++ b/src/query/state_tables.cc
@@ -37,7 +37,7 @@
 }
 
 // Agents that take work for the service.
-std::int64_t BackendsOf(const ServiceName& service, const Fold& fold,
+std::int64_t BackendsOf(const ServiceName& service, const ControlState& fold,
                         std::span<const Member> members) {
   return std::count_if(members.begin(), members.end(), [&](const Member& member) {
     const auto& serves = member.serves;
@@ -62,7 +62,7 @@
   return {{columns.begin(), columns.end()}, {}};
 }
 
-Table HostTable(const Fold& fold, std::span<const Member> members) {
+Table HostTable(const ControlState& fold, std::span<const Member> members) {
   Table table = EmptyTable(ShowHosts{});
   for (const Member& member : members) {
     table.rows.push_back(
@@ -74,7 +74,7 @@
   return table;
 }
 
-Table ServiceTable(const Fold& fold, std::span<const Member> members) {
+Table ServiceTable(const ControlState& fold, std::span<const Member> members) {
   Table table = EmptyTable(ShowServices{});
   for (const auto& [name, service] : fold.config.services) {
     table.rows.push_back(
@@ -85,7 +85,7 @@
   return table;
 }
 
-Table LimitTable(const Fold& fold) {
+Table LimitTable(const ControlState& fold) {
   Table table = EmptyTable(ShowLimits{});
   for (const auto& [team, limit] : fold.config.limits) {
     const std::chrono::duration<double> burst(limit.burst_seconds);
@@ -95,7 +95,7 @@
   return table;
 }
 
-Table PlacementTable(const Fold& fold) {
+Table PlacementTable(const ControlState& fold) {
   Table table = EmptyTable(ShowPlacement{});
   for (const auto& [node, order] : fold.placements) {
     const Placement& placement = order.placement;
--- a/test/control-lease-test.cc
+++ b/test/control-lease-test.cc
@@ -34,7 +34,7 @@
       std::visit(
           Overloaded{[&](ReadRow& e) { Feed(now, RowWasRead{store.Read(e.key)}); },
                      [&](CommitRows& e) { Feed(now, CommitEnded{store.Commit(e.transaction)}); },
-                     [&](LeaseTaken& e) {
+                     [&](LeaseAcquired& e) {
                        holder.emplace(settings, e.grant, fake::Random(++seed_));
                        epochs.push_back(e.grant.epoch);
                      },
@@ -52,7 +52,7 @@
     Do(now, watcher.On(now, std::move(event)));
   }
   void Tick(Time now) { Do(now, holder ? holder->Tick(now) : watcher.Tick(now)); }
-  [[nodiscard]] bool MayAct(Time now) const { return holder && holder->MayAct(now); }
+  [[nodiscard]] bool HoldsLease(Time now) const { return holder && holder->IsValid(now); }
 
   Store& store;
   LeaseSettings settings;
@@ -77,8 +77,8 @@
   for (Time now = At(0); now < At(60); now += kTick) {
     a.Tick(now);
     b.Tick(now);
-    CHECK(a.MayAct(now));
-    CHECK_FALSE(b.MayAct(now));
+    CHECK(a.HoldsLease(now));
+    CHECK_FALSE(b.HoldsLease(now));
   }
   CHECK(Current(store).epoch == 1);
   CHECK(Current(store).renewals > 30);
@@ -94,11 +94,11 @@
   a.Tick(At(0));
   for (Time now = At(0.05); now < At(13); now += kTick) {
     b.Tick(now);
-    CHECK_FALSE((a.MayAct(now) && b.MayAct(now)));
+    CHECK_FALSE((a.HoldsLease(now) && b.HoldsLease(now)));
   }
-  CHECK(b.MayAct(At(13)));
+  CHECK(b.HoldsLease(At(13)));
   CHECK(b.epochs == std::vector<Epoch>{2});
-  CHECK_FALSE(a.MayAct(At(13)));
+  CHECK_FALSE(a.HoldsLease(At(13)));
   a.Tick(At(13));  // the renewal is rejected
   CHECK(a.losses == 1);
   CHECK(Current(store).holder == NodeId{"b"});
@@ -127,7 +127,7 @@
       int acting = 0;
       for (std::size_t i = 0; i < 3; ++i) {
         if (now >= asleep_until[i]) all[i].Tick(now);
-        if (all[i].MayAct(now)) {
+        if (all[i].HoldsLease(now)) {
           ++acting;
           CHECK(all[i].holder->epoch() >= highest);
           highest = std::max(highest, all[i].holder->epoch());
@@ -148,16 +148,16 @@
   a.Tick(At(0));
   store.next = Fault::kAnswerLost;
   a.Tick(At(2));  // takes effect; read back immediately
-  CHECK(a.MayAct(At(5.9)));
-  CHECK_FALSE(a.MayAct(At(6.1)));
+  CHECK(a.HoldsLease(At(5.9)));
+  CHECK_FALSE(a.HoldsLease(At(6.1)));
   CHECK(a.losses == 0);
 
   // A renewal that never takes effect doesn't count, however often the row is read.
   store.next = Fault::kRequestLost;
   a.Tick(At(4));
-  CHECK_FALSE(a.MayAct(At(6.1)));
+  CHECK_FALSE(a.HoldsLease(At(6.1)));
   a.Tick(At(5.6));
-  CHECK(a.MayAct(At(9.5)));
+  CHECK(a.HoldsLease(At(9.5)));
 }
 
 TEST_CASE("a takeover with a lost answer is recognized by its token") {
@@ -165,7 +165,7 @@
   Candidate a(store, "a", 10);
   store.next = Fault::kAnswerLost;
   a.Tick(At(0));
-  CHECK(a.MayAct(At(1)));
+  CHECK(a.HoldsLease(At(1)));
   CHECK(a.epochs == std::vector<Epoch>{1});
 }
 
@@ -176,9 +176,9 @@
   a.Tick(At(0));
   b.Tick(At(0.1));
   a.Do(At(1), a.holder->Release(At(1)));
-  CHECK_FALSE(a.MayAct(At(1)));
+  CHECK_FALSE(a.HoldsLease(At(1)));
   b.Tick(At(1.1));
-  CHECK(b.MayAct(At(1.2)));
+  CHECK(b.HoldsLease(At(1.2)));
   CHECK(b.epochs == std::vector<Epoch>{2});
 }
 
--- a/test/control-log-test.cc
+++ b/test/control-log-test.cc
@@ -22,12 +22,12 @@
   template <typename Machine>
   void Do(Machine& machine, std::vector<LogAction> actions) {
     for (LogAction& action : actions) {
-      std::visit(Overloaded{[&](PublishFold&) { published.push_back(reader.head()); },
-                            [&](LogStuck& stuck) { FAIL(stuck.why); },
+      std::visit(Overloaded{[&](PublishState&) { published.push_back(reader.head()); },
+                            [&](LogUnreadable& stuck) { FAIL(stuck.why); },
                             [&](DeleteObject& e) { store.objects.erase(e.key); },
                             [&](AnswerAppend& e) {
                               answers[e.append] = e.outcome;
-                              if (IsOk(e.outcome)) Do(compactor, compactor.Consider());
+                              if (IsOk(e.outcome)) Do(compactor, compactor.CompactIfDue());
                             },
                             [&](auto& call) {
                               requests.push_back([this, &machine, call] {
@@ -51,7 +51,9 @@
     if (!entries) return EntriesFetched{Error{ErrorKind::kNotFound, "too far back"}};
     return EntriesFetched{*entries};
   }
-  LogEvent Answer(const FetchFold&) { return FoldFetched{ParseFold(ToJson(*peer->reader.fold()))}; }
+  LogEvent Answer(const FetchState&) {
+    return StateFetched{ParseControlState(ToJson(*peer->reader.state()))};
+  }
 
   // Carries out the oldest request; false if there is none.
   bool Step() {
@@ -144,42 +146,42 @@
       Drain{{"n2"}},
       Undrain{{"n2"}},
       CancelJob{{"j"}},
-      Place{{"n1"}, {{{"m", "3"}}, {{"x", "1"}}, {{"m", "2"}}, {}, "decode"}},
+      SetPlacement{{"n1"}, {{{"m", "3"}}, {{"x", "1"}}, {{"m", "2"}}, {}, "decode"}},
       RemoveBackend{{"n2"}}};
-  Fold direct;
-  Fold through_json;
+  ControlState direct;
+  ControlState through_json;
   for (const ControlEntry& entry : entries) {
     const LogRecord record{direct.sequence + 1, {"t"}, "ana", entry};
-    REQUIRE(IsOk(Check(direct, entry)));
+    REQUIRE(IsOk(CheckEntry(direct, entry)));
     Apply(direct, record);
     const Result<LogRecord> parsed = ParseLogRecord(ToJson(record));
     REQUIRE(IsOk(parsed));
     Apply(through_json, ValueOf(parsed));
   }
   CHECK(ToJson(direct) == ToJson(through_json));
-  const Result<Fold> fold = ParseFold(ToJson(direct));
-  REQUIRE(IsOk(fold));
-  CHECK(ToJson(ValueOf(fold)) == ToJson(direct));
-  CHECK(ValueOf(fold).config.backends.at({"n1"}).drained);
-  CHECK(ValueOf(fold).placements.at({"n1"}).sequence == 10);
+  const Result<ControlState> state = ParseControlState(ToJson(direct));
+  REQUIRE(IsOk(state));
+  CHECK(ToJson(ValueOf(state)) == ToJson(direct));
+  CHECK(ValueOf(state).config.backends.at({"n1"}).drained);
+  CHECK(ValueOf(state).placements.at({"n1"}).sequence == 10);
 }
 
 TEST_CASE("replacing the configuration keeps drains, and the list of cancellations is bounded") {
-  Fold fold;
+  ControlState state;
   const auto apply = [&](ControlEntry entry) {
-    Apply(fold, LogRecord{fold.sequence + 1, {"t"}, "ana", std::move(entry)});
+    Apply(state, LogRecord{state.sequence + 1, {"t"}, "ana", std::move(entry)});
   };
   apply(Drain{{"n1"}});
   Config config;
   config.backends[{"n1"}] = BackendConfig{{"n1"}, {}};
   apply(ReplaceConfig{config});
-  CHECK(fold.config.backends.at({"n1"}).drained);
+  CHECK(state.config.backends.at({"n1"}).drained);
   for (std::size_t i = 0; i < kMaxCancelledJobs + 10; ++i) {
     apply(CancelJob{{"job-" + std::to_string(i)}});
   }
-  CHECK(fold.cancelled_jobs.size() == kMaxCancelledJobs);
-  CHECK_FALSE(fold.cancelled_jobs.contains({"job-9"}));
-  CHECK(fold.cancelled_jobs.contains({"job-10"}));
+  CHECK(state.cancelled_jobs.size() == kMaxCancelledJobs);
+  CHECK_FALSE(state.cancelled_jobs.contains({"job-9"}));
+  CHECK(state.cancelled_jobs.contains({"job-10"}));
 }
 
 TEST_CASE("an append whose commit answer was lost reports the actual outcome") {
@@ -312,7 +314,7 @@
   CHECK(store.rows.size() == accepted);
   for (auto& node : nodes) {
     node->Poll();
-    CHECK(ToJson(*node->reader.fold()) == ToJson(*nodes[0]->reader.fold()));
+    CHECK(ToJson(*node->reader.state()) == ToJson(*nodes[0]->reader.state()));
     CHECK(std::is_sorted(node->published.begin(), node->published.end()));
   }
 }
@@ -385,11 +387,11 @@
   // A new node is not caught up until it has read the whole log.
   Node fresh(store, 3);
   fresh.Do(fresh.reader, fresh.reader.Poll());
-  while (!fresh.reader.learned()) REQUIRE(fresh.Step());
+  while (!fresh.reader.caught_up()) REQUIRE(fresh.Step());
   CHECK(fresh.reader.head() == many + 1);
   busy.Poll();
-  CHECK(ToJson(*fresh.reader.fold()) == ToJson(*busy.reader.fold()));
-  CHECK(ToJson(*paused.reader.fold()) == ToJson(*busy.reader.fold()));
+  CHECK(ToJson(*fresh.reader.state()) == ToJson(*busy.reader.state()));
+  CHECK(ToJson(*paused.reader.state()) == ToJson(*busy.reader.state()));
 }
 
 TEST_CASE("a node that starts while the store is down gets the state from a peer") {
@@ -403,17 +405,17 @@
   fresh.peer = &old;
   fresh.Poll();
   CHECK(fresh.reader.head() == 0);
-  CHECK_FALSE(fresh.reader.learned());
-  fresh.Do(fresh.reader, fresh.reader.Hint({"old"}, old.reader.head()));
+  CHECK_FALSE(fresh.reader.caught_up());
+  fresh.Do(fresh.reader, fresh.reader.OnPeerAhead({"old"}, old.reader.head()));
   fresh.RunAll();
-  CHECK(fresh.reader.learned());
-  CHECK(ToJson(*fresh.reader.fold()) == ToJson(*old.reader.fold()));
+  CHECK(fresh.reader.caught_up());
+  CHECK(ToJson(*fresh.reader.state()) == ToJson(*old.reader.state()));
 
   // A lagging peer or an older state never moves the head back.
   Node lagging(store, 3);
   fresh.peer = &lagging;
-  fresh.Do(fresh.reader, fresh.reader.Hint({"lagging"}, old.reader.head() + 5));
+  fresh.Do(fresh.reader, fresh.reader.OnPeerAhead({"lagging"}, old.reader.head() + 5));
   fresh.RunAll();
-  CHECK_FALSE(fresh.reader.Advance(*lagging.reader.fold()));
+  CHECK_FALSE(fresh.reader.Advance(*lagging.reader.state()));
   CHECK(fresh.reader.head() == old.reader.head());
 }
--- a/test/control-membership-test.cc
+++ b/test/control-membership-test.cc
@@ -128,7 +128,7 @@
   Assemble(net, 100);
   net.Order("entry-0", 3);
   const auto sure = net.TimeUntil(Duration(6'000'000), [&] {
-    net.Do("entry-0", net["entry-0"].Ask(net.now, 3));
+    net.Do("entry-0", net["entry-0"].QuerySequences(net.now, 3));
     return net["entry-0"].InForce(3).lagging.empty();
   });
   CHECK(sure.has_value());
@@ -162,7 +162,7 @@
   const auto readers = [&](const std::string& data_centre) {
     std::set<std::string> found;
     for (const Member& member : members) {
-      if (member.data_centre.value == data_centre && ReadsStore(member, members, 2)) {
+      if (member.data_centre.value == data_centre && ReadsLogFromStore(member, members, 2)) {
         found.insert(member.node.value);
       }
     }
--- a/test/control-net.h
+++ b/test/control-net.h
@@ -51,7 +51,7 @@
     slot = Slot{};
     slot.region = region;
     slot.membership = std::make_unique<Membership>(self, MembershipSettings{}, Random(random_()));
-    slot.membership->Seed(listed);
+    slot.membership->SetSeeds(listed);
   }
   void Stop(const std::string& name) { slots_.erase(name); }
 
@@ -86,12 +86,13 @@
   }
   void Do(const std::string& name, const std::vector<MembershipAction>& actions) {
     for (const MembershipAction& action : actions) {
-      std::visit(Overloaded{[&](const SendDatagram& e) { Send(name, e); },
-                            [&](const SequenceSeen& e) { Fetch(name, e); },
-                            [&](const FetchMembers& e) { FetchTable(name, e.peer.value, e.have); },
-                            [](const MembersChanged&) {},
-                            [&](const Superseded&) { slots_.at(name).superseded = true; }},
-                 action);
+      std::visit(
+          Overloaded{[&](const SendDatagram& e) { Send(name, e); },
+                     [&](const PeerAhead& e) { Fetch(name, e); },
+                     [&](const FetchMembers& e) { FetchTable(name, e.peer.value, e.request); },
+                     [](const MembersChanged&) {},
+                     [&](const Superseded&) { slots_.at(name).superseded = true; }},
+          action);
     }
   }
 
@@ -179,7 +180,7 @@
       Do(name, slots_.at(name).membership->OnMembers(now, ValueOf(members)));
     });
   }
-  void Fetch(const std::string& name, const SequenceSeen& seen) {
+  void Fetch(const std::string& name, const PeerAhead& seen) {
     Slot& slot = slots_.at(name);
     if (slot.fetching || seen.sequence <= slot.sequence) return;
     slot.fetching = seen.sequence;
--- a/test/online-limits-test.cc
+++ b/test/online-limits-test.cc
@@ -16,8 +16,8 @@
 const TeamId kTeam{"harbour"};
 constexpr Duration kTick{10'000};
 
-Snapshot Entries(int n, double requests, double tokens) {
-  Snapshot snapshot;
+RoutingSnapshot Entries(int n, double requests, double tokens) {
+  RoutingSnapshot snapshot;
   auto config = std::make_shared<Config>();
   config->limits[kTeam] = {kTeam, requests, tokens, 2};
   snapshot.config = config;
@@ -75,7 +75,7 @@
     }
   }
 
-  Snapshot snapshot_;
+  RoutingSnapshot snapshot_;
   std::deque<TeamLimits> limits_;
   std::map<NodeId, TeamShares> homes_;
   std::mt19937 random_{1};
--- a/test/online-router-test.cc
+++ b/test/online-router-test.cc
@@ -26,15 +26,16 @@
   return member;
 }
 
-Snapshot Fleet(int agents) {
-  Snapshot snapshot;
+RoutingSnapshot Fleet(int agents) {
+  RoutingSnapshot snapshot;
   snapshot.config = std::make_shared<Config>();
   for (int i = 0; i < agents; ++i) snapshot.members.push_back(Agent(i));
   return snapshot;
 }
 
 struct Bench {
-  explicit Bench(const Snapshot& snapshot, const std::string& self = "e0") : router(Made(self)) {
+  explicit Bench(const RoutingSnapshot& snapshot, const std::string& self = "e0")
+      : router(Made(self)) {
     router.Update(snapshot, kStart);
   }
   Router Made(const std::string& self) {
@@ -58,7 +59,7 @@
 }  // namespace
 
 TEST_CASE("each entry knows a bounded subset, and together they load agents evenly") {
-  const Snapshot fleet = Fleet(100);
+  const RoutingSnapshot fleet = Fleet(100);
   std::map<std::string, int> to;
   for (int entry = 0; entry < 60; ++entry) {
     Bench bench(fleet, "e" + std::to_string(entry));
@@ -70,7 +71,7 @@
 }
 
 TEST_CASE("leaving, drained and dead agents are out at once, suspect ones unless alone") {
-  Snapshot fleet = Fleet(5);
+  RoutingSnapshot fleet = Fleet(5);
   fleet.members[0].leaving = true;
   fleet.members[1].liveness = Liveness::kDead;
   fleet.members[2].liveness = Liveness::kSuspect;
@@ -114,7 +115,7 @@
 }
 
 TEST_CASE("another data centre is used when its agents are less loaded by the hop's price") {
-  Snapshot fleet = Fleet(2);
+  RoutingSnapshot fleet = Fleet(2);
   fleet.members.push_back(Agent(2, "north/b"));
   fleet.members.push_back(Agent(3, "south/a"));
   Bench bench(fleet);
@@ -130,7 +131,7 @@
   // fault of all agents ends with one of them taking all the load.
   // Sequence: agents answer nothing; each failure is reported to the router.
   // Cause: no memory of failures; or ejection without a floor.
-  Snapshot fleet = Fleet(4);
+  RoutingSnapshot fleet = Fleet(4);
   Bench bench(fleet);
   fleet.members.push_back(Agent(4));
   bench.router.Update(fleet, kStart);
@@ -158,7 +159,7 @@
   // Sequence: agents a0..a3 of twelve answer nothing and never started the work;
   // every request of 40 entries is repeatable.
   // Cause: each failed request is sent again, without a budget or a memory.
-  const Snapshot fleet = Fleet(12);
+  const RoutingSnapshot fleet = Fleet(12);
   int requests = 0, attempts = 0, answered = 0;
   for (int entry = 0; entry < 40; ++entry) {
     Bench bench(fleet, "e" + std::to_string(entry));
@@ -214,7 +215,7 @@
 // beside any online, batch may stretch the token gap by a small share only.
 // Cause: spreading a load that a few engines could hold within their marks.
 TEST_CASE("online keeps to the fewest agents that hold it, the same at every entry") {
-  Snapshot fleet = Fleet(10);
+  RoutingSnapshot fleet = Fleet(10);
   auto config = std::make_shared<Config>();
   config->services[kService].kind = ServiceKind::kModel;
   fleet.config = config;
--- a/test/placement-engine-test.cc
+++ b/test/placement-engine-test.cc
@@ -110,10 +110,11 @@
   EngineState last;
 };
 
-Fold Wanting(Sequence sequence, const char* version, const char* role, bool checks_fencing) {
-  Fold fold;
+ControlState Wanting(Sequence sequence, const char* version, const char* role,
+                     bool checks_fencing) {
+  ControlState fold;
   fold.config.backends[NodeId{"a-1"}] = {NodeId{"a-1"}, {}, checks_fencing};
-  Fold::PlacementOrder& order = fold.placements[NodeId{"a-1"}];
+  ControlState::PlacementOrder& order = fold.placements[NodeId{"a-1"}];
   order.sequence = sequence;
   order.placement.models = {{"note-llm", version}};
   order.placement.role = role;
--- a/test/query-entry-test.cc
+++ b/test/query-entry-test.cc
@@ -52,7 +52,7 @@
 class FakeControl : public ControlAccess {
  public:
   explicit FakeControl(fake::Store& store) : store_(store) {}
-  std::shared_ptr<const Fold> CurrentFold() const override { return fold; }
+  std::shared_ptr<const ControlState> CurrentFold() const override { return fold; }
   std::vector<Member> CurrentMembers() const override { return members; }
   void Append(ControlEntry entry, std::string author, std::optional<Sequence> if_version,
               std::optional<Sequence> /*built_on*/,
@@ -60,10 +60,10 @@
     if (if_version && *if_version != fold->sequence) {
       return done(Error{ErrorKind::kStaleVersion, "the log stands elsewhere"});
     }
-    const Result<Ok> checked = Check(*fold, entry);
+    const Result<Ok> checked = CheckEntry(*fold, entry);
     if (!IsOk(checked)) return done(ErrorOf(checked));
     const LogRecord record{fold->sequence + 1, Token{"t"}, std::move(author), std::move(entry)};
-    auto next = std::make_shared<Fold>(*fold);
+    auto next = std::make_shared<ControlState>(*fold);
     Apply(*next, record);
     fold = next;
     (void)store_.Commit({{}, {PutRow{LogKey(record.sequence), ToJson(record)}}});
@@ -76,7 +76,7 @@
   }
   InForceReport InForce(Sequence /*sequence*/) const override { return report; }
 
-  std::shared_ptr<const Fold> fold = std::make_shared<const Fold>();
+  std::shared_ptr<const ControlState> fold = std::make_shared<const ControlState>();
   std::vector<Member> members;
   InForceReport report{1, {}, {}};
   int asks_until_in_force = 1;
--- a/test/query-orders-test.cc
+++ b/test/query-orders-test.cc
@@ -15,7 +15,7 @@
     const auto entry = Translate(text);
     CAPTURE(text);
     REQUIRE(IsOk(entry));
-    REQUIRE(IsOk(Check(fold_, ValueOf(entry))));
+    REQUIRE(IsOk(CheckEntry(fold_, ValueOf(entry))));
     Apply(fold_, {fold_.sequence + 1, Token{"t"}, "test", ValueOf(entry)});
   }
   [[nodiscard]] Result<ControlEntry> Translate(std::string_view text) const {
@@ -24,13 +24,13 @@
     const auto& order = std::get<query::Order>(std::get<query::Statement>(parsed));
     return query::EntryFor(order.command, fold_);
   }
-  [[nodiscard]] const Fold& fold() const { return fold_; }
+  [[nodiscard]] const ControlState& fold() const { return fold_; }
   [[nodiscard]] const ServiceConfig& service(const char* name) const {
     return fold_.config.services.at(ServiceName{name});
   }
 
  private:
-  Fold fold_;
+  ControlState fold_;
 };
 
 std::string TextOf(query::Table table) {
--- a/test/quota-ways.h
+++ b/test/quota-ways.h
@@ -95,7 +95,7 @@
   }
 
   QuotaWorld& world_;
-  Snapshot snapshot_;
+  RoutingSnapshot snapshot_;
   std::deque<TeamLimits> limits_;
   std::map<int, TeamShares> homes_;
 };
