--- a/src/control/config_json.cc
+++ b/src/control/config_json.cc
@@ -8,7 +8,7 @@
   RouteRule rule;
   ObjectReader object(json, where, status);
   object.Allow({"path_prefix", "repeatable"});
-  object.NeedText("path_prefix", rule.path_prefix);
+  object.RequireText("path_prefix", rule.path_prefix);
   object.Bool("repeatable", rule.repeatable);
   return rule;
 }
@@ -42,7 +42,7 @@
   ServiceConfig service;
   ObjectReader object(json, where, status);
   object.Allow({"name", "kind", "repeatable", "routes", "target", "default_deadline_ms"});
-  object.NeedId("name", service.name);
+  object.RequireId("name", service.name);
   std::string kind = "model";
   object.Text("kind", kind);
   if (kind != "model" && kind != "plain") {
@@ -64,7 +64,7 @@
   TeamLimit limit;
   ObjectReader object(json, where, status);
   object.Allow({"team", "requests_per_second", "tokens_per_second", "burst_seconds"});
-  object.NeedId("team", limit.team);
+  object.RequireId("team", limit.team);
   object.Number("requests_per_second", limit.requests_per_second);
   object.Number("tokens_per_second", limit.tokens_per_second);
   object.Number("burst_seconds", limit.burst_seconds);
@@ -75,7 +75,7 @@
   BackendConfig backend;
   ObjectReader object(json, where, status);
   object.Allow({"agent", "serves", "checks_fencing"});
-  object.NeedId("agent", backend.agent);
+  object.RequireId("agent", backend.agent);
   object.Ids("serves", backend.serves);
   object.Bool("checks_fencing", backend.checks_fencing);
   return backend;
--- a/src/control/control_state.cc
+++ b/src/control/control_state.cc
@@ -12,10 +12,10 @@
 constexpr std::size_t kMaxEntryBytes = 1U << 20;
 constexpr std::size_t kMaxPlacedNames = 256;
 
-Error Bad(std::string detail) {
+Error BadRequest(std::string detail) {
   return Error{ErrorKind::kBadRequest, std::move(detail)};
 }
-Error Missing(std::string detail) {
+Error NotFound(std::string detail) {
   return Error{ErrorKind::kNotFound, std::move(detail)};
 }
 
@@ -46,7 +46,7 @@
 }
 
 Result<Ok> CheckNames(std::span<const VersionedName> names, std::string_view what) {
-  if (names.size() > kMaxPlacedNames) return Bad("too many " + std::string(what));
+  if (names.size() > kMaxPlacedNames) return BadRequest("too many " + std::string(what));
   std::set<VersionedName> seen;
   for (const VersionedName& each : names) {
     const Result<std::string> name = ParseId(each.name, what);
@@ -54,22 +54,23 @@
     const Result<std::string> version = ParseId(each.version, "a version");
     if (!IsOk(version)) return ErrorOf(version);
     if (!seen.insert(each).second) {
-      return Bad(std::string(what) + " " + each.name + " " + each.version + " is named twice");
+      return BadRequest(std::string(what) + " " + each.name + " " + each.version +
+                        " is named twice");
     }
   }
   return Ok{};
 }
 
-Result<Ok> CheckSetPlacement(const ControlState& state, const SetPlacement& place) {
-  if (!state.config.backends.contains(place.agent)) {
-    return Missing("no backend server is configured for agent " + place.agent.value);
+Result<Ok> CheckSetPlacement(const ControlState& state, const SetPlacement& entry) {
+  if (!state.config.backends.contains(entry.agent)) {
+    return NotFound("no backend server is configured for agent " + entry.agent.value);
   }
-  if (!place.placement.role.empty()) {
-    const Result<std::string> role = ParseId(place.placement.role, "a role");
+  if (!entry.placement.role.empty()) {
+    const Result<std::string> role = ParseId(entry.placement.role, "a role");
     if (!IsOk(role)) return ErrorOf(role);
   }
   using Names = std::span<const VersionedName>;
-  const Placement& placement = place.placement;
+  const Placement& placement = entry.placement;
   for (const Names models : {Names(placement.models), Names(placement.unwanted_models)}) {
     Result<Ok> checked = CheckNames(models, "a model");
     if (!IsOk(checked)) return checked;
@@ -92,11 +93,11 @@
   return std::visit(
       Overloaded{[&](const RemoveService& e) -> Result<Ok> {
                    if (state.config.services.contains(e.service)) return Ok{};
-                   return Missing("there is no service " + e.service.value);
+                   return NotFound("there is no service " + e.service.value);
                  },
                  [&](const RemoveBackend& e) -> Result<Ok> {
                    if (state.config.backends.contains(e.agent)) return Ok{};
-                   return Missing("no backend server is configured for agent " + e.agent.value);
+                   return NotFound("no backend server is configured for agent " + e.agent.value);
                  },
                  [&](const Drain& e) -> Result<Ok> {
                    if (state.drained.size() >= kMaxDrainedNodes &&
@@ -191,10 +192,10 @@
         ObjectReader object(document, "fold", r);
         object.Allow(
             {"sequence", "author", "change", "config", "drained", "cancelled_jobs", "placements"});
-        object.NeedNatural("sequence", state.sequence);
+        object.RequireNatural("sequence", state.sequence);
         object.Text("author", state.author);
         object.Text("change", state.change);
-        if (const Json* config = object.Need("config")) {
+        if (const Json* config = object.Require("config")) {
           state.config = detail::ReadConfig(*config, "fold.config", r);
         }
         std::vector<NodeId> drained;
@@ -203,16 +204,16 @@
         object.Array("cancelled_jobs", [&](const Json& element, const std::string& where) {
           JobId job;
           ObjectReader reader(element, where, r);
-          reader.NeedId("job", job);
-          reader.NeedNatural("sequence", state.cancelled_jobs[job]);
+          reader.RequireId("job", job);
+          reader.RequireNatural("sequence", state.cancelled_jobs[job]);
         });
         object.Array("placements", [&](const Json& element, const std::string& where) {
           NodeId agent;
           ControlState::PlacementOrder order;
           ObjectReader reader(element, where, r);
-          reader.NeedId("agent", agent);
-          reader.NeedNatural("sequence", order.sequence);
-          if (const Json* placement = reader.Need("placement")) {
+          reader.RequireId("agent", agent);
+          reader.RequireNatural("sequence", order.sequence);
+          if (const Json* placement = reader.Require("placement")) {
             order.placement = detail::ReadPlacement(*placement, where + ".placement", r);
           }
           state.placements[agent] = std::move(order);
--- a/src/control/entry_json.cc
+++ b/src/control/entry_json.cc
@@ -13,8 +13,8 @@
     Id<struct VersionTag> version;
     ObjectReader reader(element, where, object.status());
     reader.Allow({"name", "version"});
-    reader.NeedId("name", id);
-    reader.NeedId("version", version);
+    reader.RequireId("name", id);
+    reader.RequireId("version", version);
     out.push_back({id.value, version.value});
   });
   return out;
@@ -67,13 +67,13 @@
 constexpr std::string_view kSetPlacement = "place";
 
 ControlEntry ReadSetPlacement(ObjectReader& object) {
-  SetPlacement place;
+  SetPlacement entry;
   object.Allow({"order", "agent", "placement"});
-  object.NeedId("agent", place.agent);
-  if (const Json* placement = object.Need("placement")) {
-    place.placement = ReadPlacement(*placement, object.Path("placement"), object.status());
+  object.RequireId("agent", entry.agent);
+  if (const Json* placement = object.Require("placement")) {
+    entry.placement = ReadPlacement(*placement, object.Path("placement"), object.status());
   }
-  return place;
+  return entry;
 }
 
 }  // namespace
@@ -101,12 +101,12 @@
 ControlEntry ReadEntry(const Json& json, const std::string& where, ParseStatus& status) {
   ObjectReader object(json, where, status);
   std::string order;
-  object.NeedText("order", order);
+  object.RequireText("order", order);
   if (order == kSetPlacement) return ReadSetPlacement(object);
   for (const EntryFormat& format : kEntryFormats) {
     if (format.order != order) continue;
     object.Allow({"order", format.field});
-    const Json* field = object.Need(format.field);
+    const Json* field = object.Require(format.field);
     if (field == nullptr) return {};
     return format.read(*field, object.Path(format.field), status);
   }
@@ -173,10 +173,10 @@
         LogRecord record;
         ObjectReader object(document, "record", r);
         object.Allow({"sequence", "token", "author", "entry"});
-        object.NeedNatural("sequence", record.sequence);
-        object.NeedText("token", record.token.value);
-        object.NeedText("author", record.author);
-        if (const Json* entry = object.Need("entry")) {
+        object.RequireNatural("sequence", record.sequence);
+        object.RequireText("token", record.token.value);
+        object.RequireText("author", record.author);
+        if (const Json* entry = object.Require("entry")) {
           record.entry = detail::ReadEntry(*entry, "record.entry", r);
         }
         return record;
--- a/src/control/json.h
+++ b/src/control/json.h
@@ -54,7 +54,7 @@
     const auto found = json_.find(name);
     return found == json_.end() ? nullptr : &*found;
   }
-  [[nodiscard]] const Json* Need(std::string_view name) {
+  [[nodiscard]] const Json* Require(std::string_view name) {
     const Json* found = Find(name);
     if (found == nullptr) status_.Fail(where_ + " needs a field '" + std::string(name) + "'");
     return found;
@@ -62,29 +62,29 @@
 
   void Text(std::string_view name, std::string& out) {
     if (const Json* found = Find(name)) {
-      if (!found->is_string()) return Wrong(name, "a string");
+      if (!found->is_string()) return FailType(name, "a string");
       out = found->get<std::string>();
     }
   }
-  void NeedText(std::string_view name, std::string& out) {
-    if (Need(name) != nullptr) Text(name, out);
+  void RequireText(std::string_view name, std::string& out) {
+    if (Require(name) != nullptr) Text(name, out);
   }
   template <typename Tag>
-  void NeedId(std::string_view name, Id<Tag>& out) {
-    NeedText(name, out.value);
+  void RequireId(std::string_view name, Id<Tag>& out) {
+    RequireText(name, out.value);
     if (!status_.ok()) return;
     const Result<std::string> id = ParseId(out.value, Path(name));
     if (!IsOk(id)) status_.Fail(ErrorOf(id).detail);
   }
   void Bool(std::string_view name, bool& out) {
     if (const Json* found = Find(name)) {
-      if (!found->is_boolean()) return Wrong(name, "true or false");
+      if (!found->is_boolean()) return FailType(name, "true or false");
       out = found->get<bool>();
     }
   }
   void Number(std::string_view name, double& out) {
     if (const Json* found = Find(name)) {
-      if (!found->is_number()) return Wrong(name, "a number");
+      if (!found->is_number()) return FailType(name, "a number");
       out = found->get<double>();
     }
   }
@@ -93,21 +93,21 @@
     if (const Json* found = Find(name)) {
       if (!found->is_number_unsigned() ||
           found->get<std::uint64_t>() > std::numeric_limits<N>::max()) {
-        return Wrong(name, "a whole number in range");
+        return FailType(name, "a whole number in range");
       }
       out = found->get<N>();
     }
   }
   template <typename N>
-  void NeedNatural(std::string_view name, N& out) {
-    if (Need(name) != nullptr) Natural(name, out);
+  void RequireNatural(std::string_view name, N& out) {
+    if (Require(name) != nullptr) Natural(name, out);
   }
   // Milliseconds, possibly fractional.
   void Milliseconds(std::string_view name, Duration& out) {
     constexpr double kMost = 1e12;  // 31 years; keeps the conversion defined
     double value = static_cast<double>(out.count()) / 1000.0;
     Number(name, value);
-    if (!(value >= 0 && value <= kMost)) return Wrong(name, "a time in milliseconds");
+    if (!(value >= 0 && value <= kMost)) return FailType(name, "a time in milliseconds");
     out = Duration(std::llround(value * 1000.0));
   }
   // Calls `each(element, where)` for the elements of an array.
@@ -115,7 +115,7 @@
   void Array(std::string_view name, Each each) {
     const Json* found = Find(name);
     if (found == nullptr) return;
-    if (!found->is_array()) return Wrong(name, "an array");
+    if (!found->is_array()) return FailType(name, "an array");
     std::size_t index = 0;
     for (const Json& element : *found) {
       each(element, Path(name) + "[" + std::to_string(index++) + "]");
@@ -137,7 +137,7 @@
   [[nodiscard]] ParseStatus& status() { return status_; }
 
  private:
-  void Wrong(std::string_view name, std::string_view expected) {
+  void FailType(std::string_view name, std::string_view expected) {
     status_.Fail(Path(name) + " must be " + std::string(expected));
   }
 
--- a/src/control/lease_row.cc
+++ b/src/control/lease_row.cc
@@ -14,11 +14,11 @@
         LeaseRow row;
         ObjectReader object(document, "lease", r);
         object.Allow({"token", "holder", "incarnation", "epoch", "renewals"});
-        object.NeedText("token", row.token.value);
-        object.NeedText("holder", row.holder.value);
-        object.NeedNatural("incarnation", row.incarnation);
-        object.NeedNatural("epoch", row.epoch);
-        object.NeedNatural("renewals", row.renewals);
+        object.RequireText("token", row.token.value);
+        object.RequireText("holder", row.holder.value);
+        object.RequireNatural("incarnation", row.incarnation);
+        object.RequireNatural("epoch", row.epoch);
+        object.RequireNatural("renewals", row.renewals);
         return row;
       });
 }
--- a/src/control/lease_watcher.cc
+++ b/src/control/lease_watcher.cc
@@ -48,8 +48,8 @@
   const Epoch epoch = (seen_ ? seen_->epoch : 0) + 1;
   // An attempt with an unknown outcome is sent again unchanged: whichever copy takes
   // effect, the token and the earlier sending time are valid for both.
-  const bool again = attempt_sent_ && attempt_.epoch == epoch && attempt_version_ == version_;
-  if (!again) {
+  const bool is_retry = attempt_sent_ && attempt_.epoch == epoch && attempt_version_ == version_;
+  if (!is_retry) {
     attempt_ = LeaseRow{FreshToken(random_), settings_.holder, settings_.incarnation, epoch, 0};
     attempt_version_ = version_;
     attempt_sent_ = now;
--- a/src/control/log_reader.cc
+++ b/src/control/log_reader.cc
@@ -116,20 +116,20 @@
     return {};
   }
   std::vector<LogAction> actions;
-  const bool moved = Advance(ValueOf(records));
-  caught_up_ = caught_up_ || (moved && head() >= peer_head_);
-  if (moved) actions.emplace_back(PublishState{});
-  if (!moved) peer_head_ = head();
+  const bool advanced = Advance(ValueOf(records));
+  caught_up_ = caught_up_ || (advanced && head() >= peer_head_);
+  if (advanced) actions.emplace_back(PublishState{});
+  if (!advanced) peer_head_ = head();
   for (LogAction& action : ContinueFetch()) actions.push_back(std::move(action));
   return actions;
 }
 
 std::vector<LogAction> LogReader::OnPeerState(Result<ControlState> state) {
   std::vector<LogAction> actions;
-  const bool moved = IsOk(state) && Advance(std::move(ValueOf(state)));
-  caught_up_ = caught_up_ || (moved && head() >= peer_head_);
-  if (moved) actions.emplace_back(PublishState{});
-  if (!moved) peer_head_ = head();
+  const bool advanced = IsOk(state) && Advance(std::move(ValueOf(state)));
+  caught_up_ = caught_up_ || (advanced && head() >= peer_head_);
+  if (advanced) actions.emplace_back(PublishState{});
+  if (!advanced) peer_head_ = head();
   for (LogAction& action : ContinueFetch()) actions.push_back(std::move(action));
   return actions;
 }
--- a/src/control/log_rows.cc
+++ b/src/control/log_rows.cc
@@ -10,10 +10,10 @@
                                       SnapshotRow row;
                                       ObjectReader object(document, "snapshot", r);
                                       object.Allow({"token", "sequence", "previous", "deleted"});
-                                      object.NeedText("token", row.token.value);
-                                      object.NeedNatural("sequence", row.sequence);
-                                      object.NeedNatural("previous", row.previous);
-                                      object.NeedNatural("deleted", row.deleted);
+                                      object.RequireText("token", row.token.value);
+                                      object.RequireNatural("sequence", row.sequence);
+                                      object.RequireNatural("previous", row.previous);
+                                      object.RequireNatural("deleted", row.deleted);
                                       return row;
                                     });
 }
--- a/src/control/membership.cc
+++ b/src/control/membership.cc
@@ -162,18 +162,18 @@
 
 void Membership::Impl::Expire(Time now) {
   std::vector<NodeId> dead;
-  std::vector<NodeId> forgotten;
+  std::vector<NodeId> expired;
   for (const auto& [node, entry] : table_.entries()) {
     const Liveness liveness = entry.record.member.liveness;
     const Duration age = now - entry.since;
     if (liveness == Liveness::kSuspect && age >= settings_.suspicion_timeout) dead.push_back(node);
-    if (liveness == Liveness::kDead && age >= settings_.dead_retention) forgotten.push_back(node);
+    if (liveness == Liveness::kDead && age >= settings_.dead_retention) expired.push_back(node);
   }
   for (const NodeId& node : dead) {
     table_.SetLiveness(now, node, Liveness::kDead);
     QueueUpdate(node);
   }
-  for (const NodeId& node : forgotten) table_.Erase(node);
+  for (const NodeId& node : expired) table_.Erase(node);
   std::erase_if(relays_, [&](const auto& each) { return now >= each.second.expires; });
   std::erase_if(record_requested_,
                 [&](const auto& each) { return now - each.second > kRequestRetention; });
@@ -248,8 +248,8 @@
     const Member& member = entry.record.member;
     if (left == 0) break;
     if (!IsProbeTarget(entry) || member.control_sequence >= sequence) continue;
-    const auto asked = sequence_queried_.find(node);
-    if (asked != sequence_queried_.end() && now - asked->second < kSequenceQueryRetry) continue;
+    const auto queried = sequence_queried_.find(node);
+    if (queried != sequence_queried_.end() && now - queried->second < kSequenceQueryRetry) continue;
     sequence_queried_[node] = now;
     --left;
     Send(member.gossip, MakeMessage(MessageKind::kSequenceQuery, 0));
--- a/src/control/membership_messages.cc
+++ b/src/control/membership_messages.cc
@@ -140,10 +140,10 @@
       break;
     }
     case MergeResult::kRecordMissing: {
-      const auto asked = record_requested_.find(summary.node);
-      const bool again =
-          asked == record_requested_.end() || now - asked->second >= kRecordRequestRetry;
-      if (!again || requested_records.size() >= kMaxRecordRequests) break;
+      const auto requested = record_requested_.find(summary.node);
+      const bool may_request =
+          requested == record_requested_.end() || now - requested->second >= kRecordRequestRetry;
+      if (!may_request || requested_records.size() >= kMaxRecordRequests) break;
       record_requested_[summary.node] = now;
       requested_records.push_back(summary.node);
       break;
--- a/src/control/validate.cc
+++ b/src/control/validate.cc
@@ -17,24 +17,26 @@
 constexpr std::size_t kMaxPrefixLength = 256;
 constexpr Duration kLongestDeadline{24LL * 3600 * 1'000'000};
 
-Error Bad(std::string detail) {
+Error BadRequest(std::string detail) {
   return Error{ErrorKind::kBadRequest, std::move(detail)};
 }
 
 Result<Ok> ValidateRoutes(const ServiceConfig& service) {
   if (service.routes.size() > kMaxRoutes) {
-    return Bad("service " + service.name.value + " has more than " + std::to_string(kMaxRoutes) +
-               " routes");
+    return BadRequest("service " + service.name.value + " has more than " +
+                      std::to_string(kMaxRoutes) + " routes");
   }
   std::set<std::string_view> prefixes;
   for (const RouteRule& rule : service.routes) {
     if (rule.path_prefix.empty() || rule.path_prefix.front() != '/' ||
         rule.path_prefix.size() > kMaxPrefixLength) {
-      return Bad("service " + service.name.value + ": a route's path_prefix starts with '/' and " +
-                 "has at most " + std::to_string(kMaxPrefixLength) + " characters");
+      return BadRequest("service " + service.name.value +
+                        ": a route's path_prefix starts with '/' and " + "has at most " +
+                        std::to_string(kMaxPrefixLength) + " characters");
     }
     if (!prefixes.insert(rule.path_prefix).second) {
-      return Bad("service " + service.name.value + " has two routes for " + rule.path_prefix);
+      return BadRequest("service " + service.name.value + " has two routes for " +
+                        rule.path_prefix);
     }
   }
   return Ok{};
@@ -45,11 +47,11 @@
   const Result<std::string> id = ParseId(service.name.value, "a service's name");
   if (!IsOk(id)) return ErrorOf(id);
   if (service.default_deadline <= Duration::zero() || service.default_deadline > kLongestDeadline) {
-    return Bad(who + ": default_deadline_ms must be above 0 and at most a day");
+    return BadRequest(who + ": default_deadline_ms must be above 0 and at most a day");
   }
   if (service.target.first_token <= Duration::zero() ||
       service.target.token_gap <= Duration::zero()) {
-    return Bad(who + ": latency targets must be above 0");
+    return BadRequest(who + ": latency targets must be above 0");
   }
   return ValidateRoutes(service);
 }
@@ -59,10 +61,11 @@
   if (!IsOk(id)) return ErrorOf(id);
   const auto rate = [](double value) { return std::isfinite(value) && value >= 0; };
   if (!rate(limit.requests_per_second) || !rate(limit.tokens_per_second)) {
-    return Bad("limit of team " + limit.team.value + ": rates must be 0 (unlimited) or above");
+    return BadRequest("limit of team " + limit.team.value +
+                      ": rates must be 0 (unlimited) or above");
   }
   if (!std::isfinite(limit.burst_seconds) || limit.burst_seconds <= 0) {
-    return Bad("limit of team " + limit.team.value + ": burst_seconds must be above 0");
+    return BadRequest("limit of team " + limit.team.value + ": burst_seconds must be above 0");
   }
   return Ok{};
 }
@@ -72,13 +75,14 @@
   const Result<std::string> id = ParseId(backend.agent.value, "an agent's id");
   if (!IsOk(id)) return ErrorOf(id);
   if (backend.serves.size() > kMaxServed) {
-    return Bad(who + " serves more than " + std::to_string(kMaxServed) + " services");
+    return BadRequest(who + " serves more than " + std::to_string(kMaxServed) + " services");
   }
   std::set<ServiceName> served;
   for (const ServiceName& name : backend.serves) {
-    if (!served.insert(name).second) return Bad(who + " names service " + name.value + " twice");
+    if (!served.insert(name).second)
+      return BadRequest(who + " names service " + name.value + " twice");
     if (!config.services.contains(name)) {
-      return Bad(who + " serves '" + name.value + "', which is not a configured service");
+      return BadRequest(who + " serves '" + name.value + "', which is not a configured service");
     }
   }
   return Ok{};
--- a/test/control-log-test.cc
+++ b/test/control-log-test.cc
@@ -273,7 +273,7 @@
   CHECK(IsOk(ana.answers.at(fresh)));
 }
 
-TEST_CASE("of concurrent orders on one subject exactly one is accepted; others all are") {
+TEST_CASE("of concurrent orders on one subject one is accepted; on separate subjects, all are") {
   // Four operators on four nodes run their steps in a random order with a fixed seed.
   Store store;
   std::vector<std::unique_ptr<Node>> nodes;
