--- a/src/control/gossip_codec.h
+++ b/src/control/gossip_codec.h
@@ -21,8 +21,8 @@
   NodeId node;
   Incarnation incarnation = 0;
   RecordVersion version = 0;
-  RecordVersion details_version =
-      0;  // the version that last changed the other fields of the record
+  // The version that last changed the other fields of the record.
+  RecordVersion details_version = 0;
   Liveness liveness = Liveness::kAlive;
   bool leaving = false;
 };
