--- a/src/control/lease_holder.cc
+++ b/src/control/lease_holder.cc
@@ -95,16 +95,17 @@
 
 std::vector<LeaseAction> LeaseHolder::OnLeaseRow(const std::optional<Row>& row) {
   const std::optional<LeaseRow> lease = detail::LeaseFromRow(row);
-  const bool ours = lease && lease->holder == settings_.holder &&
-                    lease->incarnation == settings_.incarnation && lease->epoch == epoch_;
-  if (!ours) return OnLost(lease);
+  const bool still_held = lease && lease->holder == settings_.holder &&
+                          lease->incarnation == settings_.incarnation && lease->epoch == epoch_;
+  if (!still_held) return OnLost(lease);
   outcome_unknown_ = false;
   if (row->version == version_) return {};  // no attempt has taken effect so far
   version_ = row->version;
   renewals_ = lease->renewals;
-  const auto landed = std::find_if(attempts_.begin(), attempts_.end(),
-                                   [&](const Attempt& each) { return each.token == lease->token; });
-  if (landed != attempts_.end()) renewal_sent_ = std::max(renewal_sent_, landed->sent);
+  const auto applied = std::find_if(attempts_.begin(), attempts_.end(), [&](const Attempt& each) {
+    return each.token == lease->token;
+  });
+  if (applied != attempts_.end()) renewal_sent_ = std::max(renewal_sent_, applied->sent);
   attempts_.clear();
   return {};
 }
--- a/src/control/member_table.cc
+++ b/src/control/member_table.cc
@@ -63,7 +63,7 @@
   const bool same_process = !added && entry.record.member.incarnation == record.member.incarnation;
   const bool same_state = same_process && entry.record.version == record.version &&
                           entry.record.member.liveness == record.member.liveness;
-  if (!same_state) entry.since = now;
+  if (!same_state) entry.stored_at = now;
   record.member.control_sequence = same_process ? entry.record.member.control_sequence : 0;
   entry.record = std::move(record);
   entry.hash = TableHash(entry.record);
--- a/src/control/member_table.h
+++ b/src/control/member_table.h
@@ -29,7 +29,7 @@
  public:
   struct Entry {
     MemberRecord record;
-    Time since;              // when this incarnation, version and liveness was stored
+    Time stored_at;          // when this incarnation, version and liveness was stored
     std::uint64_t hash = 0;  // its contribution to hash(); 0 for a dead member
   };
 
--- a/src/control/membership.cc
+++ b/src/control/membership.cc
@@ -165,7 +165,7 @@
   std::vector<NodeId> expired;
   for (const auto& [node, entry] : table_.entries()) {
     const Liveness liveness = entry.record.member.liveness;
-    const Duration age = now - entry.since;
+    const Duration age = now - entry.stored_at;
     if (liveness == Liveness::kSuspect && age >= settings_.suspicion_timeout) dead.push_back(node);
     if (liveness == Liveness::kDead && age >= settings_.dead_retention) expired.push_back(node);
   }
--- a/test/control-log-test.cc
+++ b/test/control-log-test.cc
@@ -23,7 +23,7 @@
   void Do(Machine& machine, std::vector<LogAction> actions) {
     for (LogAction& action : actions) {
       std::visit(Overloaded{[&](PublishState&) { published.push_back(reader.head()); },
-                            [&](LogUnreadable& stuck) { FAIL(stuck.why); },
+                            [&](LogUnreadable& unreadable) { FAIL(unreadable.why); },
                             [&](DeleteObject& e) { store.objects.erase(e.key); },
                             [&](AnswerAppend& e) {
                               answers[e.append] = e.outcome;
--- a/test/control-membership-test.cc
+++ b/test/control-membership-test.cc
@@ -17,10 +17,10 @@
   // incarnation above any that it receives.
   Net net(3, 0.0);
   Assemble(net, 20);
-  auto old = std::move(net.slots().at("agent-1"));
+  auto old = std::move(net.hosts().at("agent-1"));
   net.Stop("agent-1");
   net.Start("agent-1", 2);
-  REQUIRE(net.TimeUntil(Duration(30'000'000), [&] { return net.Agreed(); }));
+  REQUIRE(net.TimeUntil(Duration(30'000'000), [&] { return net.Converged(); }));
 
   // The old process probes all members; each reports the newer incarnation to it.
   bool superseded = false;
@@ -42,22 +42,22 @@
   CHECK(superseded);
   CHECK(old.membership->Tick(net.now + Duration(5'000'000)).empty());  // stays silent
   CHECK(net["entry-0"].Find({"agent-1"})->incarnation == 2);
-  CHECK(net.Agreed());
+  CHECK(net.Converged());
 }
 
 TEST_CASE("a dead member is detected, and a paused one refutes its death when it resumes") {
   Net net(4, 0.2);
   Assemble(net, 60);
   net.Stop("agent-7");
-  const auto noticed = net.TimeUntil(Duration(30'000'000), [&] { return net.Agreed(); });
+  const auto noticed = net.TimeUntil(Duration(30'000'000), [&] { return net.Converged(); });
   REQUIRE(noticed.has_value());
   MESSAGE("death known to all after " << *noticed << " s");
 
-  net.slots().at("agent-8").paused = true;
+  net.hosts().at("agent-8").paused = true;
   net.Run(Duration(30'000'000));
   CHECK(net["entry-0"].Find({"agent-8"})->liveness == Liveness::kDead);
-  net.slots().at("agent-8").paused = false;
-  CHECK(net.TimeUntil(Duration(30'000'000), [&] { return net.Agreed(); }).has_value());
+  net.hosts().at("agent-8").paused = false;
+  CHECK(net.TimeUntil(Duration(30'000'000), [&] { return net.Converged(); }).has_value());
 }
 
 TEST_CASE("all members know within 3 s that a member is leaving") {
@@ -66,7 +66,7 @@
   net.Run(Duration(10'000'000));
   net.Do("agent-1", net["agent-1"].SetLeaving(net.now));
   const auto known = net.TimeUntil(Duration(3'000'000), [&] {
-    return std::all_of(net.slots().begin(), net.slots().end(), [](auto& each) {
+    return std::all_of(net.hosts().begin(), net.hosts().end(), [](auto& each) {
       return each.second.membership->Find({"agent-1"})->leaving;
     });
   });
@@ -88,7 +88,7 @@
   }
   const double during = net.BytesPerNode();
   net.check_every = 10;
-  const auto agreed = net.TimeUntil(Duration(120'000'000), [&] { return net.Agreed(); });
+  const auto agreed = net.TimeUntil(Duration(120'000'000), [&] { return net.Converged(); });
   CHECK(agreed.has_value());
   CHECK(during < 4096);
   if (agreed) MESSAGE("all agree " << *agreed << " s later, " << during << " B/s meanwhile");
@@ -99,25 +99,25 @@
   // reconnect.
   Net net(7, 0.1);
   Assemble(net, 200, 2);
-  net.Order(NameOf(0), 5);
+  net.SetControlSequence(NameOf(0), 5);
   REQUIRE(net.TimeUntil(Duration(6'000'000), [&] { return net.InForce(5); }));
   net.partitioned = true;
   net.Run(Duration(60'000'000));
-  for (auto& [name, slot] : net.slots()) {
+  for (auto& [name, host] : net.hosts()) {
     std::size_t alive = 0;
-    for (const Member& member : slot.membership->Members()) {
+    for (const Member& member : host.membership->Members()) {
       if (member.liveness == Liveness::kAlive) ++alive;
     }
     CHECK(alive == 100);  // all members of its own region
   }
-  net.Order(NameOf(0), 6);
+  net.SetControlSequence(NameOf(0), 6);
   net.Run(Duration(120'000'000));
   const InForceReport report = net[NameOf(0)].InForce(6);
   CHECK(report.unreachable.size() == 100);  // not reported as in force there
   net.partitioned = false;
   const auto spread = net.TimeUntil(Duration(6'000'000), [&] { return net.InForce(6); });
   CHECK(spread.has_value());
-  const auto healed = net.TimeUntil(Duration(120'000'000), [&] { return net.Agreed(); });
+  const auto healed = net.TimeUntil(Duration(120'000'000), [&] { return net.Converged(); });
   REQUIRE(healed.has_value());
   MESSAGE("after the split: change in force after " << spread.value_or(-1) << " s, all agree "
                                                     << *healed << " s after that");
@@ -126,7 +126,7 @@
 TEST_CASE("queries show which members have applied only older orders") {
   Net net(8, 0.2);
   Assemble(net, 100);
-  net.Order("entry-0", 3);
+  net.SetControlSequence("entry-0", 3);
   const auto sure = net.TimeUntil(Duration(6'000'000), [&] {
     net.Do("entry-0", net["entry-0"].QuerySequences(net.now, 3));
     return net["entry-0"].InForce(3).lagging.empty();
--- a/test/control-net.h
+++ b/test/control-net.h
@@ -27,7 +27,7 @@
  public:
   Net(std::uint64_t seed, double loss) : loss_(loss), random_(Random(seed)) {}
 
-  struct Slot {
+  struct Host {
     std::unique_ptr<Membership> membership;
     bool paused = false;
     int region = 0;
@@ -47,13 +47,13 @@
     self.http = {"10.0.0.1", 8080};
     self.gossip = AddressOf(name);
     if (self.role == Role::kAgent) self.serves = {{"note-llm"}};
-    Slot& slot = slots_[name];
-    slot = Slot{};
-    slot.region = region;
-    slot.membership = std::make_unique<Membership>(self, MembershipSettings{}, Random(random_()));
-    slot.membership->SetSeeds(listed);
+    Host& host = hosts_[name];
+    host = Host{};
+    host.region = region;
+    host.membership = std::make_unique<Membership>(self, MembershipSettings{}, Random(random_()));
+    host.membership->SetSeeds(listed);
   }
-  void Stop(const std::string& name) { slots_.erase(name); }
+  void Stop(const std::string& name) { hosts_.erase(name); }
 
   // Adds a host to the platform's list, which members get when they start.
   void List(const std::string& name) {
@@ -66,8 +66,8 @@
       if (until && tick % check_every == 0 && until()) return;
       now += kTick;
       Deliver();
-      for (auto& [name, slot] : slots_) {
-        if (!slot.paused && !slot.superseded) Do(name, slot.membership->Tick(now));
+      for (auto& [name, host] : hosts_) {
+        if (!host.paused && !host.superseded) Do(name, host.membership->Tick(now));
       }
     }
   }
@@ -79,10 +79,10 @@
     return static_cast<double>((now - start).count()) / 1e6;
   }
 
-  void Order(const std::string& name, Sequence sequence) {
-    Slot& slot = slots_.at(name);
-    slot.sequence = sequence;
-    Do(name, slot.membership->SetSequence(now, sequence));
+  void SetControlSequence(const std::string& name, Sequence sequence) {
+    Host& host = hosts_.at(name);
+    host.sequence = sequence;
+    Do(name, host.membership->SetSequence(now, sequence));
   }
   void Do(const std::string& name, const std::vector<MembershipAction>& actions) {
     for (const MembershipAction& action : actions) {
@@ -91,44 +91,44 @@
                      [&](const PeerAhead& e) { Fetch(name, e); },
                      [&](const FetchMembers& e) { FetchTable(name, e.peer.value, e.request); },
                      [](const MembersChanged&) {},
-                     [&](const Superseded&) { slots_.at(name).superseded = true; }},
+                     [&](const Superseded&) { hosts_.at(name).superseded = true; }},
           action);
     }
   }
 
-  Membership& operator[](const std::string& name) { return *slots_.at(name).membership; }
-  std::map<std::string, Slot>& slots() { return slots_; }
+  Membership& operator[](const std::string& name) { return *hosts_.at(name).membership; }
+  std::map<std::string, Host>& hosts() { return hosts_; }
 
   // Whether every running member considers exactly the running ones alive or suspect.
-  bool Agreed() {
-    for (auto& [name, slot] : slots_) {
+  bool Converged() {
+    for (auto& [name, host] : hosts_) {
       std::size_t alive = 0;
-      for (const Member& member : slot.membership->Members()) {
-        const auto found = slots_.find(member.node.value);
-        if (found == slots_.end()) return false;
+      for (const Member& member : host.membership->Members()) {
+        const auto found = hosts_.find(member.node.value);
+        if (found == hosts_.end()) return false;
         if (found->second.membership->self().incarnation != member.incarnation) return false;
         ++alive;
       }
-      if (alive != slots_.size()) return false;
+      if (alive != hosts_.size()) return false;
     }
     return true;
   }
   bool InForce(Sequence sequence) {
-    for (auto& [name, slot] : slots_) {
-      if (slot.sequence < sequence) return false;
+    for (auto& [name, host] : hosts_) {
+      if (host.sequence < sequence) return false;
     }
     return true;
   }
   // Bytes per second and node of gossip and table fetches since the last call.
   double BytesPerNode() {
     std::uint64_t bytes = 0;
-    for (auto& [name, slot] : slots_) {
-      const auto& counts = slot.membership->counts();
-      const std::uint64_t total = counts.bytes_sent + counts.bytes_received + slot.http_bytes;
-      bytes += total - std::exchange(slot.counted, total);
+    for (auto& [name, host] : hosts_) {
+      const auto& counts = host.membership->counts();
+      const std::uint64_t total = counts.bytes_sent + counts.bytes_received + host.http_bytes;
+      bytes += total - std::exchange(host.counted, total);
     }
     const double seconds = static_cast<double>((now - counted_at_).count()) / 1e6;
-    const double rate = static_cast<double>(bytes) / seconds / static_cast<double>(slots_.size());
+    const double rate = static_cast<double>(bytes) / seconds / static_cast<double>(hosts_.size());
     counted_at_ = now;
     return rate;
   }
@@ -154,9 +154,9 @@
     return {"10.0.0.1", static_cast<std::uint16_t>(found->second)};
   }
   bool Reaches(const std::string& a, const std::string& b) {
-    const auto from = slots_.find(a);
-    const auto to = slots_.find(b);
-    if (from == slots_.end() || to == slots_.end() || to->second.paused) return false;
+    const auto from = hosts_.find(a);
+    const auto to = hosts_.find(b);
+    if (from == hosts_.end() || to == hosts_.end() || to->second.paused) return false;
     return !partitioned || from->second.region == to->second.region;
   }
   void After(Duration delay, std::function<void()> run) {
@@ -167,32 +167,32 @@
     const std::string to = names_[datagram.to.port];
     After(Duration(1000 + random_() % 2000), [this, from, to, bytes = datagram.bytes] {
       if (!Reaches(from, to)) return;
-      Do(to, slots_.at(to).membership->OnDatagram(now, bytes, AddressOf(from)));
+      Do(to, hosts_.at(to).membership->OnDatagram(now, bytes, AddressOf(from)));
     });
   }
   void FetchTable(const std::string& name, const std::string& peer, const std::string& have) {
     After(Duration(5000), [this, name, peer, have] {
       if (!Reaches(name, peer) || !Reaches(peer, name)) return;
-      const Result<std::string> members = slots_.at(peer).membership->OnFetch(now, have);
+      const Result<std::string> members = hosts_.at(peer).membership->OnFetch(now, have);
       const std::uint64_t bytes = have.size() + ValueOf(members).size() + kHttpBytes;
-      slots_.at(name).http_bytes += bytes;
-      slots_.at(peer).http_bytes += bytes;
-      Do(name, slots_.at(name).membership->OnMembers(now, ValueOf(members)));
+      hosts_.at(name).http_bytes += bytes;
+      hosts_.at(peer).http_bytes += bytes;
+      Do(name, hosts_.at(name).membership->OnMembers(now, ValueOf(members)));
     });
   }
   void Fetch(const std::string& name, const PeerAhead& seen) {
-    Slot& slot = slots_.at(name);
-    if (slot.fetching || seen.sequence <= slot.sequence) return;
-    slot.fetching = seen.sequence;
+    Host& host = hosts_.at(name);
+    if (host.fetching || seen.sequence <= host.sequence) return;
+    host.fetching = seen.sequence;
     After(Duration(5000), [this, name, peer = seen.peer.value] {
-      const auto found = slots_.find(name);
-      if (found == slots_.end()) return;
+      const auto found = hosts_.find(name);
+      if (found == hosts_.end()) return;
       found->second.fetching.reset();
       if (!Reaches(name, peer)) return;
       found->second.http_bytes += kHttpBytes;
-      slots_.at(peer).http_bytes += kHttpBytes;
-      const Sequence sequence = slots_.at(peer).sequence;
-      if (sequence > found->second.sequence) Order(name, sequence);
+      hosts_.at(peer).http_bytes += kHttpBytes;
+      const Sequence sequence = hosts_.at(peer).sequence;
+      if (sequence > found->second.sequence) SetControlSequence(name, sequence);
     });
   }
   void Deliver() {
@@ -208,7 +208,7 @@
 
   double loss_;
   RandomBits random_;
-  std::map<std::string, Slot> slots_;
+  std::map<std::string, Host> hosts_;
   std::map<std::string, std::size_t> ports_;
   std::map<std::size_t, std::string> names_;
   std::priority_queue<Event> events_;
@@ -230,7 +230,7 @@
     if (i % kStartedAtOnce == 4) net.Run(Duration(1'000'000));
   }
   net.check_every = 10;
-  const auto joined = net.TimeUntil(Duration(120'000'000), [&] { return net.Agreed(); });
+  const auto joined = net.TimeUntil(Duration(120'000'000), [&] { return net.Converged(); });
   net.check_every = 1;
   REQUIRE(joined.has_value());
   MESSAGE(count << " members found each other in " << *joined << " s");
@@ -242,7 +242,7 @@
   net.List(NameOf(0));
   for (std::size_t i = 0; i < count; ++i) net.Start(NameOf(i), 1);
   net.check_every = 10;
-  REQUIRE(net.TimeUntil(Duration(60'000'000), [&] { return net.Agreed(); }).has_value());
+  REQUIRE(net.TimeUntil(Duration(60'000'000), [&] { return net.Converged(); }).has_value());
   net.check_every = 1;
 }
 
--- a/test/control-scale-test.cc
+++ b/test/control-scale-test.cc
@@ -18,10 +18,10 @@
     net.Run(Duration(20'000'000));
     const double idle = net.BytesPerNode();
     CHECK(idle < 4096);
-    CHECK(net.Agreed());  // no false deaths
+    CHECK(net.Converged());  // no false deaths
     double worst = 0;
     for (Sequence sequence = 1; sequence <= 10; ++sequence) {
-      net.Order(NameOf(sequence % count), sequence);
+      net.SetControlSequence(NameOf(sequence % count), sequence);
       const auto spread = net.TimeUntil(Duration(6'000'000), [&] { return net.InForce(sequence); });
       REQUIRE(spread.has_value());
       worst = std::max(worst, *spread);
