--- a/include/figmill/online.h
+++ b/include/figmill/online.h
@@ -81,8 +81,8 @@
   Router(NodeId self, DataCentre here, RandomBits random);
 
   // Leaving, dead and drained agents are removed at once; suspect agents serve only services
-  // that have no other agent.
-  void Update(const Snapshot& snapshot, Time now);
+  // that request no other agent.
+  void Update(const RoutingSnapshot& snapshot, Time now);
 
   // Errors: kNoBackend (no candidate is left), with Ran::kNo.
   [[nodiscard]] Result<NodeEndpoint> Choose(const RouteQuery& query, Time now);
@@ -197,7 +197,7 @@
   static constexpr std::size_t kMaxTeams = 8192;
 
   explicit TeamLimits(NodeId self) : self_(std::move(self)) {}
-  void Update(const Snapshot& snapshot, Time now);
+  void Update(const RoutingSnapshot& snapshot, Time now);
 
   // Charges one request of `tokens`. Errors: kTeamLimit, with Ran::kNo and retry_after.
   [[nodiscard]] Result<Ok> Admit(const TeamId& team, double tokens, Time now);
--- a/src/control/log_reader.cc
+++ b/src/control/log_reader.cc
@@ -8,7 +8,7 @@
 namespace figmill {
 namespace {
 
-// What a node keeps to hand on to peers.
+// Limits of the recent records that a node keeps to serve them to peers.
 constexpr std::size_t kWindowEntries = 512;
 constexpr std::size_t kWindowBytes = 4U << 20;
 constexpr std::uint32_t kRowsPerScan = 256;
@@ -19,7 +19,7 @@
     Result<LogRecord> record = ParseLogRecord(row.value);
     if (!IsOk(record)) return Error{ErrorOf(record).kind, row.key + ": " + ErrorOf(record).detail};
     if (LogKey(ValueOf(record).sequence) != row.key) {
-      return Error{ErrorKind::kInternal, row.key + " holds another row's entry"};
+      return Error{ErrorKind::kInternal, row.key + " contains the entry of another row"};
     }
     records.push_back(std::move(ValueOf(record)));
   }
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-LogReader::LogReader() : fold_(std::make_shared<const Fold>()) {}
+LogReader::LogReader() : state_(std::make_shared<const ControlState>()) {}
 
 std::vector<LogAction> LogReader::Poll() {
   if (reading_store_) return {};
@@ -41,43 +41,44 @@
   return {ScanRows{RowRange{std::string(detail::kLogPrefix), after, kRowsPerScan}}};
 }
 
-std::vector<LogAction> LogReader::Hint(const NodeId& peer, Sequence sequence) {
-  wanted_ = std::max(wanted_, sequence);
+std::vector<LogAction> LogReader::OnPeerAhead(const NodeId& peer, Sequence sequence) {
+  peer_head_ = std::max(peer_head_, sequence);
   if (sequence <= head() || fetching_from_) return {};
   fetching_from_ = peer;
   return {FetchEntries{peer, head()}};
 }
 
 std::vector<LogAction> LogReader::On(LogEvent event) {
-  return std::visit(Overloaded{[&](RowsScanned& e) { return OnRows(std::move(e.rows)); },
-                               [&](RowWasRead& e) { return OnSnapshotRow(std::move(e.row)); },
-                               [&](ObjectWasRead& e) { return OnFoldBytes(std::move(e.bytes)); },
-                               [&](EntriesFetched& e) { return OnEntries(std::move(e.records)); },
-                               [&](FoldFetched& e) { return OnFold(std::move(e.fold)); },
-                               [](auto&) { return std::vector<LogAction>{}; }},
-                    event);
+  return std::visit(
+      Overloaded{[&](RowsScanned& e) { return OnRows(std::move(e.rows)); },
+                 [&](RowWasRead& e) { return OnSnapshotRow(std::move(e.row)); },
+                 [&](ObjectWasRead& e) { return OnSnapshotObject(std::move(e.bytes)); },
+                 [&](EntriesFetched& e) { return OnEntries(std::move(e.records)); },
+                 [&](StateFetched& e) { return OnPeerState(std::move(e.state)); },
+                 [](auto&) { return std::vector<LogAction>{}; }},
+      event);
 }
 
 std::vector<LogAction> LogReader::OnRows(Result<std::vector<Row>> rows) {
   reading_store_ = false;
   if (!IsOk(rows)) return {};
   if (ValueOf(rows).empty()) {
-    learned_ = true;
+    caught_up_ = true;
     return {};
   }
   const Result<std::vector<LogRecord>> records = ParseRows(ValueOf(rows));
-  if (!IsOk(records)) return {LogStuck{head() + 1, ErrorOf(records).detail}};
+  if (!IsOk(records)) return {LogUnreadable{head() + 1, ErrorOf(records).detail}};
   const std::vector<LogRecord>& found = ValueOf(records);
   if (found.front().sequence > head() + 1) {
-    // The rows in between were compacted: a snapshot covers them.
+    // The rows in between were deleted by compaction: a snapshot covers them.
     reading_store_ = true;
     return {ReadRow{std::string(detail::kSnapshotKey)}};
   }
   std::vector<LogAction> actions;
   const bool whole = found.size() < kRowsPerScan &&
                      found.back().sequence - found.front().sequence == found.size() - 1;
-  learned_ = learned_ || whole;
-  if (Offer(found)) actions.emplace_back(PublishFold{});
+  caught_up_ = caught_up_ || whole;
+  if (Advance(found)) actions.emplace_back(PublishState{});
   if (found.size() == kRowsPerScan) {
     for (LogAction& action : Scan()) actions.push_back(std::move(action));
   }
@@ -88,19 +89,19 @@
   reading_store_ = false;
   if (!IsOk(row) || !ValueOf(row)) return {};
   const Result<detail::SnapshotRow> snapshot = detail::ParseSnapshotRow(ValueOf(row)->value);
-  if (!IsOk(snapshot)) return {LogStuck{head() + 1, ErrorOf(snapshot).detail}};
+  if (!IsOk(snapshot)) return {LogUnreadable{head() + 1, ErrorOf(snapshot).detail}};
   if (ValueOf(snapshot).sequence <= head()) return {};
   reading_store_ = true;
-  return {GetObject{detail::FoldKey(ValueOf(snapshot).sequence)}};
+  return {GetObject{detail::SnapshotObjectKey(ValueOf(snapshot).sequence)}};
 }
 
-std::vector<LogAction> LogReader::OnFoldBytes(Result<std::string> bytes) {
+std::vector<LogAction> LogReader::OnSnapshotObject(Result<std::string> bytes) {
   reading_store_ = false;
-  if (!IsOk(bytes)) return {};  // the next poll starts over
-  Result<Fold> fold = ParseFold(ValueOf(bytes));
-  if (!IsOk(fold)) return {LogStuck{head() + 1, ErrorOf(fold).detail}};
+  if (!IsOk(bytes)) return {};  // the next Poll retries
+  Result<ControlState> state = ParseControlState(ValueOf(bytes));
+  if (!IsOk(state)) return {LogUnreadable{head() + 1, ErrorOf(state).detail}};
   std::vector<LogAction> actions;
-  if (Offer(std::move(ValueOf(fold)))) actions.emplace_back(PublishFold{});
+  if (Advance(std::move(ValueOf(state)))) actions.emplace_back(PublishState{});
   for (LogAction& action : Scan()) actions.push_back(std::move(action));
   return actions;
 }
@@ -108,63 +109,63 @@
 std::vector<LogAction> LogReader::OnEntries(Result<std::vector<LogRecord>> records) {
   if (!IsOk(records)) {
     if (ErrorOf(records).kind == ErrorKind::kNotFound && fetching_from_) {
-      return {FetchFold{*fetching_from_}};
+      return {FetchState{*fetching_from_}};
     }
     fetching_from_.reset();
-    wanted_ = head();  // the next datagram with a higher sequence tries again
+    peer_head_ = head();  // the next gossip message with a higher sequence retries
     return {};
   }
   std::vector<LogAction> actions;
-  const bool moved = Offer(ValueOf(records));
-  learned_ = learned_ || (moved && head() >= wanted_);
-  if (moved) actions.emplace_back(PublishFold{});
-  if (!moved) wanted_ = head();
-  for (LogAction& action : NextFetch()) actions.push_back(std::move(action));
+  const bool advanced = Advance(ValueOf(records));
+  caught_up_ = caught_up_ || (advanced && head() >= peer_head_);
+  if (advanced) actions.emplace_back(PublishState{});
+  if (!advanced) peer_head_ = head();
+  for (LogAction& action : ContinueFetch()) actions.push_back(std::move(action));
   return actions;
 }
 
-std::vector<LogAction> LogReader::OnFold(Result<Fold> fold) {
+std::vector<LogAction> LogReader::OnPeerState(Result<ControlState> state) {
   std::vector<LogAction> actions;
-  const bool moved = IsOk(fold) && Offer(std::move(ValueOf(fold)));
-  learned_ = learned_ || (moved && head() >= wanted_);
-  if (moved) actions.emplace_back(PublishFold{});
-  if (!moved) wanted_ = head();
-  for (LogAction& action : NextFetch()) actions.push_back(std::move(action));
+  const bool advanced = IsOk(state) && Advance(std::move(ValueOf(state)));
+  caught_up_ = caught_up_ || (advanced && head() >= peer_head_);
+  if (advanced) actions.emplace_back(PublishState{});
+  if (!advanced) peer_head_ = head();
+  for (LogAction& action : ContinueFetch()) actions.push_back(std::move(action));
   return actions;
 }
 
-// Goes on with the same peer if it was seen on more than is here now.
-std::vector<LogAction> LogReader::NextFetch() {
+// Continues with the same peer if a higher sequence than the head was reported.
+std::vector<LogAction> LogReader::ContinueFetch() {
   const std::optional<NodeId> peer = std::exchange(fetching_from_, std::nullopt);
-  if (!peer || wanted_ <= head()) return {};
+  if (!peer || peer_head_ <= head()) return {};
   fetching_from_ = peer;
   return {FetchEntries{*peer, head()}};
 }
 
-bool LogReader::Offer(std::span<const LogRecord> records) {
-  std::shared_ptr<Fold> next;
+bool LogReader::Advance(std::span<const LogRecord> records) {
+  std::shared_ptr<ControlState> next;
   for (const LogRecord& record : records) {
-    const Sequence head = next ? next->sequence : fold_->sequence;
+    const Sequence head = next ? next->sequence : state_->sequence;
     if (record.sequence <= head) continue;
     if (record.sequence != head + 1) break;
-    if (!next) next = std::make_shared<Fold>(*fold_);
+    if (!next) next = std::make_shared<ControlState>(*state_);
     Apply(*next, record);
-    Keep(record);
+    AddToWindow(record);
   }
   if (!next) return false;
-  fold_ = std::move(next);
+  state_ = std::move(next);
   return true;
 }
 
-bool LogReader::Offer(Fold fold) {
-  if (fold.sequence <= head()) return false;
-  window_.clear();  // it no longer joins on to the head
+bool LogReader::Advance(ControlState state) {
+  if (state.sequence <= head()) return false;
+  window_.clear();  // it would no longer be contiguous with the head
   window_bytes_ = 0;
-  fold_ = std::make_shared<const Fold>(std::move(fold));
+  state_ = std::make_shared<const ControlState>(std::move(state));
   return true;
 }
 
-void LogReader::Keep(const LogRecord& record) {
+void LogReader::AddToWindow(const LogRecord& record) {
   const std::size_t bytes = ToJson(record).size();
   window_.push_back({record, bytes});
   window_bytes_ += bytes;
@@ -181,11 +182,11 @@
   if (window_.empty() || window_.front().record.sequence > after + 1) return std::nullopt;
   std::size_t bytes = 0;
   const std::size_t skip = after + 1 - window_.front().record.sequence;
-  for (auto kept = window_.begin() + static_cast<std::ptrdiff_t>(skip); kept != window_.end();
-       ++kept) {
-    bytes += kept->bytes;
+  for (auto entry = window_.begin() + static_cast<std::ptrdiff_t>(skip); entry != window_.end();
+       ++entry) {
+    bytes += entry->bytes;
     if (!records.empty() && bytes > max_bytes) break;
-    records.push_back(kept->record);
+    records.push_back(entry->record);
   }
   return records;
 }
--- a/src/online/team_limits.cc
+++ b/src/online/team_limits.cc
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-void TeamLimits::Update(const Snapshot& snapshot, Time now) {
+void TeamLimits::Update(const RoutingSnapshot& snapshot, Time now) {
   config_ = snapshot.config;
   entries_.clear();
   for (const Member& member : snapshot.members) {
--- a/test/online-router-test.cc
+++ b/test/online-router-test.cc
@@ -26,15 +26,15 @@
   return member;
 }
 
-Snapshot Fleet(int agents) {
-  Snapshot snapshot;
+RoutingSnapshot Fleet(int agents) {
+  RoutingSnapshot snapshot;
   snapshot.config = std::make_shared<Config>();
   for (int i = 0; i < agents; ++i) snapshot.members.push_back(Agent(i));
   return snapshot;
 }
 
 struct RouterFixture {
-  explicit RouterFixture(const Snapshot& snapshot, const std::string& self = "e0")
+  explicit RouterFixture(const RoutingSnapshot& snapshot, const std::string& self = "e0")
       : router(MakeRouter(self)) {
     router.Update(snapshot, kStart);
   }
@@ -60,7 +60,7 @@
 
 TEST_CASE(
     "each entry has a bounded set of candidates, and all entries together load agents evenly") {
-  const Snapshot fleet = Fleet(100);
+  const RoutingSnapshot fleet = Fleet(100);
   std::map<std::string, int> to;
   for (int entry = 0; entry < 60; ++entry) {
     RouterFixture fixture(fleet, "e" + std::to_string(entry));
@@ -73,7 +73,7 @@
 
 TEST_CASE(
     "leaving, drained and dead agents are removed at once, suspect ones unless there is no other") {
-  Snapshot fleet = Fleet(5);
+  RoutingSnapshot fleet = Fleet(5);
   fleet.members[0].leaving = true;
   fleet.members[1].liveness = Liveness::kDead;
   fleet.members[2].liveness = Liveness::kSuspect;
@@ -116,7 +116,7 @@
 }
 
 TEST_CASE("another data centre is used when the load difference exceeds the cost of the distance") {
-  Snapshot fleet = Fleet(2);
+  RoutingSnapshot fleet = Fleet(2);
   fleet.members.push_back(Agent(2, "north/b"));
   fleet.members.push_back(Agent(3, "south/a"));
   RouterFixture fixture(fleet);
@@ -132,7 +132,7 @@
   // broken, because failures aren't remembered; and a fault of all agents puts all the load on
   // one of them, because ejection has no lower bound on the remaining agents. Agents answer
   // nothing; each failure is reported to the router.
-  Snapshot fleet = Fleet(4);
+  RoutingSnapshot fleet = Fleet(4);
   RouterFixture fixture(fleet);
   fleet.members.push_back(Agent(4));
   fixture.router.Update(fleet, kStart);
@@ -160,7 +160,7 @@
   // of twelve answer nothing and never start the work; every request of 40 entries is
   // repeatable. Without a retry budget and without a record of failures, each failed request is
   // sent again.
-  const Snapshot fleet = Fleet(12);
+  const RoutingSnapshot fleet = Fleet(12);
   int requests = 0, attempts = 0, answered = 0;
   for (int entry = 0; entry < 40; ++entry) {
     RouterFixture fixture(fleet, "e" + std::to_string(entry));
@@ -216,7 +216,7 @@
 // each engine always has a few, and beside any online stream batch may increase the token gap
 // only by a small fraction.
 TEST_CASE("online streams go to the fewest agents that can hold them, the same at every entry") {
-  Snapshot fleet = Fleet(10);
+  RoutingSnapshot fleet = Fleet(10);
   auto config = std::make_shared<Config>();
   config->services[kService].kind = ServiceKind::kModel;
   fleet.config = config;
--- a/test/placement-engine-test.cc
+++ b/test/placement-engine-test.cc
@@ -110,11 +110,11 @@
   EngineState last;
 };
 
-Fold FoldWithPlacement(Sequence sequence, const char* version, const char* role,
+ControlState FoldWithPlacement(Sequence sequence, const char* version, const char* role,
                        bool checks_fencing) {
-  Fold fold;
+  ControlState fold;
   fold.config.backends[NodeId{"a-1"}] = {NodeId{"a-1"}, {}, checks_fencing};
-  Fold::PlacementOrder& order = fold.placements[NodeId{"a-1"}];
+  ControlState::PlacementOrder& order = fold.placements[NodeId{"a-1"}];
   order.sequence = sequence;
   order.placement.models = {{"note-llm", version}};
   order.placement.role = role;
