--- a/include/figmill/peer_messages.h
+++ b/include/figmill/peer_messages.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// What entries say to each other in datagrams: places in use, asks for places, grants. Any
-// message may be lost or late; the next one says all of it again.
+// Datagrams between entries: slots in use, requests for slots, and grants. Any message may be lost
+// or delayed, because the next one repeats the whole state.
 
 #include <cstdint>
 #include <optional>
@@ -19,111 +19,116 @@
 
 namespace figmill {
 
-// Which incarnation of a backend server a line speaks of. Entries hear at different moments
-// that one has started again, and a line about another incarnation than the receiver goes by is
-// dropped: places in use at an ended one would else count as taken at the new one, and its
-// faults would leave that one out. What is true then comes again with the next message. Asks
-// and their answers name none: a place that is taken by the word of a keeper that hasn't heard
-// yet is one too many at most, and the next report tells of it.
+// Identifies the incarnation of a backend server that a line is about. Entries learn at different
+// times that a backend server has restarted. A line about another incarnation than the one that the
+// receiver knows is dropped: otherwise slots in use at the ended one would count as taken at the
+// new one, and its faults would get the new one ejected. The next message repeats what is still
+// true. Requests for slots and their responses carry no incarnation: a slot assigned by an
+// allocator that doesn't know of the restart yet is at most one too many, and the next report
+// corrects it.
 //
-// A digest, since the whole number takes 9 bytes a line, which made a third more of all that 12
-// entries say to each other (bench/gateway_capacity.py); this takes 3. Of 65,535 restarts one
-// can't be told from what was before, and is known when the keeper has read its entry.
+// A 16-bit hash, which takes 3 bytes a line. The whole number takes 9 bytes, and increased all
+// traffic between 12 entries by a third (bench/gateway_capacity.py). One in 65,535 restarts can't
+// be told from the incarnation before; the allocator learns of it when it reads the backend
+// server's row.
 struct IncarnationTag {
   std::uint16_t value = 0;  // 0: the incarnation is not known
   bool operator==(const IncarnationTag&) const = default;
 };
 [[nodiscard]] IncarnationTag TagOf(BackendIncarnation incarnation);
-// Whether what is said of the one may hold for the other.
+// Whether the two may be the same incarnation.
 [[nodiscard]] inline bool MayBeSame(IncarnationTag a, IncarnationTag b) {
   return a.value == 0 || b.value == 0 || a == b;
 }
 
-// A datagram that is not cut on its way. Unit: bytes.
+// Largest datagram that is not fragmented. Unit: bytes.
 inline constexpr std::size_t kMaxPeerMessageBytes = 1400;
 
-// From an entry to a keeper: a place for one online request. The answer comes at
-// once, and once more if the request waits in the keeper's queue.
+// From an entry to an allocator: requests a slot for one online request. The allocator responds at
+// once, and again later if it queues the request.
 struct PlaceAsk {
-  std::uint64_t number = 0;  // rises with each ask of this incarnation
+  std::uint64_t number = 0;  // increases with each request of this incarnation
   ServiceName service;
-  Duration goal_left{0};         // until its first answer is late
-  Duration time_left{0};         // until its caller gives up
-  bool last_chance = false;      // its caller was refused before: better late than refused again
-  bool may_queue = false;        // wait there if there is no place now
-  std::vector<BackendId> tried;  // not there
+  Duration goal_left{0};  // until the first event would miss its goal
+  Duration time_left{0};  // until the caller's deadline
+  // a retry of a refused request: serving it late is better than refusing it again
+  bool last_chance = false;
+  bool may_queue = false;        // the allocator may queue it if no slot is free
+  std::vector<BackendId> tried;  // backend servers to exclude
 };
 
 struct PlaceAnswer {
   enum class Kind : std::uint8_t {
-    kPlaced,  // `backend` has a place; it is kept for the request for a while
-    kQueued,  // another answer follows
-    kFull,    // there will be none in time
-    // This entry knows of no place of the service that it keeps: it has not read the list of
-    // backend servers yet, or lags behind it, or all of them leave. It says nothing of others.
+    kPlaced,  // `backend` has a slot, which is reserved for the request for a while
+    kQueued,  // another response follows
+    kFull,    // no slot will be free in time
+    // The allocator owns no backend server of the service: it has not read the list of backend
+    // servers yet, or its list is outdated, or all of them are leaving. Other allocators may have
+    // slots.
     kNotKept,
   };
   std::uint64_t number = 0;
   Kind kind = Kind::kFull;
   BackendId backend;
-  Duration wait{0};  // expected until there would be a place
-  // For a request that may queue and was refused: after this its caller should come back.
+  Duration wait{0};  // expected time until a slot is free
+  // For a refused request that could have been queued: delay before the caller should retry.
   Duration come_back{0};
 };
 
-// Batch items of one entry that wait for a place, have run or have not, and are due at the same
-// time.
+// Batch items of one entry that wait for a slot and have the same due time; either all of them have
+// been started before or none.
 struct WaitingItems {
-  // Items that can't be in time any more: they run in what the others leave.
+  // Due time of items that can no longer be in time: they run on slots that the others leave free.
   static constexpr StoreTime kLate = StoreTime::max();
-  // Groups that a report tells apart; the last one has all the rest. An entry has
-  // items of one or two jobs waiting in the mean, of five at a wave's peak.
+  // Number of groups in a report; the last one combines the rest. An entry has waiting items of one
+  // or two jobs on average, and of five at the peak of a load wave.
   static constexpr std::size_t kMaxGroups = 4;
 
   StoreTime due{0};
   int items = 0;
-  bool begun = false;  // they have run, and go on before others that can be in time
-  // Those that run first first.
+  bool begun = false;  // started before; resumed before other items that can be in time
+  // Sort key: the items that run first come first.
   [[nodiscard]] std::pair<bool, StoreTime> order() const { return {!begun, due}; }
   bool operator==(const WaitingItems&) const = default;
 };
 [[nodiscard]] int CountOf(std::span<const WaitingItems> waiting);
 
-// From an entry to a keeper. Absolute numbers: the latest one counts.
+// From an entry to an allocator. All counts are absolute, so only the latest report counts.
 struct PlaceReport {
   struct Line {
     BackendId backend;
     int online = 0;
     int batch = 0;
-    Duration usual_run{0};  // of its online requests there; 0: none has ended
-    // How its sends there have ended since the entry's start.
+    Duration usual_run{0};  // typical run time of its online requests there; 0: none has ended yet
+    // Outcomes of its sends there since the entry started.
     std::uint64_t answers = 0;
     std::uint64_t faults = 0;
     IncarnationTag incarnation = {};
   };
-  std::uint64_t number = 0;  // rises with each report of this incarnation
-  std::uint64_t grant = 0;   // the last grant that this entry has acted on
-  // Asks whose answers this entry has acted on since its last report.
+  std::uint64_t number = 0;  // increases with each report of this incarnation
+  std::uint64_t grant = 0;   // number of the last grant that this entry has applied
+  // Numbers of the slot requests whose responses this entry has processed since its last report.
   std::vector<std::uint64_t> asked;
-  // Batch items that could start now, in the order in which they would.
+  // Batch items that could start now, in the order in which they would start.
   std::vector<WaitingItems> waiting;
   std::vector<Line> lines;
-  // This entry uses nothing at the keeper's backend servers that have no line. Most reports have
-  // few lines then, and the word that a request has ended is still said again until it is heard.
+  // This entry uses no slots on the allocator's backend servers that have no line. This keeps most
+  // reports short, and still repeats that a request has ended until the allocator receives it.
   bool rest_unused = false;
 };
 
-// From a keeper to an entry.
+// From an allocator to an entry.
 struct PlaceGrant {
   struct Line {
     BackendId backend;
-    int online_other = 0;  // used by all entries but the receiver
+    int online_other = 0;  // slots used by all entries but the receiver
     int batch_other = 0;
-    int allowed = 0;       // batch items that the receiver may have running there
-    bool ejected = false;  // left out for its faults, which one entry alone sees too few of
+    int allowed = 0;       // batch items that the receiver may run there
+    bool ejected = false;  // ejected for its faults, of which a single entry sees too few
     IncarnationTag incarnation = {};
   };
-  // All that the keeper keeps of one service, as online requests use it.
+  // Slots of one service on all backend servers that the allocator owns, and how many of them are
+  // used by online requests.
   struct ServiceUse {
     ServiceName service;
     int places = 0;
@@ -132,8 +137,8 @@
   };
   std::uint64_t number = 0;
   std::vector<Line> lines;
-  // To entries of other data centres, in place of the lines of what they don't use: they need to
-  // know which keeper to ask, and not each of its backend servers.
+  // Sent to entries of other data centres in place of lines for the backend servers that they don't
+  // use: they need to know which allocator to ask, not the state of each of its backend servers.
   std::vector<ServiceUse> services;
 };
 
@@ -143,15 +148,15 @@
   std::optional<PlaceGrant> grant;
   std::optional<PlaceAsk> ask;
   std::optional<PlaceAnswer> answer;
-  std::vector<Peer> known;  // peers that the sender knows; on first contact
+  std::vector<Peer> known;  // peers that the sender knows; sent on first contact
   enum class Wants : std::uint8_t { kNothing, kAnswer, kKnown };
   Wants wants = Wants::kNothing;
   std::optional<QuotaAsk> quota_ask;
   std::optional<QuotaGrant> quota_grant;
 };
 
-// MessagePack. A message that does not fit a datagram loses its last lines, which come
-// with the next one.
+// Encodes as MessagePack. A message that exceeds kMaxPeerMessageBytes loses its last lines, which
+// are sent with the next one.
 [[nodiscard]] std::string Encode(const PeerMessage& message);
 // Errors: kBadRequest.
 [[nodiscard]] Result<PeerMessage> DecodePeerMessage(std::string_view bytes);
--- a/include/figmill/peers.h
+++ b/include/figmill/peers.h
@@ -1,7 +1,8 @@
 #pragma once
 
-// The other entries: who is there, and which of them keep which backend servers. No I/O:
-// the caller passes the time in.
+// Membership of the entries, and the assignment of backend servers to allocators. An allocator is
+// an entry that divides the slots of its backend servers among all entries. No I/O: the caller
+// passes the time in.
 
 #include <cstdint>
 #include <map>
@@ -17,115 +18,120 @@
 
 namespace figmill {
 
-// Another entry, or this one.
+// An entry: another one, or this one.
 struct Peer {
   NodeId node;
   Incarnation incarnation = 0;
-  Address address;  // of its datagrams, and of HTTP between entries
+  Address address;  // for its datagrams, and for HTTP between entries
   DataCentre data_centre;
-  double capacity = 1;  // of its host, in cores
+  double capacity = 1;  // cores of its host
   bool leaving = false;
-  // It has not read the list of backend servers yet, and can keep and run nothing. Taken for a
-  // keeper it would grant nothing, and its grants would show that it lives.
+  // The entry has not read the list of backend servers yet. It can't run requests or be an
+  // allocator: it would grant no slots, yet its grants would show that it is alive.
   bool joining = false;
   bool operator==(const Peer&) const = default;
 };
 
-// A backend server as its keeper sees it.
+// A backend server as its allocator sees it.
 struct KeptBackend {
   ServiceName service;
-  int places = 0;  // 0: nothing new goes there, and batch gives way
-  // Nothing new goes there, and what runs keeps its places until it ends.
+  // 0 while it is draining: no new requests go there, and batch items are preempted
+  int places = 0;
+  // No new requests go there; running ones keep their slots until they end.
   bool frozen = false;
   BackendIncarnation incarnation = {};
   bool operator==(const KeptBackend&) const = default;
 };
 
-// Who is there. A peer that the store lists is taken to be live until somebody
-// finds it silent: each entry watches some others, so that the number of datagrams
-// doesn't grow with the square of the entries, and takes the row of a silent one out
-// of the store, which tells all.
+// Tracks the entries and detects failed ones. A peer that the store lists counts as live until some
+// entry detects that it has failed. Each entry monitors only some of the others, so that the number
+// of datagrams doesn't grow with the square of the number of entries. An entry that detects a
+// failed peer removes the peer's row from the store, which informs all others.
 class PeerTable {
  public:
-  // A watched peer that wasn't heard for this long is asked for an answer; one that
-  // was silent for kSilence is taken for gone: two answers in a row were lost.
+  // A monitored peer is probed after this long without a message from it. It counts as failed after
+  // kSilence: two replies in a row were lost.
   static constexpr Duration kPresence{1'000'000};
   static constexpr Duration kSilence{2'300'000};
-  // Up to so many others an entry watches all.
+  // With up to this many others, an entry monitors all of them.
   static constexpr std::size_t kWatchAll = 16;
-  // In a larger fleet it watches so many of all, in an order by hash, and so many more of its own
-  // data centre, where datagrams are cheap; about as many watch it. Those of all are for the loss
-  // of a data centre, when nobody is left there to notice.
+  // In a larger fleet it monitors this many peers of any data centre, in hash order, and this many
+  // more in its own data centre, where datagrams are cheap. Each entry is monitored by about as
+  // many. Peers of any data centre are included to detect the loss of a whole data centre, after
+  // which no entry is left there to report it.
   static constexpr std::size_t kWatchedAnywhere = 4;
   static constexpr std::size_t kWatchedNear = 8;
-  // Peers that are suspected or joining are asked besides, so many at a time: when all entries
-  // start together, each would else ask all others twice a second.
+  // Suspected and joining peers are probed in addition, at most this many at a time. Without the
+  // limit each entry would probe all others twice a second while the whole fleet starts.
   static constexpr std::size_t kAskedInTurn = 8;
-  // One that is not listed and was not heard for so long is forgotten. Hosts are replaced all day,
-  // and an entry that keeps the names of all that ever were tells them to others.
+  // A suspected peer that is not listed is evicted after this long without a message from it. Hosts
+  // are replaced all the time, and the names of all former ones would be sent to other entries.
   static constexpr Duration kForgotten{60'000'000};
-  // A data centre's backend servers are kept by one entry for each so many. Fewer
-  // keepers mean fewer datagrams to each entry, more of them less lost with one.
+  // Number of backend servers for each allocator of a data centre. Fewer allocators mean fewer
+  // datagrams to each entry; more of them mean that less is lost when one fails.
   static constexpr std::size_t kBackendsPerKeeper = 6;
-  // Entries on hosts with less than this share of the largest one's capacity keep
-  // no backend servers and own no jobs: callers come to all alike.
+  // Entries on hosts with less than this share of the largest host's capacity are no allocators and
+  // own no jobs, because callers are spread evenly over all entries.
   static constexpr double kLeastCapacity = 0.5;
 
   explicit PeerTable(Peer self) : self_(std::move(self)) {}
 
-  // The store lists it, or another peer knows it. True if it is new here.
+  // Adds a peer that the store lists or that another peer knows. Returns true if it is new here.
   bool Named(const Peer& peer);
-  // The store lists it no more.
+  // The store no longer lists the peer.
   void Unlisted(const NodeId& node);
-  // Heard from itself. True if it wasn't live before.
+  // Records a message from the peer itself. Returns true if it wasn't live before.
   bool Heard(const Peer& peer, Time now);
-  // It should have been heard from: not live until it is.
+  // Marks the peer as not live until the next message from it.
   void Suspect(const NodeId& node);
   void SetLeaving(bool leaving) { self_.leaving = leaving; }
-  // This entry knows the list of backend servers from now on. True if it didn't before.
+  // This entry has read the list of backend servers. Returns true if it was joining before.
   bool Joined();
-  // Others know a process of this entry's slot by this incarnation. If it seems to be a
-  // later one, this process takes a higher one: true. The time of day that incarnations
-  // are made from jumps back, and a process that starts then would be taken for one that
-  // is gone, and be granted nothing.
+  // Other entries know a process under this entry's name with the incarnation `known`. If that is
+  // higher than this process's own, takes a higher one and returns true. Incarnations are made from
+  // the time of day, which may jump back; a process that starts then would be taken for an earlier
+  // one, and be granted nothing.
   bool Outlive(Incarnation known);
-  // What is known of a later process of its slot, if there is one.
+  // Returns what is known of a later process under the peer's name; null if there is none.
   [[nodiscard]] const Peer* LaterThan(const Peer& peer) const;
 
   [[nodiscard]] const Peer& self() const { return self_; }
   [[nodiscard]] bool IsLive(const NodeId& node, Time now) const;
-  // Of the entries that this one watches, more than half have spoken lately; true if there are
-  // none. One that is cut off hears nobody, whatever it believes of the others.
+  // Whether more than half of the monitored peers have sent a message within kSilence; true if
+  // there are none to monitor. An entry that is cut off hears from no peer, whatever it believes
+  // about their state.
   [[nodiscard]] bool HearsMost(Time now);
   [[nodiscard]] const Peer* Find(const NodeId& node) const;
-  // All that are known, live or not, without this one; in the order of their names, from the one
-  // that follows it. A list of them that is cut goes on where its last one's list begins.
+  // All known peers, live or not, without this entry. The list is in the order of names, rotated to
+  // start after this entry, so that a truncated list continues with the
+  // list of its last peer.
   [[nodiscard]] std::vector<Peer> others() const;
-  [[nodiscard]] std::vector<Peer> Live(Time now) const;  // with this one
+  [[nodiscard]] std::vector<Peer> Live(Time now) const;  // including this entry
 
   struct Watch {
-    // Not heard for kPresence; and in turn those that are suspected or joining: the word that
-    // they are there, or have joined, may have been lost.
+    // Monitored peers without a message for kPresence; also some of the suspected and joining ones,
+    // in turn, because the message that they are alive or have joined may have been lost.
     std::vector<Peer> to_ask;
-    std::vector<Peer> silent;  // found silent now; they are suspected from here on
+    std::vector<Peer> silent;  // detected as failed by this call, and suspected from now on
   };
-  // Call it twice a kPresence.
+  // Call it every kPresence / 2.
   [[nodiscard]] Watch WatchOthers(Time now);
 
-  // Live, joined, staying, and with capacity for more than their callers.
+  // Live peers that have joined, are not leaving, and whose hosts have capacity to spare.
   [[nodiscard]] std::vector<Peer> Capable(Time now) const;
-  // The capable entries in the order of the rendezvous hash for `key`, which all share.
+  // The eligible peers in the order of the rendezvous hash for `key`, which is the same at all
+  // entries.
   [[nodiscard]] std::vector<Peer> RankedFor(std::string_view key, Time now) const;
-  // The first of them; among those of `prefer`, if there is one.
+  // The first of them; the first in `prefer` if there is one.
   [[nodiscard]] std::optional<Peer> OwnerOf(std::string_view key,
                                             const std::optional<DataCentre>& prefer,
                                             Time now) const;
-  // The keepers of a data centre that has `backends` backend servers, in an order
-  // that all entries share.
+  // The allocators of a data centre with `backends` backend servers, in an order that is the same
+  // at all entries.
   [[nodiscard]] std::vector<Peer> KeepersOf(const DataCentre& data_centre, std::size_t backends,
                                             Time now) const;
-  // Rises when who is live, stays or is known has changed; call it with the time,
-  // since silence shows by that alone.
+  // Increases when a peer is added or removed, or when one starts or stops being live or eligible.
+  // Pass the current time, because a peer may stop being live by timeout alone.
   [[nodiscard]] std::uint64_t Generation(Time now);
 
  private:
@@ -134,12 +140,12 @@
     bool listed = false;
     bool suspected = false;
     std::optional<Time> heard_at;
-    std::optional<Time> asked_at;  // first ask since it was heard
-    // Suspected, and not listed any more.
+    std::optional<Time> asked_at;  // first probe since the last message
+    // Suspected and no longer listed.
     [[nodiscard]] bool gone() const { return suspected && !listed; }
   };
   void ForgetGone(Time now);
-  // The others that are not gone, in the order by hash from this entry on.
+  // The others that are not gone, in hash order, starting after this entry.
   [[nodiscard]] std::vector<Entry*> Ring();
   [[nodiscard]] std::vector<Entry*> Watched(const std::vector<Entry*>& ring) const;
   static void Look(Entry& entry, Watch& watch, Time now);
@@ -147,32 +153,34 @@
 
   Peer self_;
   std::map<NodeId, Entry> others_;
-  std::size_t asked_in_turn_ = 0;  // suspected or joining ones so far
+  std::size_t asked_in_turn_ = 0;  // number of suspected or joining peers probed so far
   std::uint64_t generation_ = 0;
   std::size_t live_at_generation_ = 0;
 };
 
-// The keeper of a backend server out of those of its data centre.
+// The allocator of a backend server, out of the allocators of its data centre; null if there are
+// none.
 [[nodiscard]] const Peer* KeeperAmong(std::span<const Peer> keepers, const BackendId& backend);
 
-// Which backend servers this entry keeps and which it uses. It uses those of a few
-// keepers only, so that its cost doesn't grow with the fleet, and neighbours in the
-// shared order use overlapping ones, so that all are used alike.
+// Which backend servers this entry owns as allocator, and which it uses. An entry uses the backend
+// servers of a few allocators only, so that its cost doesn't grow with the fleet. Entries that are
+// neighbours in the shared order use overlapping sets, so that all allocators are used evenly.
 class KeeperMap {
  public:
-  // Keepers of this data centre that an entry uses: with 6 to 10 backend servers each
-  // enough that some place is free when the fleet as a whole has any.
+  // Allocators of its own data centre that an entry uses. With 6 to 10 backend servers each, that
+  // is enough to find a free slot if the fleet as a whole has any.
   static constexpr std::size_t kNear = 4;
-  // Of all others together, for when those are full or gone. With eight, prices are a
-  // tenth higher and no more is served (five days of trouble on each of two deployments of
-  // 42 and 50 engines: worth 0.802 and 0.797 with eight, 0.812 and 0.809 with four).
+  // Allocators of all other data centres together, for when the local ones are full or gone. With
+  // eight of them costs were a tenth higher and no more requests were served (five simulated days
+  // of faults on each of two deployments, with 42 and 50 engines: score 0.802 and 0.797 with eight,
+  // 0.812 and 0.809 with four).
   static constexpr std::size_t kFar = 4;
 
   void SetBackends(std::vector<BackendInfo> backends);
-  // Works both out anew if the peers or the backend servers have changed; true then.
+  // Recomputes both sets if the peers or the backend servers have changed; returns true then.
   bool Update(PeerTable& peers, Time now);
 
-  // By id, with their keepers.
+  // By id of the backend server: its allocator.
   [[nodiscard]] const std::map<BackendId, Peer>& used() const { return used_; }
   [[nodiscard]] const std::vector<BackendInfo>& used_infos() const { return used_infos_; }
   [[nodiscard]] const std::map<BackendId, KeptBackend>& kept() const { return kept_; }
--- a/include/figmill/quarantine.h
+++ b/include/figmill/quarantine.h
@@ -1,11 +1,12 @@
 #pragma once
 
-// Keeps requests that crash the backend servers which run them away from the others.
+// Quarantines requests that crash the backend servers which run them.
 //
-// A backend server that ends takes all with it that it runs, and nothing tells which of those
-// requests was the cause. So each is reported, by what attempts of one request have in common.
-// One that is reported again after a run that began later is the cause most likely: it isn't run
-// for a while. One that is completed is not the cause, and its reports are withdrawn.
+// A backend server that crashes loses all requests that it runs, and nothing shows which of them
+// was the cause. Therefore each of them is reported, by a fingerprint that all attempts of one
+// request share. If a request is reported again after a run that started later, it is the most
+// likely cause and isn't run for a while. If it is completed, it is not the cause, and its reports
+// are withdrawn.
 // No I/O: the caller passes the time in.
 
 #include <compare>
@@ -23,87 +24,90 @@
 
 namespace figmill {
 
-// What attempts of one request have in common. Each attempt has an id of its own, so that ids
-// can't tell that the same request has come again.
+// Identifies all attempts of one request. Each attempt has an id of its own, so ids can't show that
+// the same request was sent again.
 struct RequestFingerprint {
   std::string value;  // 32 hexadecimal digits
   auto operator<=>(const RequestFingerprint&) const = default;
 };
-// `target`: path and query. A caller's key is no part of it: digests are written to the store.
+// `target`: path and query. The caller's key is not included, because fingerprints are written to
+// the store.
 [[nodiscard]] RequestFingerprint FingerprintOf(std::string_view method, std::string_view target,
                                                std::span<const Header> headers,
                                                std::string_view body, const TeamId& team);
 
-// The end of a backend server that was running a request.
+// A crash of a backend server while it ran a request.
 struct Crash {
   RequestFingerprint request;
   BackendId backend;
-  BackendIncarnation incarnation;  // that ended
+  BackendIncarnation incarnation;  // the one that crashed
   auto operator<=>(const Crash&) const = default;
 };
 
 struct CrashReport {
-  // Longer chains are counted as this.
+  // Longer chains are counted as this length.
   static constexpr int kMaxChain = 6;
 
   Crash crash;
-  // How many crashes of the request followed each other, this one included: each by a run that
-  // began after the one before was known. Backend servers that end together make no chain, so
-  // that a popular request isn't blamed for the loss of a rack.
+  // Length of the chain of crashes, including this one, in which each run started after the crash
+  // before was known. Backend servers that crash at the same time form no chain, so that a frequent
+  // request isn't blamed for the loss of a rack.
   int chain = 1;
 };
 
-// Reports are rows of a shared table. `seen_by` and `attempt` are for people who read the row.
+// Reports are stored as rows of a shared table. `seen_by` and `attempt` are for people who read the
+// rows.
 [[nodiscard]] std::string RowKeyOf(const Crash& crash);
 [[nodiscard]] std::string RowValueOf(const CrashReport& report, const NodeId& seen_by,
                                      std::string_view attempt);
-// Errors: kBadRequest, with what is wrong.
+// Errors: kBadRequest, with the cause.
 [[nodiscard]] Result<Crash> ParseCrashKey(std::string_view key);
 [[nodiscard]] Result<CrashReport> ParseCrashRow(const TableRow& row);
 
 class Quarantine {
  public:
-  // How long a request is kept away after a chain of crashes. A probe after it lets one that was
-  // blamed wrongly be served again; after a chain of CrashReport::kMaxChain there is none.
+  // How long a request is kept in quarantine after a chain of crashes. It is probed when the period
+  // is over, so that one that was blamed wrongly is served again; after a chain of
+  // CrashReport::kMaxChain there is no probe.
   struct Policy {
-    int chain_limit = 0;    // the shortest chain that counts
-    Duration first_period;  // until a probe; twice as long after each further crash
+    int chain_limit = 0;    // shortest chain that causes a quarantine
+    Duration first_period;  // time until the first probe; doubles with each further crash
   };
-  // A request that merely ran beside the cause is short, and seldom meets a second end.
+  // An online request that merely ran beside the cause is short, and seldom sees a second crash.
   static constexpr Policy kOnline{2, Duration{60'000'000}};
-  // Items run for seconds, and meet the ends of several backend servers that fail for reasons of
-  // their own. Their jobs wait for them.
+  // Batch items run for seconds, and see crashes of several backend servers for unrelated reasons.
+  // Their jobs can wait.
   static constexpr Policy kBatch{4, Duration{8'000'000}};
-  // While a probe may still be running no other begins here.
+  // No second probe starts here while one may still be running.
   static constexpr Duration kProbeTimeout{10'000'000};
-  // What callers of a request that isn't probed any more are told to wait.
+  // Retry delay for callers of a request that is no longer probed.
   static constexpr Duration kLongestWait = std::chrono::hours(1);
-  // Reports that are kept, of all requests.
+  // Most reports kept, over all requests.
   static constexpr std::size_t kMaxReports = 1000;
 
   explicit Quarantine(NodeId self) : self_(std::move(self)) {}
 
-  // A report that this process makes, or hears of. `seen_at`: when the crash was seen here or
-  // the report came.
+  // Adds a report of this process or of another one. `seen_at`: when the crash was seen here, or
+  // when the report arrived.
   void Add(const CrashReport& report, Time seen_at);
   void Remove(const Crash& crash);
-  // The chain of a crash in a run that began then.
+  // Chain length of a crash in a run that started at `begun_at`.
   [[nodiscard]] int ChainOf(const RequestFingerprint& request, Time begun_at) const;
 
-  // Until the request may run here as work of this class; nothing: now.
+  // Time until the request may run here as work of this class; nullopt: it may run now.
   [[nodiscard]] std::optional<Duration> TimeLeft(const RequestFingerprint& request, WorkClass work,
                                                  Time now) const;
-  // Crashes of the request, one after the other.
+  // Length of the request's longest chain of crashes; 0 without reports.
   [[nodiscard]] int ChainOf(const RequestFingerprint& request) const;
-  // A run of it begins.
+  // A run of the request starts.
   void Began(const RequestFingerprint& request, Time now);
-  // A run of it has ended with its whole answer. Returns the reports that are withdrawn by that.
+  // A run of the request has ended with a complete answer. Returns the reports that this withdraws.
   [[nodiscard]] std::vector<Crash> Completed(const RequestFingerprint& request);
-  // Reports beyond kMaxReports: the shortest chains, and of these the oldest.
+  // The reports beyond kMaxReports: those of the shortest chains, and of these the oldest.
   [[nodiscard]] std::vector<Crash> Surplus() const;
 
   [[nodiscard]] std::size_t reports() const { return reports_; }
-  // Requests with a chain that counts for any class of work.
+  // Number of requests whose chain is long enough for a quarantine of online requests.
   [[nodiscard]] std::size_t quarantined() const { return quarantined_; }
 
  private:
@@ -117,7 +121,7 @@
   };
   [[nodiscard]] static const Seen& Longest(const Suspect& suspect);
   [[nodiscard]] static bool IsQuarantined(const Suspect& suspect);
-  // After the end of a chain; nothing: for good.
+  // Quarantine period after the end of a chain; nullopt: no probe.
   [[nodiscard]] std::optional<Duration> PeriodOf(const RequestFingerprint& request,
                                                  const Policy& policy, int chain) const;
 
--- a/include/figmill/quota.h
+++ b/include/figmill/quota.h
@@ -1,12 +1,12 @@
 #pragma once
 
-// How many requests a second a team may make, over all entries together. Each team's quota has an
-// owner among the entries, which all entries find by the same hash. It keeps the team's token
-// bucket and grants credits out of it; an entry charges one credit a request, and asks for more
-// when it has none. No I/O and no clock: the caller passes the time in.
+// Rate limits of teams over all entries together. Each team's quota has an owner among the entries,
+// which all entries find by the same rendezvous hash. The owner keeps the team's token bucket and
+// grants credits from it. An entry charges one credit for each request, and requests more credits
+// from the owner when it has none. No I/O and no clock: the caller passes the time in.
 //
-// Time here must also run while the host is suspended: an entry that wakes up must not spend
-// credits that were granted before.
+// The time must come from a clock that also runs while the host is suspended: after a resume, an
+// entry must not spend credits that were granted before the suspend.
 
 #include <cstdint>
 #include <deque>
@@ -28,47 +28,48 @@
 
 // From an entry to the owner of a team's quota.
 struct QuotaAsk {
-  std::uint64_t number = 0;  // rises with each ask of this process
+  std::uint64_t number = 0;  // increases with each request of this process
   TeamId team;
-  std::uint32_t wanted = 0;    // credits
-  std::uint32_t returned = 0;  // of earlier ones, not spent and not valid any more
+  std::uint32_t wanted = 0;    // credits requested
+  std::uint32_t returned = 0;  // unspent credits of earlier grants that have expired
   bool operator==(const QuotaAsk&) const = default;
 };
 
 struct QuotaGrant {
-  std::uint64_t number = 0;  // of the ask
+  std::uint64_t number = 0;  // of the request that this grant answers
   TeamId team;
-  bool owned = false;  // by the sender; else it says nothing of the quota
+  bool owned = false;  // the sender owns the quota; if false, the other fields have no meaning
   std::uint32_t credits = 0;
-  Duration next_after{0};  // if fewer than wanted: until the next one
-  Duration every{0};       // and one more each
+  Duration next_after{0};  // if fewer were granted than requested: time until the next credit
+  Duration every{0};       // interval between the credits after that
   bool operator==(const QuotaGrant&) const = default;
 };
 
 // --- Limits ------------------------------------------------------------------------
 
-// What is allowed in any window of time: (rate * window + burst) * (1 + excess) + slack.
+// The most requests in any time window: (rate * window + burst) * (1 + excess) + slack.
 struct QuotaBounds {
   Duration window{5'000'000};
   double excess = 0.1;
   std::uint32_t slack = 20;
 
-  // Credits are valid for so long after they were asked for. A window may hold what was granted
-  // within this time before it as well, which takes half of the excess.
+  // Credits expire this long after they were requested. A window may contain requests on credits
+  // that were granted up to this long before it, which uses up half of `excess`.
   [[nodiscard]] Duration CreditLife() const;
-  // Entries that may admit a request of a team on their own when its owner is silent.
+  // Number of entries that may admit a team's requests on their own while its owner doesn't
+  // respond.
   [[nodiscard]] std::size_t FreeEntries() const { return slack / 2; }
 };
 
-// A bucket whose level rises by a rate up to its capacity.
+// A token bucket.
 class CreditBucket {
  public:
   CreditBucket(double level, Time now) : level_(level), at_(now) {}
   void Refill(double per_second, double capacity, Time now);
-  // As many whole credits as there are, `most` at the most.
+  // Removes whole credits, at most `most`, and returns their number.
   [[nodiscard]] std::uint32_t Take(std::uint32_t most);
   void Return(std::uint32_t credits) { level_ += credits; }
-  // Until there is a whole credit.
+  // Time until there is a whole credit.
   [[nodiscard]] Duration UntilNext(double per_second) const;
 
  private:
@@ -78,25 +79,27 @@
 
 // --- Owner -------------------------------------------------------------------------
 
+// Token buckets of the quotas that this process owns.
 class QuotaOwner {
  public:
-  // Of a team whose quota this process has just begun to own: the owner before may have granted
-  // the whole burst. Unit: credits.
+  // Initial credits of a team whose quota this process has just started to own: the previous owner
+  // may have granted the whole burst.
   static constexpr double kFirstLevel = 2;
   static constexpr std::size_t kMaxTeams = 8192;
 
   explicit QuotaOwner(Time started_at) : changed_at_(started_at) {}
 
-  // This process may not have been the owner of what it took for its own: it stood still, or was
-  // cut off. Another one may have granted the same meanwhile.
+  // Forgets all buckets. Call it when this process may have lost the ownership of quotas without
+  // noticing, because it was stopped or cut off: another entry may have granted the same credits
+  // meanwhile.
   void Restart(Time now);
-  // Who is there has changed: the quotas that this process doesn't own any more are forgotten.
+  // The set of live entries has changed: forgets the quotas that this process no longer owns.
   void OnEntriesChanged(const std::function<bool(const TeamId&)>& owns, Time now);
   [[nodiscard]] QuotaGrant Grant(const QuotaAsk& ask, const Team& team, Time now);
   [[nodiscard]] std::size_t tracked() const { return buckets_.size(); }
 
  private:
-  Time changed_at_;  // since then this process may have owned a team that is not tracked
+  Time changed_at_;  // start of the earliest possible ownership of a team that is not tracked
   std::map<TeamId, CreditBucket> buckets_;
 };
 
@@ -107,12 +110,13 @@
 struct Admitted {
   Time charged_at{};
 };
-// An answer follows from OnGrant or OnTime.
+// The decision follows from OnGrant or OnTime.
 struct Waits {};
 using Verdict = std::variant<Admitted, Waits, Error>;
 
-// What became of a request that waited. The error is kTeamLimit, or kNoBackend when neither the
-// owner nor this entry's own share can say; nothing has run either way.
+// Decision on a request that had to wait. The error is kTeamLimit, or kNoBackend if the owner
+// doesn't respond and this entry's fallback share is used up; the request has not run in either
+// case.
 struct Decision {
   std::uint64_t ticket = 0;
   Result<Admitted> verdict;
@@ -120,48 +124,51 @@
 
 }  // namespace quota
 
+// Admits requests at an entry with credits from the owners of the quotas.
 class QuotaClient {
  public:
-  // An owner answers within some ms, on a busy host within some tens. Asks may be lost: it is
-  // asked again once before it counts as silent.
+  // An owner responds within a few ms, or some tens of ms on a busy host. Requests to it may be
+  // lost, so one is sent again before the owner counts as unresponsive.
   static constexpr Duration kAskAgain{40'000};
   static constexpr Duration kOwnerPatience{100'000};
-  // A silent owner is asked this often whether it is back.
+  // Interval at which an unresponsive owner is probed.
   static constexpr Duration kSilentPause{250'000};
-  // What the entries admit together while the owner is silent. It may still serve others, so that
-  // their part comes on top of the whole quota. Unit: share of the limit.
+  // Rate that all entries together admit while the owner doesn't respond. The owner may still serve
+  // other entries, so this comes on top of the whole quota. Unit: share of the limit.
   static constexpr double kSilentShare = 0.4;
-  // Refused requests are answered from the last grant for so long, or until its next credit.
+  // After a refusal, further requests are refused from the last grant for this long, or until its
+  // next credit if that is sooner.
   static constexpr Duration kRefusalLife{50'000};
   static constexpr std::size_t kMaxTeams = 8192;
-  // Requests of one team that wait for an answer at a time; no more come within the patience.
+  // Most requests of one team that wait for a grant at a time; no more arrive within
+  // kOwnerPatience.
   static constexpr std::size_t kMaxWaiting = 4096;
   static constexpr Duration kForgetAfter{60'000'000};
 
   struct Entries {
-    std::size_t count = 1;  // that were there lately, with this one
-    // Whether this one is among those that may admit a request on their own.
+    std::size_t count = 1;  // live lately, including this one
+    // Whether this entry may admit requests on its own while the owner doesn't respond.
     bool free = true;
   };
 
   explicit QuotaClient(QuotaBounds bounds) : bounds_(bounds) {}
 
   struct Request {
-    std::uint64_t ticket = 0;  // names it in a later decision
-    Duration time_left{0};     // until its caller gives up
+    std::uint64_t ticket = 0;  // identifies the request in a later decision
+    Duration time_left{0};     // until the caller's deadline
   };
-  // Charges a request.
+  // Charges a request to the team's quota.
   [[nodiscard]] quota::Verdict Admit(const Team& team, const Entries& entries,
                                      const Request& request, Time now);
-  // The request was refused and has not run.
+  // Refunds a request that was refused after it was charged, and has not run.
   void GiveBack(const TeamId& team, Time charged_at, Time now);
   void OnGrant(const QuotaGrant& grant, Time now);
-  // The owner of the team's quota is another one now, which hasn't been silent yet.
+  // The team's quota has a new owner, which has not missed a deadline yet.
   void OnOwnerChanged(const TeamId& team);
-  // What time alone changes; call it every kAskAgain / 2 while `waits`.
+  // Applies timeouts; call it every kAskAgain / 2 while `waits` is true.
   void OnTime(Time now);
 
-  // Asks to be sent now, each to its team's owner; call both after each of the above.
+  // Requests to send now, each to its team's owner; call both functions after each of the above.
   [[nodiscard]] std::vector<QuotaAsk> TakeAsks() { return std::exchange(asks_, {}); }
   [[nodiscard]] std::vector<quota::Decision> TakeDecisions() {
     return std::exchange(decisions_, {});
@@ -186,20 +193,20 @@
     Entries entries;
     std::uint32_t credits = 0;
     Time credits_until{};
-    std::uint32_t returned = 0;  // not told to the owner yet
+    std::uint32_t returned = 0;  // not reported to the owner yet
     std::deque<Waiting> waiting;
-    std::vector<Ask> open;  // asks that are not answered
+    std::vector<Ask> open;  // sent and not answered yet
     std::optional<Time> silent_since;
-    Time asked_at{};  // last
-    // Set by a grant of fewer credits than were wanted.
+    Time asked_at{};  // time of the last request to the owner
+    // Set by a grant of fewer credits than requested.
     Time refused_until{};
     Time next_credit{};
     Duration every{0};
     RetryScheduler returns;
-    // What comes here, for credits ahead of need.
+    // Arrival rate, to request credits ahead of need.
     double arrivals = 0;
     Time arrivals_at{};
-    CreditBucket own_share{0, Time{}};  // while the owner is silent
+    CreditBucket own_share{0, Time{}};  // used while the owner doesn't respond
     Time used_at{};
   };
 
@@ -207,7 +214,8 @@
   void DropExpired(TeamState& team, Time now) const;
   void CountArrival(TeamState& team, Time now) const;
   void SendAsk(TeamState& team, Time now);
-  // Whether an answer may still be on its way; asks that were lost don't count.
+  // Whether a request to the owner may still be answered; those that are older than kAskAgain don't
+  // count.
   [[nodiscard]] static bool IsAsking(TeamState& team, Time now);
   [[nodiscard]] Result<quota::Admitted> Silent(TeamState& team, Time now) const;
   [[nodiscard]] static Error Refused(TeamState& team, Duration time_left, Time now);
--- a/include/figmill/teams.h
+++ b/include/figmill/teams.h
@@ -1,7 +1,8 @@
 #pragma once
 
-// Teams: which of them holds the key of a request, and for how long a process may go by the keys
-// that it knows. No I/O and no clock: the caller passes the time in.
+// Teams: looks up the team that a request's key belongs to, and limits how long a process may
+// accept keys from the configuration that it has. No I/O and no clock: the caller passes the time
+// in.
 
 #include <cstdint>
 #include <optional>
@@ -17,34 +18,35 @@
 
 struct Team {
   TeamId name;
-  std::vector<std::string> keys;   // any of them stands for the team
-  std::optional<int> rank;         // goes before the rank of a route; 0 goes first
+  std::vector<std::string> keys;   // each of them authenticates the team
+  std::optional<int> rank;         // overrides the rank of a route; 0 is the highest priority
   double requests_per_second = 0;  // over all entries together; 0: no limit
   double burst = 0;                // requests beyond the rate
 
   [[nodiscard]] bool limited() const { return requests_per_second > 0; }
 };
 
-// Errors: kBadRequest, naming the first team that is wrong. Never quotes a key.
+// Errors: kBadRequest, naming the first invalid team. Never quotes a key.
 [[nodiscard]] Result<Ok> Validate(std::span<const Team> teams);
 
 // The header that carries a caller's key.
 inline constexpr std::string_view kKeyHeader = "Authorization";
 
-// The key in a request's one `Authorization: Bearer KEY`, whose scheme may have any case (RFC
-// 6750). Errors: kUnauthorized when there is none, more than one, or one of another form.
+// Returns the key of a request's only `Authorization: Bearer KEY` header; the scheme is not case
+// sensitive (RFC 6750). Errors: kUnauthorized if the header is missing, duplicate or malformed.
 [[nodiscard]] Result<std::string_view> ParseBearer(std::span<const Header> headers);
 
 // Finds teams by key. Immutable, shared between threads.
 class TeamDirectory {
  public:
-  // `secret` differs from process to process, so that nobody can tell from the time of a look-up
-  // which keys share a bucket.
+  // `secret`: seed of the key hash. It differs from process to process, so that the time of a
+  // look-up doesn't show which keys share a hash bucket.
   TeamDirectory(std::vector<Team> teams, std::uint64_t secret);
   TeamDirectory(const TeamDirectory&) = delete;
   TeamDirectory& operator=(const TeamDirectory&) = delete;
 
-  // Nobody holds it: nullptr. A key is compared whole, whatever its first difference.
+  // Returns null if no team has the key. The time of the comparison doesn't depend on the position
+  // of the first difference.
   [[nodiscard]] const Team* HolderOf(std::string_view key) const;
   [[nodiscard]] const Team* Find(const TeamId& name) const;
   [[nodiscard]] std::span<const Team> teams() const { return teams_; }
@@ -62,26 +64,26 @@
   std::unordered_map<TeamId, const Team*> by_name_;
 };
 
-// How long this process may let keys in by the configuration that it has. A key that was taken
-// away may work for a while after that was accepted, and no longer, also at a process that can't
-// reach the store. An answer of the store confirms the configuration as of the moment at which the
-// question was sent; the time counts from there, by a clock that also runs while the host is
+// Limits how long this process may accept keys from the configuration that it has. A key may be
+// accepted for a bounded time after its removal was acknowledged, also by a process that can't
+// reach the store. A response of the store confirms the configuration as of the moment at which the
+// request was sent. The lease starts at that moment, by a clock that also runs while the host is
 // suspended. Clocks of different hosts are never compared.
 class KeyLease {
  public:
   using HostTime = Duration;
-  // One part in so many of the allowed time is kept free: the store may be deaf to changes for a
-  // moment.
+  // The lease ends early by this part of the allowed time (1/5), because the store may be late to
+  // report changes.
   static constexpr int kMarginParts = 5;
 
-  // `revoke_within`: from the acknowledgement of a configuration until none of the keys that it
-  // takes away works any more; nothing: no bound.
+  // `revoke_within`: longest time from the acknowledgement of a configuration until none of the
+  // keys that it removes is accepted any more; nullopt: no bound.
   explicit KeyLease(std::optional<Duration> revoke_within) : revoke_within_(revoke_within) {}
 
-  // What is known of the configuration held when the store was asked.
+  // The store has confirmed the configuration as of `asked_at`.
   void Confirm(HostTime asked_at);
   [[nodiscard]] bool Holds(HostTime now) const;
-  // Since the last confirmation; nothing before the first.
+  // Time since the last confirmation; nullopt before the first.
   [[nodiscard]] std::optional<Duration> Age(HostTime now) const;
 
  private:
--- a/src/peer_messages/peer_codec.cc
+++ b/src/peer_messages/peer_codec.cc
@@ -7,24 +7,25 @@
 namespace figmill {
 namespace {
 
-// MessagePack arrays, not maps: the names would be most of a datagram. Messages
-// are packed and unpacked in place: a process handles some hundred of them a second.
+// Messages are MessagePack arrays, not maps: member names would take up most of a datagram. They
+// are packed and unpacked without intermediate copies, because a process handles some hundreds of
+// them a second.
 
-// Levels of arrays in a message: itself, its report, the report's lines, one line.
+// Array nesting in a message: the message, its report, the report's lines, one line.
 constexpr std::size_t kMaxDepth = 4;
-// Places, items or cores of one host or backend server; larger ones are mistakes.
+// Most slots, items or cores of one host or backend server; larger counts are invalid.
 constexpr int kMaxCount = 1'000'000;
 constexpr Duration kLongestDuration = std::chrono::hours(24);
-// Bytes of a key of the table service.
+// Limit of the table service for a key. Unit: bytes.
 constexpr std::size_t kMaxNameBytes = 200;
-// Incarnations are times of day in milliseconds, or follow one.
+// Incarnations are times of day in milliseconds, or one more than another incarnation.
 constexpr Incarnation kMaxIncarnation = Incarnation{1} << 53;
 
 using Packer = msgpack::packer<msgpack::sbuffer>;
 using Object = msgpack::object;
 
 void Pack(Packer& packer, const Peer& peer) {
-  // The last one costs nothing once the peer has joined.
+  // The last element is left out once the peer has joined, to save its byte.
   packer.pack_array(peer.joining ? 7 : 6);
   packer.pack(peer.node.value);
   packer.pack(peer.incarnation);
@@ -151,7 +152,7 @@
   return {buffer.data(), buffer.size()};
 }
 
-// The element of an array. Throws when there is none.
+// Returns an element of an array; throws if there is none.
 const Object& At(const Object& array, std::uint32_t index) {
   if (array.type != msgpack::type::ARRAY || index >= array.via.array.size) {
     throw std::invalid_argument("element " + std::to_string(index) + " is missing");
@@ -169,14 +170,14 @@
   return array.via.array.size;
 }
 
-// A negative count would free places that are in use, and sums of large ones overflow.
+// A negative count would release slots that are in use, and sums of large counts overflow.
 int GetCount(const Object& array, std::uint32_t index) {
   const auto count = Get<int>(array, index);
   if (count < 0 || count > kMaxCount) throw std::invalid_argument("a count is out of range");
   return count;
 }
 
-// Times are added to the time of their arrival, which overflows with the largest ones.
+// Durations are added to the time of arrival, which would overflow for the largest ones.
 Duration GetDuration(const Object& array, std::uint32_t index) {
   const Duration duration(Get<std::int64_t>(array, index));
   if (duration < -kLongestDuration || duration > kLongestDuration) {
@@ -185,7 +186,7 @@
   return duration;
 }
 
-// What a caller will wait, which may be any time; more than a day is as good as a day.
+// Time that is left until a deadline of the caller, which may be any time; limited to one day.
 Duration GetPatience(const Object& array, std::uint32_t index) {
   const Duration patience(Get<std::int64_t>(array, index));
   return std::clamp(patience, -kLongestDuration, kLongestDuration);
@@ -203,7 +204,8 @@
   return NodeId{std::move(ValueOf(node))};
 }
 
-// The entry that has it goes on with the next one; after the largest number comes 0.
+// The entry that it belongs to takes the next higher one, which overflows to 0 after the largest
+// number.
 Incarnation GetIncarnation(const Object& array, std::uint32_t index) {
   const auto incarnation = Get<Incarnation>(array, index);
   if (incarnation > kMaxIncarnation) throw std::invalid_argument("an incarnation is out of range");
@@ -224,8 +226,8 @@
   return std::move(ValueOf(address));
 }
 
-// Not known when it is missing: entries of an earlier version, which run beside this one during
-// a release, don't send it.
+// Entries of an earlier version, which run beside this one during a release, don't send the tag; it
+// is unknown then.
 IncarnationTag IncarnationAt(const Object& line, std::uint32_t index) {
   if (index >= SizeOf(line)) return {};
   return IncarnationTag{Get<std::uint16_t>(line, index)};
@@ -251,7 +253,7 @@
   const Object& waiting = At(object, 3);
   for (std::uint32_t i = 0; i < SizeOf(waiting); ++i) {
     const Object& group = At(waiting, i);
-    // Entries of an earlier version don't tell them apart.
+    // Entries of an earlier version don't send `begun`.
     const bool begun = SizeOf(group) > 2 && Get<bool>(group, 2);
     report.waiting.push_back({StoreTime(Get<std::int64_t>(group, 0)), GetCount(group, 1), begun});
   }
@@ -276,7 +278,7 @@
     grant.lines.push_back({BackendId{GetName(line, 0)}, GetCount(line, 1), GetCount(line, 2),
                            GetCount(line, 3), Get<bool>(line, 4), IncarnationAt(line, 5)});
   }
-  if (SizeOf(object) <= 2) return grant;  // of an earlier version
+  if (SizeOf(object) <= 2) return grant;  // sent by an earlier version
   const Object& services = At(object, 2);
   for (std::uint32_t i = 0; i < SizeOf(services); ++i) {
     const Object& use = At(services, i);
@@ -348,17 +350,17 @@
   }
   const int wants = Get<int>(object, 6);
   if (wants < 0 || wants > static_cast<int>(PeerMessage::Wants::kKnown)) {
-    throw std::invalid_argument("unknown wish");
+    throw std::invalid_argument("unknown kind of wanted reply");
   }
   message.wants = static_cast<PeerMessage::Wants>(wants);
-  // Only messages about quotas have these.
+  // Only messages about quotas have these elements.
   if (SizeOf(object) <= 8) return message;
   if (!At(object, 7).is_nil()) message.quota_ask = ReadQuotaAsk(At(object, 7));
   if (!At(object, 8).is_nil()) message.quota_grant = ReadQuotaGrant(At(object, 8));
   return message;
 }
 
-// Halves what may be cut; false when nothing is left to cut.
+// Halves one of the lists that may be truncated; returns false if all of them are empty.
 bool Shorten(PeerMessage& message) {
   if (!message.known.empty()) {
     message.known.resize(message.known.size() / 2);
@@ -400,8 +402,8 @@
 
 Result<PeerMessage> DecodePeerMessage(std::string_view bytes) {
   try {
-    // Each element takes a byte at least. Without the limit five bytes that announce four
-    // thousand million elements have the parser ask for the memory of them all.
+    // Each element takes at least one byte. Without this limit five bytes that announce four
+    // billion elements would make the parser allocate memory for all of them.
     const std::size_t most = bytes.size();
     const msgpack::unpack_limit limit(most, most, most, most, most, kMaxDepth);
     std::size_t end = 0;
--- a/src/peers/keeper_map.cc
+++ b/src/peers/keeper_map.cc
@@ -20,7 +20,8 @@
   backends_changed_ = true;
 }
 
-// The keepers that lie opposite to this entry, when both are laid around a ring.
+// The allocators opposite to this entry when both the entries and the allocators of a data centre
+// are laid out evenly around a ring.
 std::vector<Peer> KeeperMap::Near(const std::vector<Peer>& keepers, const PeerTable& peers,
                                   Time now) {
   if (keepers.size() <= kNear + 1) return keepers;
@@ -79,7 +80,7 @@
       unused.emplace_back(&info, keeper);
     }
   }
-  // A service with few backend servers may have none there.
+  // A service with few backend servers may have none among those chosen so far.
   for (const auto& [info, keeper] : unused) {
     if (!served.contains(info->service)) Use(*info, *keeper);
   }
--- a/src/peers/peer_table.cc
+++ b/src/peers/peer_table.cc
@@ -9,7 +9,7 @@
 bool PeerTable::Named(const Peer& peer) {
   if (peer.node == self_.node) return false;
   const auto [at, fresh] = others_.try_emplace(peer.node, Entry{peer});
-  // A later process in the same slot; what was heard of the earlier one is void.
+  // A later process under the same name: the state of the earlier one no longer holds.
   const bool later = peer.incarnation > at->second.peer.incarnation;
   if (later) at->second = Entry{peer};
   at->second.listed = true;
@@ -21,7 +21,7 @@
   const auto found = others_.find(node);
   if (found == others_.end()) return;
   found->second.listed = false;
-  // What was never heard is known by the list alone.
+  // A peer without any message is known from the list alone.
   if (!found->second.heard_at) others_.erase(found);
   ++generation_;
 }
@@ -30,7 +30,7 @@
   if (peer.node == self_.node) return false;
   const auto [at, fresh] = others_.try_emplace(peer.node, Entry{peer});
   Entry& entry = at->second;
-  if (peer.incarnation < entry.peer.incarnation) return false;  // a late datagram
+  if (peer.incarnation < entry.peer.incarnation) return false;  // a delayed datagram
   if (peer.incarnation > entry.peer.incarnation) entry = Entry{peer};
   const bool first = !entry.heard_at || entry.suspected;
   if (first || entry.peer != peer) ++generation_;
@@ -127,8 +127,8 @@
   return entries;
 }
 
-// Suspected ones don't count: were they in the way of those behind them, the loss of a data centre
-// would leave most of its entries unwatched.
+// Suspected peers don't count against the limits: otherwise they would displace the peers after
+// them in the ring, and after the loss of a data centre most of its entries would not be monitored.
 std::vector<PeerTable::Entry*> PeerTable::Watched(const std::vector<Entry*>& ring) const {
   if (ring.size() <= kWatchAll) return ring;
   std::vector<Entry*> watched;
@@ -177,8 +177,8 @@
   return watched.empty() || 2 * static_cast<std::size_t>(heard) > watched.size();
 }
 
-// A peer is suspected for its silence as a keeper as well, by entries that don't watch it; one
-// that nobody asks would stay suspected for good.
+// A peer is also suspected when it fails to respond as an allocator, by entries that don't monitor
+// it. Without a probe it would stay suspected for ever.
 void PeerTable::AskInTurn(const std::vector<Entry*>& ring, Watch& watch, Time now) {
   std::vector<const Entry*> in_doubt;
   for (const Entry* entry : ring) {
@@ -212,7 +212,7 @@
   std::erase_if(peers, [&](const Peer& peer) { return !is_there(peer); });
 }
 
-// The heaviest first.
+// Sorts by descending rendezvous weight.
 void Rank(std::vector<Peer>& peers, std::string_view key) {
   std::sort(peers.begin(), peers.end(), [key](const Peer& a, const Peer& b) {
     return RendezvousWeight(key, a.node.value) > RendezvousWeight(key, b.node.value);
--- a/src/quarantine/crash_rows.cc
+++ b/src/quarantine/crash_rows.cc
@@ -1,4 +1,4 @@
-// Reports of crashes as rows of a shared table.
+// Crash reports as rows of a shared table.
 
 #include <algorithm>
 #include <charconv>
@@ -46,13 +46,13 @@
   const std::size_t first = key.find(kSeparator);
   const std::size_t second = key.find(kSeparator, first + 1);
   if (first == std::string_view::npos || second == std::string_view::npos) {
-    return Refused("the key has no three parts");
+    return Refused("the key does not have three parts");
   }
   const std::string_view request = key.substr(0, first);
   const auto incarnation = ParseNumber(key.substr(first + 1, second - first - 1));
   const std::string_view backend = key.substr(second + 1);
-  if (!IsFingerprint(request)) return Refused("the key begins with no fingerprint");
-  if (!incarnation) return Refused("the incarnation in the key is no number");
+  if (!IsFingerprint(request)) return Refused("the key does not begin with a fingerprint");
+  if (!incarnation) return Refused("the incarnation in the key is not a number");
   if (backend.empty()) return Refused("the key names no backend server");
   return Crash{{std::string(request)}, {std::string(backend)}, {*incarnation}};
 }
--- a/src/quarantine/quarantine.cc
+++ b/src/quarantine/quarantine.cc
@@ -25,7 +25,7 @@
   const auto [found, fresh] =
       suspect.crashes.try_emplace(report.crash, Seen{report.chain, seen_at});
   if (fresh) ++reports_;
-  // Heard of again: what counts is when it was heard of first.
+  // A duplicate report keeps the time of the first one, unless its chain is longer.
   if (!fresh && report.chain > found->second.chain) found->second = {report.chain, seen_at};
   if (!before && IsQuarantined(suspect)) ++quarantined_;
 }
@@ -55,8 +55,8 @@
   return found == suspects_.end() ? 0 : Longest(found->second).chain;
 }
 
-// Entries end it at different moments: else all of them would probe with the first attempts that
-// come, and lose a backend server each.
+// Spreads the ends of a quarantine over the entries. Otherwise all of them would probe with the
+// next attempts that arrive, and lose a backend server each.
 std::optional<Duration> Quarantine::PeriodOf(const RequestFingerprint& request,
                                              const Policy& policy, int chain) const {
   if (chain >= CrashReport::kMaxChain) return std::nullopt;
--- a/src/quota/quota_client.cc
+++ b/src/quota/quota_client.cc
@@ -7,7 +7,7 @@
 namespace figmill {
 namespace {
 
-// Arrivals are counted with a weight that halves about every so long.
+// Time constant of the arrival rate: arrivals are weighted with exp(-age / kArrivalSeconds).
 constexpr double kArrivalSeconds = 1.0;
 constexpr double kMicrosPerSecond = 1e6;
 
@@ -74,7 +74,7 @@
 
 void QuotaClient::SendAsk(TeamState& team, Time now) {
   DropExpired(team, now);
-  // Credits for what will come while they are valid; a part of one is none.
+  // Whole credits for the requests that are expected while the credits are valid.
   const double life = static_cast<double>(bounds_.CreditLife().count()) / kMicrosPerSecond;
   const auto ahead = static_cast<std::uint32_t>(team.arrivals * life);
   const auto wanted = static_cast<std::uint32_t>(team.waiting.size()) + ahead;
@@ -93,8 +93,8 @@
 void QuotaClient::GiveBack(const TeamId& name, Time charged_at, Time now) {
   const auto found = teams_.find(name);
   if (found == teams_.end()) return;
-  // One that waited for longer is not given back: so many may have waited that the next window
-  // would hold them beside all that is allowed in it.
+  // A request that waited longer is not refunded: so many may have waited that the next window
+  // would contain them in addition to all requests that are allowed in it.
   if (now >= charged_at + bounds_.CreditLife()) return;
   ++found->second.returned;
 }
@@ -158,7 +158,7 @@
   }
 }
 
-// This entry's part of the limit, divided evenly over all.
+// Charges this entry's share of the limit, which is divided evenly over all entries.
 Result<quota::Admitted> QuotaClient::Silent(TeamState& team, Time now) const {
   const auto entries = static_cast<double>(std::max<std::size_t>(1, team.entries.count));
   const double part = kSilentShare / entries;
@@ -167,11 +167,12 @@
                         std::max(least, (team.per_second + team.burst) * part), now);
   if (team.own_share.Take(1) == 1) return quota::Admitted{now};
   return Error{ErrorKind::kNoBackend,
-               "the quota of team '" + team.name.value + "' is not known now", Ran::kNo,
-               kSilentPause};
+               "the quota of team '" + team.name.value + "' is unknown: its owner is unavailable",
+               Ran::kNo, kSilentPause};
 }
 
-// Credits fall due for all entries together; one in so many comes here.
+// A credit that becomes available goes to any of the entries; this one gets one in as many as there
+// are entries.
 Error QuotaClient::Refused(TeamState& team, Duration time_left, Time now) {
   const auto entries = static_cast<Duration::rep>(std::max<std::size_t>(1, team.entries.count));
   const RetryScheduler::RefusedRequest refused{
--- a/src/quota/quota_owner.cc
+++ b/src/quota/quota_owner.cc
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr double kMicrosPerSecond = 1e6;
-// A team that is limited may make at least one request.
+// A team with a limit may make at least one request.
 constexpr double kLeastCapacity = 1;
 
 Duration SecondsOf(double seconds) {
--- a/src/teams/bearer.cc
+++ b/src/teams/bearer.cc
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::string_view kScheme = "bearer";
-// What a key may consist of besides letters and digits (RFC 6750, section 2.1).
+// Characters allowed in a key besides letters and digits (RFC 6750, section 2.1).
 constexpr std::string_view kKeySigns = "-._~+/=";
 
 Error NoKey(std::string why) {
--- a/src/teams/team_directory.cc
+++ b/src/teams/team_directory.cc
@@ -19,14 +19,14 @@
   return std::isfinite(limit) && limit >= 0;
 }
 
-// It is sent as a header's value.
+// The name is sent as the value of a header.
 bool IsPrintable(std::string_view name) {
   return std::none_of(name.begin(), name.end(), [](char sign) {
     return std::iscntrl(static_cast<unsigned char>(sign)) != 0;
   });
 }
 
-// Takes as long for keys that differ in their first byte as for those that differ in their last.
+// Compares in constant time, so that the time doesn't show where two keys differ first.
 bool SameKey(std::string_view a, std::string_view b) {
   if (a.size() != b.size()) return false;
   unsigned difference = 0;
@@ -44,13 +44,13 @@
   for (const Team& team : teams) {
     if (team.name.empty()) return BadTeam(team, "has no name");
     if (!IsPrintable(team.name.value)) return BadTeam(team, "has a name with control characters");
-    if (!names.insert(team.name).second) return BadTeam(team, "stands there twice");
+    if (!names.insert(team.name).second) return BadTeam(team, "is listed twice");
     if (!IsLimit(team.requests_per_second) || !IsLimit(team.burst)) {
-      return BadTeam(team, "has a limit that is none");
+      return BadTeam(team, "has a limit that is negative or not finite");
     }
     for (const std::string& key : team.keys) {
       if (key.empty()) return BadTeam(team, "has an empty key");
-      if (!keys.insert(key).second) return BadTeam(team, "has a key that stands there twice");
+      if (!keys.insert(key).second) return BadTeam(team, "has a key that is listed twice");
     }
   }
   return Ok{};
--- a/test/peers-test.cc
+++ b/test/peers-test.cc
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-TEST_CASE("a peer that the store lists is live until somebody finds it silent") {
+TEST_CASE("a peer that the store lists is live until its failure is detected") {
   PeerTable table(PeerNamed("self"));
   CHECK(table.Named(PeerNamed("a")));
   CHECK(table.IsLive(NodeId{"a"}, kStart));
@@ -31,12 +31,12 @@
   const Time later = kStart + PeerTable::kSilence;
   CHECK(table.WatchOthers(later).silent.size() == 1);
   CHECK_FALSE(table.IsLive(NodeId{"a"}, later));
-  CHECK(table.WatchOthers(later).silent.empty());  // told once
+  CHECK(table.WatchOthers(later).silent.empty());  // reported once
   CHECK(table.Heard(PeerNamed("a"), later));
   CHECK(table.IsLive(NodeId{"a"}, later));
 }
 
-TEST_CASE("a peer that is heard is not asked, and one that the store lists no more fades") {
+TEST_CASE("a peer that sent a message is not probed, and one that is no longer listed times out") {
   PeerTable table(PeerNamed("self"));
   table.Named(PeerNamed("a"));
   table.Heard(PeerNamed("a"), kStart);
@@ -46,7 +46,7 @@
   CHECK_FALSE(table.IsLive(NodeId{"a"}, kStart + PeerTable::kSilence));
 }
 
-TEST_CASE("a late datagram of an earlier process does not bring it back") {
+TEST_CASE("a delayed datagram of an earlier process does not make it live again") {
   PeerTable table(PeerNamed("self"));
   Peer later = PeerNamed("a");
   later.incarnation = 5;
@@ -55,10 +55,10 @@
   CHECK(table.Find(NodeId{"a"})->incarnation == 5);
 }
 
-// Symptom: an entry is granted no batch places and is called silent, though it answers.
-// Sequence: its host's time of day jumps back, and its process starts again.
-// Cause: the new process has a lower incarnation than the one that is gone.
-TEST_CASE("a process outlives what others know of its slot") {
+// Symptom: an entry is granted no batch slots and counts as failed, although it responds.
+// Sequence: its host's time of day jumps back, and its process restarts.
+// Cause: the new process has a lower incarnation than the one before.
+TEST_CASE("a process raises its incarnation above the one that other entries know") {
   Peer earlier = PeerNamed("a");
   earlier.incarnation = 9;
   PeerTable other(PeerNamed("b"));
@@ -75,7 +75,7 @@
 
 namespace {
 
-// A fleet of so many entries in each of so many data centres.
+// A fleet of `each` entries in each of so many data centres.
 std::vector<Peer> FleetOf(int centres, int each) {
   std::vector<Peer> peers;
   for (int i = 0; i < centres * each; ++i) {
@@ -93,7 +93,7 @@
 
 }  // namespace
 
-TEST_CASE("each entry watches as many others, however many there are") {
+TEST_CASE("each entry monitors the same number of others, whatever the fleet size") {
   constexpr std::size_t kWatched = PeerTable::kWatchedAnywhere + PeerTable::kWatchedNear;
   const std::vector<Peer> peers = FleetOf(1, 100);
   std::map<std::string, std::size_t> watched;
@@ -105,9 +105,11 @@
   for (const auto& [node, count] : watched) CHECK(count == kWatched);
 }
 
-// Symptom: most bytes between data centres are entries that ask each other whether they are there.
-// Sequence: a fleet of several data centres; each entry watches those that follow it by name.
-TEST_CASE("in a large fleet an entry watches few of other data centres, and is watched by some") {
+// Symptom: most traffic between data centres is entries that probe each other.
+// Sequence: a fleet of several data centres; each entry monitors those that follow it by name.
+TEST_CASE(
+    "in a large fleet an entry monitors few peers of other data centres, and is monitored by "
+    "some") {
   const std::vector<Peer> peers = FleetOf(6, 50);
   std::map<std::string, std::set<DataCentre>> watchers;
   for (const Peer& self : peers) {
@@ -121,11 +123,11 @@
   for (const Peer& peer : peers) CHECK(watchers[peer.node.value].size() >= 2);
 }
 
-// Symptom: after the loss of a data centre the jobs of its entries stand still for minutes.
-// Sequence: all entries of one data centre go at once.
-// Cause: each entry watched the ones that follow it by name, which are of its own data centre, and
-// those that it had found silent stayed in the way of the others.
-TEST_CASE("the loss of a whole data centre is noticed for each of its entries") {
+// Symptom: after the loss of a data centre the jobs of its entries make no progress for minutes.
+// Sequence: all entries of one data centre fail at once.
+// Cause: each entry monitored the ones that follow it by name, which are of its own data centre,
+// and those that it had already suspected displaced others from its list.
+TEST_CASE("the loss of a whole data centre is detected for each of its entries") {
   const std::vector<Peer> peers = FleetOf(6, 50);
   const DataCentre lost{"dc3"};
   std::set<std::string> found;
@@ -146,10 +148,10 @@
   CHECK(found.size() == 50);
 }
 
-// Symptom: after a day of replaced hosts nobody notices that an entry is gone.
-// Sequence: hosts are replaced under new names; their rows are taken away.
-// Cause: those that are gone stayed among the ones that an entry watches.
-TEST_CASE("processes that are gone are neither watched nor told of for ever") {
+// Symptom: after a day of replaced hosts the failure of an entry is not detected.
+// Sequence: hosts are replaced under new names; the rows of the old ones are removed.
+// Cause: the old ones stayed on the list of monitored peers.
+TEST_CASE("processes that are gone are evicted, and neither monitored nor sent to others") {
   PeerTable table(PeerNamed("self"));
   Time now = kStart;
   for (int i = 0; i < 200; ++i) {
@@ -167,11 +169,11 @@
   CHECK(table.others().size() == 40);
 }
 
-// Symptom: an entry asks a keeper for no place until one of the two starts again.
-// Sequence: in a large fleet some grants of a keeper are lost, and an entry that doesn't watch it
-// suspects it. The keeper is there and stays listed.
-// Cause: nobody asked it again, and it has nothing to say to that entry of its own accord.
-TEST_CASE("a suspected peer that is still listed is asked until it is heard") {
+// Symptom: an entry requests no slots from an allocator until one of the two restarts.
+// Sequence: in a large fleet some grants of an allocator are lost, and an entry that doesn't
+// monitor it suspects it. The allocator is alive and stays listed.
+// Cause: no entry probed it again, and it sends no message to that entry unless asked.
+TEST_CASE("a suspected peer that is still listed is probed until it responds") {
   const std::vector<Peer> peers = FleetOf(6, 50);
   for (const Peer& keeper : {peers[17], peers[140], peers[260]}) {
     PeerTable table = TableOf(peers[0], peers);
@@ -185,10 +187,10 @@
   }
 }
 
-// Symptom: when a large fleet starts at once, entries do little else than ask each other.
-// Sequence: 300 entries start; each hears of all others while they are joining.
-// Cause: all that were joining were asked twice a second.
-TEST_CASE("those that are joining are asked a few at a time, and all in turn") {
+// Symptom: when a large fleet starts at once, entries do little else than probe each other.
+// Sequence: 300 entries start; each learns of all others while they are joining.
+// Cause: all joining peers were probed twice a second.
+TEST_CASE("joining peers are probed a few at a time, and all of them in turn") {
   PeerTable table(PeerNamed("self"));
   for (Peer peer : FleetOf(6, 50)) {
     peer.joining = true;
@@ -203,7 +205,7 @@
   CHECK(asked.size() == 300);
 }
 
-TEST_CASE("others are listed from the one that follows, so that cut lists cover all") {
+TEST_CASE("peers are listed starting after the entry, so that truncated lists cover all of them") {
   const std::vector<Peer> peers = FleetOf(1, 30);
   constexpr std::size_t kCut = 7;
   std::set<NodeId> known;
@@ -218,7 +220,7 @@
   CHECK(known.size() == 30);
 }
 
-TEST_CASE("keepers are of the data centre, stay, and are not on small hosts") {
+TEST_CASE("allocators are in the data centre, are not leaving, and are not on small hosts") {
   PeerTable table(PeerNamed("self", "far"));
   table.Heard(PeerNamed("small", "dc", 0.1), kStart);
   Peer leaving = PeerNamed("leaving");
@@ -230,14 +232,15 @@
   REQUIRE(keepers.size() == 2);
   for (const Peer& keeper : keepers) CHECK((keeper.node.value == "a" || keeper.node.value == "b"));
   CHECK(table.KeepersOf(DataCentre{"dc"}, 5, kStart).size() == 1);
-  // None is there: others keep them.
+  // The data centre has no entry: those of other data centres are used.
   CHECK_FALSE(table.KeepersOf(DataCentre{"gone"}, 5, kStart).empty());
 }
 
-// Symptom: a part of the backend servers gets no batch items after an entry has started.
-// Sequence: it is known to the others before it has read the list of backend servers.
-// Cause: they took it for a keeper; its word that it has joined was lost, or never sent.
-TEST_CASE("an entry that is joining keeps nothing, and is asked until it says that it has joined") {
+// Symptom: some of the backend servers get no batch items after an entry has started.
+// Sequence: the other entries learn of it before it has read the list of backend servers.
+// Cause: they used it as an allocator; its message that it has joined was lost, or never sent.
+TEST_CASE(
+    "an entry that is joining is no allocator, and is probed until it reports that it has joined") {
   Peer self = PeerNamed("new");
   self.joining = true;
   PeerTable mine(self);
@@ -264,8 +267,8 @@
 }
 
 // Symptom: an entry's processor time grows with the fleet until it does nothing else.
-// Sequence: 300 entries before 3,000 backend servers; each hears of the use of each.
-TEST_CASE("entries of a large fleet use few keepers each, and all keepers alike") {
+// Sequence: 300 entries and 3,000 backend servers; each entry receives the usage of each of them.
+TEST_CASE("entries of a large fleet use few allocators each, and use all allocators evenly") {
   constexpr int kEntries = 80;
   constexpr int kBackends = 800;
   std::vector<Peer> peers;
@@ -294,7 +297,7 @@
     for (const auto& [id, keeper] : map.used()) keepers.insert(keeper.node.value);
     for (const std::string& keeper : keepers) ++users[keeper];
   }
-  CHECK(kept == kBackends);  // each has one keeper, the same for all
+  CHECK(kept == kBackends);  // each has one allocator, the same at all entries
   CHECK(users.size() == kEntries);
   for (const auto& [keeper, count] : users) {
     CHECK(count >= 4);
@@ -302,7 +305,7 @@
   }
 }
 
-TEST_CASE("a service with a few backend servers is used wherever they are") {
+TEST_CASE("a service with few backend servers is used in any data centre") {
   std::vector<BackendInfo> backends;
   PeerTable table(PeerNamed("self", "dc0"));
   for (int i = 0; i < 40; ++i) {
@@ -321,10 +324,10 @@
   CHECK(map.used().contains(BackendId{"rare"}));
 }
 
-// Guards against an entry that is cut off and takes itself for the only one.
-TEST_CASE("an entry hears most of those that it watches, or is cut off") {
+// Guards against an entry that is cut off and believes to be the only one.
+TEST_CASE("an entry knows whether it hears from most of the peers that it monitors") {
   PeerTable table(PeerNamed("self"));
-  CHECK(table.HearsMost(kStart));  // alone
+  CHECK(table.HearsMost(kStart));  // no other entry
   for (const char* name : {"a", "b", "c"}) {
     table.Named(PeerNamed(name));
     table.Heard(PeerNamed(name), kStart);
--- a/test/quarantine-test.cc
+++ b/test/quarantine-test.cc
@@ -20,19 +20,19 @@
   return {request, {"i-" + std::to_string(backend)}, {7}};
 }
 
-// An entry and the ends of backend servers that it sees.
+// An entry, and the crashes of backend servers that it sees.
 class Entry {
  public:
   explicit Entry(std::string name = "a") : quarantine(NodeId{std::move(name)}) {}
 
-  // A run of the request that began then ends with its backend server.
+  // A run of the request that started at `begun_at` ends with a crash of its backend server.
   CrashReport Crashes(int backend, Duration begun_at, Duration ended_at,
                       const RequestFingerprint& request = kRequest) {
     CrashReport report{CrashOf(request, backend), quarantine.ChainOf(request, At(begun_at))};
     quarantine.Add(report, At(ended_at));
     return report;
   }
-  // So many crashes, one after the other from then on.
+  // Adds `count` crashes in sequence, the first at `from`.
   void CrashesInTurn(int count, Duration from) {
     for (int i = 0; i < count; ++i) Crashes(++backends_, from + i * 1s, from + i * 1s + 100ms);
   }
@@ -65,14 +65,14 @@
   CHECK(FingerprintOf("PUT", "/notes/1?x=1", headers, "rye", {}) != first);
   CHECK(FingerprintOf("POST", "/notes/1?x=2", headers, "rye", {}) != first);
   CHECK(FingerprintOf("POST", "/notes/1?x=1", others_host, "rye", {}) != first);
-  // Whose request it is tells the team, and a key is no part of what is written to the store.
+  // The team identifies whose request it is; the key must not be written to the store.
   CHECK(FingerprintOf("POST", "/notes/1?x=1", headers, "rye", TeamId{"shore"}) != first);
   CHECK(FingerprintOf("POST", "/notes/1?x=1", others_key, "rye", {}) == first);
   CHECK(FingerprintOf("POST", "/notes/1?x=1", headers, "oats", {}) != first);
 }
 
-// Guards against a request that is passed on to one backend server after the other.
-TEST_CASE("a request is kept away after a second crash that followed the first") {
+// Guards against a request that crashes one backend server after the other.
+TEST_CASE("a request is quarantined after a second crash that followed the first") {
   Entry entry;
   entry.Crashes(1, 0s, 100ms);
   CHECK(entry.MayRun(200ms));
@@ -82,8 +82,8 @@
   CHECK(entry.quarantine.quarantined() == 1);
 }
 
-// Guards against blaming what many callers ask for when a rack goes.
-TEST_CASE("backend servers that end together make no chain") {
+// Guards against blaming a frequent request for the loss of a rack.
+TEST_CASE("backend servers that crash at the same time form no chain") {
   Entry entry;
   for (int backend = 0; backend < 8; ++backend) entry.Crashes(backend, 0s, 100ms);
   CHECK(entry.MayRun(200ms));
@@ -91,15 +91,15 @@
 }
 
 // Guards against entries that each lose backend servers of their own to the same request.
-TEST_CASE("a crash that another entry has seen counts from when it is heard of") {
+TEST_CASE("a crash that another entry reports counts from the time at which its report arrives") {
   Entry first("a"), second("b");
   const CrashReport report = first.Crashes(1, 0s, 100ms);
   second.quarantine.Add(report, At(130ms));
-  SUBCASE("a run that began before is none that followed") {
+  SUBCASE("a run that started before does not follow it") {
     second.Crashes(2, 120ms, 200ms);
     CHECK(second.MayRun(300ms));
   }
-  SUBCASE("a run that began later is") {
+  SUBCASE("a run that started later does") {
     const CrashReport next = second.Crashes(2, 150ms, 250ms);
     CHECK_FALSE(second.MayRun(300ms));
     first.quarantine.Add(next, At(280ms));
@@ -107,7 +107,7 @@
   }
 }
 
-TEST_CASE("a report that comes again does not begin the time anew") {
+TEST_CASE("a duplicate report does not restart the quarantine") {
   Entry entry;
   entry.Crashes(1, 0s, 100ms);
   const CrashReport last = entry.Crashes(2, 200ms, 300ms);
@@ -116,7 +116,7 @@
   CHECK(entry.quarantine.TimeLeft(kRequest, WorkClass::kOnline, At(40s)) == left);
 }
 
-// Guards against requests that are refused for good since they ran beside the cause.
+// Guards against refusing requests for ever because they ran beside the cause.
 TEST_CASE("a request that is completed is not the cause") {
   Entry entry;
   entry.Crashes(1, 0s, 100ms);
@@ -128,7 +128,7 @@
   CHECK(entry.quarantine.Completed(kRequest).empty());
 }
 
-TEST_CASE("reports that are taken away count no more") {
+TEST_CASE("removed reports no longer count") {
   Entry entry;
   entry.Crashes(1, 0s, 100ms);
   entry.Crashes(2, 200ms, 300ms);
@@ -138,7 +138,7 @@
   CHECK(entry.quarantine.reports() == 1);
 }
 
-TEST_CASE("probes come after a time that doubles, one at a time, and end after some crashes") {
+TEST_CASE("probes come after a period that doubles, one at a time, and stop after some crashes") {
   Entry entry;
   entry.CrashesInTurn(2, 0s);
   Duration last = 1100ms;
@@ -155,16 +155,16 @@
   CHECK_FALSE(entry.MayRun(last + 1000h));
 }
 
-TEST_CASE("entries end a quarantine at different moments") {
+TEST_CASE("entries end a quarantine at different times") {
   Entry first("a"), second("b");
   for (Entry* entry : {&first, &second}) entry->CrashesInTurn(2, 0s);
   CHECK(first.quarantine.TimeLeft(kRequest, WorkClass::kOnline, At(2s)) !=
         second.quarantine.TimeLeft(kRequest, WorkClass::kOnline, At(2s)));
 }
 
-// Guards against items that miss their time since they met failing backend servers, and against
-// those that crash them all through a night.
-TEST_CASE("a batch item is held after a longer chain, and for a shorter time") {
+// Guards against items that miss their due time because they met failing backend servers, and
+// against items that crash backend servers all night.
+TEST_CASE("a batch item is quarantined after a longer chain, and for a shorter time") {
   Entry entry;
   entry.CrashesInTurn(3, 0s);
   CHECK(entry.MayRun(4s, WorkClass::kBatch));
@@ -175,7 +175,7 @@
   CHECK_FALSE(entry.MayRun(1000h, WorkClass::kBatch));
 }
 
-TEST_CASE("what is kept is bounded: the shortest chains go, the oldest first") {
+TEST_CASE("the number of reports is limited: the shortest chains are removed, the oldest first") {
   Entry entry;
   entry.CrashesInTurn(2, 0s);
   for (int i = 0; i < static_cast<int>(Quarantine::kMaxReports); ++i) {
@@ -191,7 +191,7 @@
   CHECK_FALSE(entry.MayRun(20s));
 }
 
-TEST_CASE("a report and its row tell the same") {
+TEST_CASE("a report is decoded from its row as it was encoded") {
   const CrashReport report{CrashOf(kRequest, 3), 4};
   const TableRow row = RowOf(RowKeyOf(report.crash), RowValueOf(report, NodeId{"a"}, "id-\xff"));
   const Result<CrashReport> read = ParseCrashRow(row);
@@ -200,7 +200,7 @@
   CHECK(ValueOf(read).chain == 4);
 }
 
-TEST_CASE("rows of other writers are refused, and no request is kept away for them") {
+TEST_CASE("invalid rows are refused, and quarantine no request") {
   const std::string key = RowKeyOf(CrashOf(kRequest, 3));
   const std::array<std::pair<std::string, std::string>, 10> rows{{
       {key, ""},
--- a/test/quota-load-test.cc
+++ b/test/quota-load-test.cc
@@ -1,5 +1,5 @@
-// The load that quotas have to answer: one team before many entries, evenly, skewed, through one
-// entry, from nothing to ten times its limit, while the owner of its quota fails.
+// Load tests of quotas: one team's requests arrive at many entries, evenly, skewed or at a single
+// one, at rates from below the limit to ten times the limit, while the owner of its quota fails.
 
 #include <doctest/doctest.h>
 
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-TEST_CASE("below its limit a team is served, wherever its requests come in") {
+TEST_CASE("below its limit a team is served, wherever its requests arrive") {
   for (const int entries : {30, 100, 300}) {
     for (const double rate : {2.0, 40.0, 400.0}) {
       QuotaLoad load;
@@ -41,7 +41,7 @@
   }
 }
 
-TEST_CASE("a team that sends ten times its limit gets all of it, and no more") {
+TEST_CASE("a team that sends ten times its limit gets its limit and no more") {
   for (const int entries : {30, 100, 300}) {
     for (const double rate : {2.0, 40.0, 400.0}) {
       QuotaLoad load;
@@ -57,8 +57,8 @@
   }
 }
 
-// Guards against a limit that holds only while its owner is there.
-TEST_CASE("a limit holds while its owner is killed, stands still or is cut off") {
+// Guards against a limit that is enforced only while its owner is alive.
+TEST_CASE("a limit holds while its owner is killed, stopped or cut off") {
   using Fault = QuotaLoad::Fault;
   for (const Fault fault : {Fault::kOwnerKilled, Fault::kOwnerFrozen, Fault::kOwnerCut,
                             Fault::kSomeCut, Fault::kAllRestarted}) {
@@ -77,7 +77,7 @@
   }
 }
 
-// Guards against a team that is refused for as long as the owner of its quota is gone.
+// Guards against refusing a team until the owner of its quota is replaced.
 TEST_CASE("a team below its limit is served while the owner of its quota is replaced") {
   QuotaLoad load;
   load.rate = load.burst = 400;
--- a/test/quota-sim.h
+++ b/test/quota-sim.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Entries that share the quota of one team, in simulated time, over datagrams that take a while
-// and may be lost. The ways to divide it are in quota-ways.h.
+// Simulation of entries that share the quota of one team, over datagrams with latency and loss. The
+// policies that divide the quota are in quota-ways.h.
 
 #include <algorithm>
 #include <cmath>
@@ -17,14 +17,14 @@
 
 struct QuotaLoad {
   int entries = 30;
-  double rate = 40;  // the team's limit
+  double rate = 40;  // the team's limit, in requests a second
   double burst = 40;
   double offered = 32;          // requests a second
-  std::vector<double> weights;  // of the entries; empty: even
+  std::vector<double> weights;  // share of the requests for each entry; empty: evenly
   Duration span{30'000'000};
-  double loss = 0.01;  // of datagrams
+  double loss = 0.01;  // probability, for each datagram
   Duration latency{1'000};
-  // From here on the owner of the quota is killed, stands still, or is cut off, for so long.
+  // Fault that starts at `fault_at` and lasts for `fault_for`.
   enum class Fault { kNone, kOwnerKilled, kOwnerFrozen, kOwnerCut, kSomeCut, kAllRestarted };
   Fault fault = Fault::kNone;
   Duration fault_at{10'000'000};
@@ -32,7 +32,7 @@
   unsigned seed = 1;
 };
 
-// Requests that come to the entries in the proportion 1 : 1/2 : 1/3 ...
+// Weights of 1 : 1/2 : 1/3 ...
 inline std::vector<double> Skewed(int entries) {
   std::vector<double> weights(static_cast<std::size_t>(entries));
   for (std::size_t i = 0; i < weights.size(); ++i) weights[i] = 1.0 / static_cast<double>(i + 1);
@@ -46,16 +46,18 @@
 }
 
 struct QuotaResult {
-  double worst_window = 0;  // requests in some window, of what is allowed in one
-  double admitted = 0;      // of what a single bucket would have admitted
-  double median_ms = 0;     // that a request waited for the decision
+  double worst_window = 0;  // most requests in any window, divided by those allowed in one
+  // admitted requests, divided by those that a single bucket would have admitted
+  double admitted = 0;
+  double median_ms = 0;  // wait of a request for the decision
   double p99_ms = 0;
-  double messages = 0;  // datagrams a request
+  double messages = 0;  // datagrams for each request
 };
 
-// An entry that has fallen silent is taken for gone after this.
+// Time until the others detect that an entry has failed.
 constexpr Duration kNoticed = std::chrono::milliseconds(2500);
-// One that is back says so at once, or is asked by the others.
+// Time until the others know that it is back: one that was stopped announces itself at once, and
+// one that was cut off is probed by the others.
 constexpr Duration kBackAfterCut = std::chrono::milliseconds(1000);
 constexpr Duration kBackAfterStop = std::chrono::milliseconds(100);
 
@@ -115,7 +117,7 @@
     now_ = end;
   }
 
-  // --- Who is there ---
+  // --- Liveness ---
   [[nodiscard]] bool InFault() const {
     const Time begin = Start() + load_.fault_at;
     return now_ >= begin && now_ < begin + load_.fault_for;
@@ -140,20 +142,21 @@
     if (load_.fault == QuotaLoad::Fault::kOwnerCut) return entry == FirstOwner();
     return load_.fault == QuotaLoad::Fault::kSomeCut && entry % 6 == 0;
   }
-  // What `viewer` believes, some time after it is true.
+  // Whether `viewer` believes `entry` to be live; the belief lags behind the fault.
   [[nodiscard]] bool SeesLive(int viewer, int entry) const {
     if (viewer == entry || !FaultIsNoticed()) return true;
     if (IsOwnerFault()) return entry != FirstOwner();
     return !IsCut(viewer) && !IsCut(entry);
   }
-  // Which of them that is depends on the moment and on the viewer's side alone.
+  // The owner as `viewer` sees it. It depends only on the time and on the viewer's side of a
+  // partition.
   [[nodiscard]] int OwnerSeenBy(int viewer) const {
     if (!FaultIsNoticed() || viewer == first_owner_) return first_owner_;
     if (IsCut(viewer)) return viewer;
     return SeesLive(viewer, first_owner_) ? first_owner_ : owner_without_faulty_;
   }
   [[nodiscard]] static Time Start() { return Time{Duration{1'000'000'000}}; }
-  // One that is cut off hears of nobody.
+  // An entry that is cut off hears from no other.
   [[nodiscard]] bool MayOwn(int entry) const { return !(IsCut(entry) && FaultIsNoticed()); }
   [[nodiscard]] int Rank(int entry) const { return ranks_[static_cast<std::size_t>(entry)]; }
 
@@ -189,7 +192,7 @@
   std::vector<std::uint64_t> weights_;
   std::vector<int> ranks_;
   int first_owner_ = 0;
-  int owner_without_faulty_ = 0;  // while the first one, or each sixth, isn't there
+  int owner_without_faulty_ = 0;  // the owner while the first one, or each sixth entry, is not live
   Time now_ = Start();
   std::priority_queue<Task> tasks_;
   std::uint64_t order_ = 0;
@@ -200,7 +203,7 @@
 QuotaResult Play(const QuotaLoad& load) {
   QuotaWorld world(load);
   Policy policy(world);
-  // The owner has been there for a while when the first requests come.
+  // The owner has been live for a while when the first requests arrive.
   const Time first = world.now() + std::chrono::seconds(5);
   world.RunUntil(first);
   std::vector<double> weights = load.weights;
--- a/test/quota-test.cc
+++ b/test/quota-test.cc
@@ -58,8 +58,8 @@
   CHECK(owner.Grant(Ask(9), team, later + 500 * kMs).credits == 5);
 }
 
-// Guards against a whole burst for each entry that becomes the owner.
-TEST_CASE("an owner that has just begun grants no burst") {
+// Guards against granting a whole burst from each entry that becomes the owner.
+TEST_CASE("a new owner grants no burst") {
   QuotaOwner owner(kStart);
   const Team team = Limited(10, 100);
   CHECK(owner.Grant(Ask(100), team, kStart).credits == 2);
@@ -71,7 +71,7 @@
   CHECK(owner.Grant(Ask(100), team, kStart + std::chrono::seconds(90)).credits == 2);
 }
 
-TEST_CASE("what an entry returns is granted again, up to the burst") {
+TEST_CASE("credits that an entry returns are granted again, up to the burst") {
   QuotaOwner owner(kStart);
   const Team team = Limited(1, 10);
   const Time later = kStart + std::chrono::seconds(60);
@@ -80,14 +80,14 @@
   CHECK(owner.Grant(Ask(50, 40), team, later).credits == 10);
 }
 
-TEST_CASE("a limit that is cut binds what is granted from then on") {
+TEST_CASE("a lowered limit applies to all later grants") {
   QuotaOwner owner(kStart);
   const Time later = kStart + std::chrono::seconds(60);
   CHECK(owner.Grant(Ask(1), Limited(100, 100), later).credits == 1);
   CHECK(owner.Grant(Ask(90), Limited(1, 5), later).credits == 5);
 }
 
-TEST_CASE("a team whose rate is under one a second may make a request now and then") {
+TEST_CASE("a team with a rate below one request a second may make one from time to time") {
   QuotaOwner owner(kStart);
   const Team team = Limited(0.1, 0);
   CHECK(owner.Grant(Ask(1), team, kStart + std::chrono::seconds(20)).credits == 1);
@@ -97,14 +97,14 @@
 
 // --- Entry -------------------------------------------------------------------------
 
-TEST_CASE("a team without a limit is asked for nowhere") {
+TEST_CASE("no credits are requested for a team without a limit") {
   QuotaClient client{QuotaBounds{}};
   CHECK(IsAdmitted(client.Admit(Limited(0, 0), kEntries, Request(1), kStart)));
   CHECK(client.TakeAsks().empty());
   CHECK(client.tracked() == 0);
 }
 
-TEST_CASE("requests that come while an answer is on its way share the next ask") {
+TEST_CASE("requests that arrive before a grant share the next request to the owner") {
   QuotaClient client{QuotaBounds{}};
   const Team team = Limited(10, 10);
   CHECK(Waits(client.Admit(team, kEntries, Request(1), kStart)));
@@ -120,8 +120,8 @@
   CHECK(second[0].wanted >= 2);
 }
 
-// Guards against credits that a process spends which stood still since they were granted.
-TEST_CASE("credits that are not spent in time go back to the owner") {
+// Guards against a process that was stopped after a grant and then spends its credits.
+TEST_CASE("credits that are not spent in time are returned to the owner") {
   const QuotaBounds bounds;
   QuotaClient client{bounds};
   const Team team = Limited(100, 100);
@@ -133,7 +133,7 @@
   CHECK(client.TakeAsks()[0].returned == 2);
 }
 
-TEST_CASE("a request that was refused and has not run is given back while it is young") {
+TEST_CASE("a request that was refused and has not run is refunded if it was charged recently") {
   const QuotaBounds bounds;
   QuotaClient client{bounds};
   const Team team = Limited(100, 100);
@@ -145,7 +145,7 @@
   CHECK(client.TakeAsks()[0].returned == 1);
 }
 
-TEST_CASE("callers over the limit are told at once when to come back, one after the other") {
+TEST_CASE("callers over the limit are told at once when to retry, at increasing times") {
   QuotaClient client{QuotaBounds{}};
   const Team team = Limited(10, 10);
   for (std::uint64_t ticket = 1; ticket <= 3; ++ticket) {
@@ -162,14 +162,14 @@
     REQUIRE(error.retry_after);
     CHECK(*error.retry_after >= 100 * kMs);
   }
-  // The next one isn't asked for until a credit may be there.
+  // No credits are requested for the next one until a credit may be available.
   const quota::Verdict next = client.Admit(team, {1, true}, Request(4), kStart + 10 * kMs);
   CHECK(std::holds_alternative<Error>(next));
   CHECK(client.TakeAsks().empty());
 }
 
-// Guards against one lost datagram that has all later requests wait for the next check.
-TEST_CASE("an ask that was lost is sent again, and does not hold up later ones") {
+// Guards against one lost datagram that delays all later requests until the next timeout.
+TEST_CASE("a lost request to the owner is sent again, and does not delay later ones") {
   QuotaClient client{QuotaBounds{}};
   const Team team = Limited(100, 100);
   (void)client.Admit(team, kEntries, Request(1), kStart);
@@ -183,7 +183,7 @@
   CHECK(client.TakeAsks().size() == 1);
 }
 
-TEST_CASE("with its owner silent an entry admits its own part, and asks whether it is back") {
+TEST_CASE("while the owner doesn't respond, an entry admits its own share and probes the owner") {
   QuotaClient client{QuotaBounds{}};
   const Team team = Limited(2, 2);
   (void)client.Admit(team, kEntries, Request(1), kStart);
@@ -207,8 +207,8 @@
       client.Admit(team, kEntries, Request(5), late + QuotaClient::kSilentPause + 3 * kMs)));
 }
 
-// Guards against entries that each admit one request, though hundreds of them may.
-TEST_CASE("few entries may admit a request of a small team on their own") {
+// Guards against entries that each admit one request, of which a fleet may have hundreds.
+TEST_CASE("only some entries may admit requests of a small team on their own") {
   QuotaClient client{QuotaBounds{}};
   (void)client.Admit(Limited(1, 1), {300, false}, Request(1), kStart);
   client.OnTime(kStart + QuotaClient::kOwnerPatience);
@@ -218,7 +218,7 @@
   CHECK(QuotaBounds{}.FreeEntries() == 10);
 }
 
-TEST_CASE("an answer of an entry that is not the owner says nothing of the quota") {
+TEST_CASE("a grant of an entry that is not the owner is not taken as a refusal") {
   QuotaClient client{QuotaBounds{}};
   const Team team = Limited(100, 100);
   (void)client.Admit(team, kEntries, Request(1), kStart);
@@ -232,7 +232,7 @@
 
 // --- Messages ----------------------------------------------------------------------
 
-TEST_CASE("asks and grants are read as they were written") {
+TEST_CASE("requests and grants of credits are decoded as they were encoded") {
   PeerMessage message;
   message.from = {NodeId{"a"}, 1, Address{"10.0.0.1", 1}, DataCentre{"dc"}, 1, false};
   message.quota_ask = QuotaAsk{7, TeamId{"rye"}, 3, 2};
--- a/test/quota-ways.h
+++ b/test/quota-ways.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Ways to divide a team's quota among entries.
+// Policies that divide a team's quota among entries.
 
 #include <deque>
 #include <functional>
@@ -17,7 +17,7 @@
 
 using Decided = std::function<void(bool admitted)>;
 
-// Each entry has an equal part.
+// Each entry gets an equal share.
 class EqualShares {
  public:
   explicit EqualShares(QuotaWorld& world)
@@ -45,7 +45,7 @@
   std::vector<TokenBucket> buckets_;
 };
 
-// The owner divides the limit by the demand that the entries report.
+// The owner divides the limit in proportion to the demand that the entries report.
 class DemandShares {
  public:
   explicit DemandShares(QuotaWorld& world) : world_(world) {
@@ -102,7 +102,7 @@
   std::map<int, TeamShareAllocator> homes_;
 };
 
-// The owner grants credits that are valid for a short time.
+// The owner grants credits that expire after a short time.
 class Credits {
  public:
   explicit Credits(QuotaWorld& world) : world_(world) {
--- a/test/teams-test.cc
+++ b/test/teams-test.cc
@@ -17,7 +17,7 @@
   return {{"Host", "farm.example"}, {"authorization", value}};
 }
 
-// The key that is found; empty: none.
+// The key in the headers; empty if there is none.
 std::string KeyIn(const std::vector<Header>& headers) {
   const Result<std::string_view> key = ParseBearer(headers);
   if (!IsOk(key)) {
@@ -41,14 +41,14 @@
 
 }  // namespace
 
-TEST_CASE("a bearer key is read whatever the case of its scheme") {
+TEST_CASE("a bearer key is accepted whatever the case of its scheme") {
   CHECK(KeyIn(Authorization("Bearer k1")) == "k1");
   CHECK(KeyIn(Authorization("bEARER k1")) == "k1");
   CHECK(KeyIn(Authorization("  Bearer   k1 \t")) == "k1");
   CHECK(KeyIn(Authorization("Bearer a-b._~+/9==")) == "a-b._~+/9==");
 }
 
-TEST_CASE("what is no single bearer key is refused") {
+TEST_CASE("anything but a single bearer key is refused") {
   for (const char* value :
        {"", "Bearer", "Bearer ", "Bearerk1", "Basic k1", "k1", "Bearer k1 k2", "Bearer k1,k2",
         "Bearer \"k1\"", "Bearer k\x01", "Bearer k\xc3\xa9", "Bearer\tk1", "Bearer\n k1"}) {
@@ -61,8 +61,8 @@
   CHECK(KeyIn(twice).empty());
 }
 
-// Guards against a parser that reads past the value or finds a key in what is none.
-TEST_CASE("random bytes give a key only by the form of one") {
+// Guards against a parser that reads past the end of the value or accepts a malformed key.
+TEST_CASE("a key parsed from random bytes is always well-formed") {
   std::mt19937 random(7);
   const std::string signs = "BbEeAaRr  \t-._~+/=kK1,\"\\\x01\x7f\xff";
   for (int i = 0; i < 200'000; ++i) {
@@ -75,7 +75,7 @@
   }
 }
 
-TEST_CASE("the holder of a key is found, and of nothing else") {
+TEST_CASE("a team is found by its keys and by nothing else") {
   const TeamDirectory teams({TeamWith("rye", {"k1", "k2"}), TeamWith("shore", {"k3"})}, 42);
   REQUIRE(teams.HolderOf("k2") != nullptr);
   CHECK(teams.HolderOf("k2")->name.value == "rye");
@@ -88,8 +88,8 @@
   CHECK(teams.Find(TeamId{"k1"}) == nullptr);
 }
 
-// Guards against keys whose length of agreement shows in the time of a refusal.
-TEST_CASE("a wrong key is refused by its digest, whatever it shares with a right one") {
+// Guards against a timing attack: the time of a refusal must not show how much of a key is right.
+TEST_CASE("a wrong key is refused, whatever part of it matches a valid one") {
   const std::string key(64, 'k');
   const TeamDirectory teams({TeamWith("rye", {key})}, 42);
   std::string first = key;
@@ -101,7 +101,7 @@
   CHECK(teams.HolderOf(key) != nullptr);
 }
 
-TEST_CASE("a configuration tells its teams") {
+TEST_CASE("the teams of a configuration are parsed") {
   const auto adapter = users::MakeAdapter();
   const Result<RoutingConfig> config = adapter->ParseConfig(
       ConfigWith(R"([{"name":"rye","apiKeys":["k1","k2"],"priority":1,"ratePerS":91.5,"burst":10},)"
@@ -118,9 +118,9 @@
   CHECK_FALSE(teams[1].rank);
 }
 
-// Guards against a half-read configuration: a key that stands for two teams, a limit that admits
+// Guards against a partly parsed configuration: a key shared by two teams, a limit that admits
 // everything, a name that adds a header.
-TEST_CASE("a configuration with a mistake in its teams is refused as a whole") {
+TEST_CASE("a configuration with an invalid team is refused as a whole") {
   const auto adapter = users::MakeAdapter();
   for (const char* teams : {
            R"({})",
@@ -151,7 +151,7 @@
 }
 
 // Guards against keys in the log line of a configuration that can't be parsed.
-TEST_CASE("the error of a broken configuration quotes no key") {
+TEST_CASE("the error of a malformed configuration quotes no key") {
   const auto adapter = users::MakeAdapter();
   const std::string text = ConfigWith(R"([{"name":"rye","apiKeys":["secretkey"]}])");
   for (std::size_t end = 1; end < text.size(); ++end) {
@@ -161,19 +161,19 @@
   }
 }
 
-TEST_CASE("a lease holds from the question on, less its margin") {
+TEST_CASE("a lease is valid from the time of the request, less its margin") {
   KeyLease lease(std::chrono::seconds(5));
   CHECK_FALSE(lease.Holds(std::chrono::seconds(1)));
   lease.Confirm(std::chrono::seconds(1));
   CHECK(lease.Holds(std::chrono::milliseconds(4999)));
   CHECK_FALSE(lease.Holds(std::chrono::seconds(5)));
-  // An answer that was overtaken confirms no more than is known.
+  // A response to an earlier request does not shorten the lease.
   lease.Confirm(std::chrono::seconds(3));
   lease.Confirm(std::chrono::seconds(2));
   CHECK(lease.Age(std::chrono::seconds(4)) == std::chrono::seconds(1));
 }
 
-TEST_CASE("without a bound a lease always holds") {
+TEST_CASE("without a bound a lease is always valid") {
   const KeyLease lease(std::nullopt);
   CHECK(lease.Holds(std::chrono::hours(1)));
   CHECK_FALSE(lease.Age(std::chrono::hours(1)));
