--- a/include/figmill/peers.h
+++ b/include/figmill/peers.h
@@ -54,25 +54,25 @@
   static constexpr Duration kPresence{1'000'000};
   static constexpr Duration kSilence{2'300'000};
   // With up to this many others, an entry monitors all of them.
-  static constexpr std::size_t kWatchAll = 16;
+  static constexpr std::size_t kMonitorAllLimit = 16;
   // In a larger fleet it monitors this many peers of any data centre, in hash order, and this many
   // more in its own data centre, where datagrams are cheap. Each entry is monitored by about as
   // many. Peers of any data centre are included to detect the loss of a whole data centre, after
   // which no entry is left there to report it.
-  static constexpr std::size_t kWatchedAnywhere = 4;
-  static constexpr std::size_t kWatchedNear = 8;
+  static constexpr std::size_t kMonitoredAnywhere = 4;
+  static constexpr std::size_t kMonitoredLocal = 8;
   // Suspected and joining peers are probed in addition, at most this many at a time. Without the
   // limit each entry would probe all others twice a second while the whole fleet starts.
-  static constexpr std::size_t kAskedInTurn = 8;
+  static constexpr std::size_t kMaxExtraProbes = 8;
   // A suspected peer that is not listed is evicted after this long without a message from it. Hosts
   // are replaced all the time, and the names of all former ones would be sent to other entries.
-  static constexpr Duration kForgotten{60'000'000};
+  static constexpr Duration kEvictAfter{60'000'000};
   // Number of backend servers for each allocator of a data centre. Fewer allocators mean fewer
   // datagrams to each entry; more of them mean that less is lost when one fails.
-  static constexpr std::size_t kBackendsPerKeeper = 6;
+  static constexpr std::size_t kBackendsPerAllocator = 6;
   // Entries on hosts with less than this share of the largest host's capacity are no allocators and
   // own no jobs, because callers are spread evenly over all entries.
-  static constexpr double kLeastCapacity = 0.5;
+  static constexpr double kMinCapacityShare = 0.5;
 
   explicit PeerTable(Peer self) : self_(std::move(self)) {}
 
@@ -135,32 +135,32 @@
   [[nodiscard]] std::uint64_t Generation(Time now);
 
  private:
-  struct Entry {
+  struct PeerState {
     Peer peer;
     bool listed = false;
     bool suspected = false;
     std::optional<Time> heard_at;
-    std::optional<Time> asked_at;  // first probe since the last message
+    std::optional<Time> probed_at;  // first probe since the last message
     // Suspected and no longer listed.
     [[nodiscard]] bool gone() const { return suspected && !listed; }
   };
-  void ForgetGone(Time now);
+  void EvictGone(Time now);
   // The others that are not gone, in hash order, starting after this entry.
-  [[nodiscard]] std::vector<Entry*> Ring();
-  [[nodiscard]] std::vector<Entry*> Watched(const std::vector<Entry*>& ring) const;
-  static void Look(Entry& entry, Watch& watch, Time now);
-  void AskInTurn(const std::vector<Entry*>& ring, Watch& watch, Time now);
+  [[nodiscard]] std::vector<PeerState*> HashRing();
+  [[nodiscard]] std::vector<PeerState*> MonitoredPeers(const std::vector<PeerState*>& ring) const;
+  static void CheckPeer(PeerState& state, Watch& watch, Time now);
+  void ProbeInTurn(const std::vector<PeerState*>& ring, Watch& watch, Time now);
 
   Peer self_;
-  std::map<NodeId, Entry> others_;
-  std::size_t asked_in_turn_ = 0;  // number of suspected or joining peers probed so far
+  std::map<NodeId, PeerState> others_;
+  std::size_t extra_probes_ = 0;  // number of suspected or joining peers probed so far
   std::uint64_t generation_ = 0;
   std::size_t live_at_generation_ = 0;
 };
 
 // The allocator of a backend server, out of the allocators of its data centre; null if there are
 // none.
-[[nodiscard]] const Peer* KeeperAmong(std::span<const Peer> keepers, const BackendId& backend);
+[[nodiscard]] const Peer* KeeperAmong(std::span<const Peer> allocators, const BackendId& backend);
 
 // Which backend servers this entry owns as allocator, and which it uses. An entry uses the backend
 // servers of a few allocators only, so that its cost doesn't grow with the fleet. Entries that are
@@ -169,12 +169,12 @@
  public:
   // Allocators of its own data centre that an entry uses. With 6 to 10 backend servers each, that
   // is enough to find a free slot if the fleet as a whole has any.
-  static constexpr std::size_t kNear = 4;
+  static constexpr std::size_t kLocalAllocators = 4;
   // Allocators of all other data centres together, for when the local ones are full or gone. With
   // eight of them costs were a tenth higher and no more requests were served (five simulated days
   // of faults on each of two deployments, with 42 and 50 engines: score 0.802 and 0.797 with eight,
   // 0.812 and 0.809 with four).
-  static constexpr std::size_t kFar = 4;
+  static constexpr std::size_t kRemoteAllocators = 4;
 
   void SetBackends(std::vector<BackendInfo> backends);
   // Recomputes both sets if the peers or the backend servers have changed; returns true then.
@@ -186,9 +186,9 @@
   [[nodiscard]] const std::map<BackendId, KeptBackend>& kept() const { return kept_; }
 
  private:
-  [[nodiscard]] static std::vector<Peer> Near(const std::vector<Peer>& keepers,
-                                              const PeerTable& peers, Time now);
-  void Use(const BackendInfo& info, const Peer& keeper);
+  [[nodiscard]] static std::vector<Peer> ChooseAllocators(const std::vector<Peer>& allocators,
+                                                          const PeerTable& peers, Time now);
+  void AddUsed(const BackendInfo& info, const Peer& allocator);
 
   std::vector<BackendInfo> backends_;
   std::map<BackendId, Peer> used_;
--- a/include/figmill/quarantine.h
+++ b/include/figmill/quarantine.h
@@ -70,8 +70,8 @@
   // is over, so that one that was blamed wrongly is served again; after a chain of
   // CrashReport::kMaxChain there is no probe.
   struct Policy {
-    int chain_limit = 0;    // shortest chain that causes a quarantine
-    Duration first_period;  // time until the first probe; doubles with each further crash
+    int min_chain = 0;        // shortest chain that causes a quarantine
+    Duration initial_period;  // time until the first probe; doubles with each further crash
   };
   // An online request that merely ran beside the cause is short, and seldom sees a second crash.
   static constexpr Policy kOnline{2, Duration{60'000'000}};
@@ -81,7 +81,7 @@
   // No second probe starts here while one may still be running.
   static constexpr Duration kProbeTimeout{10'000'000};
   // Retry delay for callers of a request that is no longer probed.
-  static constexpr Duration kLongestWait = std::chrono::hours(1);
+  static constexpr Duration kMaxRetryAfter = std::chrono::hours(1);
   // Most reports kept, over all requests.
   static constexpr std::size_t kMaxReports = 1000;
 
@@ -91,8 +91,8 @@
   // when the report arrived.
   void Add(const CrashReport& report, Time seen_at);
   void Remove(const Crash& crash);
-  // Chain length of a crash in a run that started at `begun_at`.
-  [[nodiscard]] int ChainOf(const RequestFingerprint& request, Time begun_at) const;
+  // Chain length of a crash in a run that started at `started_at`.
+  [[nodiscard]] int ChainOf(const RequestFingerprint& request, Time started_at) const;
 
   // Time until the request may run here as work of this class; nullopt: it may run now.
   [[nodiscard]] std::optional<Duration> TimeLeft(const RequestFingerprint& request, WorkClass work,
@@ -111,22 +111,22 @@
   [[nodiscard]] std::size_t quarantined() const { return quarantined_; }
 
  private:
-  struct Seen {
+  struct SeenCrash {
     int chain = 1;
     Time at{};
   };
-  struct Suspect {
-    std::map<Crash, Seen> crashes;
-    Time probed_until{};
+  struct SuspectRequest {
+    std::map<Crash, SeenCrash> crashes;
+    Time probe_until{};
   };
-  [[nodiscard]] static const Seen& Longest(const Suspect& suspect);
-  [[nodiscard]] static bool IsQuarantined(const Suspect& suspect);
+  [[nodiscard]] static const SeenCrash& LongestChain(const SuspectRequest& suspect);
+  [[nodiscard]] static bool IsQuarantined(const SuspectRequest& suspect);
   // Quarantine period after the end of a chain; nullopt: no probe.
-  [[nodiscard]] std::optional<Duration> PeriodOf(const RequestFingerprint& request,
-                                                 const Policy& policy, int chain) const;
+  [[nodiscard]] std::optional<Duration> QuarantinePeriod(const RequestFingerprint& request,
+                                                         const Policy& policy, int chain) const;
 
   NodeId self_;
-  std::map<RequestFingerprint, Suspect> suspects_;
+  std::map<RequestFingerprint, SuspectRequest> suspects_;
   std::size_t reports_ = 0;
   std::size_t quarantined_ = 0;
 };
--- a/include/figmill/quota.h
+++ b/include/figmill/quota.h
@@ -40,8 +40,8 @@
   TeamId team;
   bool owned = false;  // the sender owns the quota; if false, the other fields have no meaning
   std::uint32_t credits = 0;
-  Duration next_after{0};  // if fewer were granted than requested: time until the next credit
-  Duration every{0};       // interval between the credits after that
+  Duration time_to_next{0};     // if fewer were granted than requested: time until the next credit
+  Duration credit_interval{0};  // interval between the credits after that
   bool operator==(const QuotaGrant&) const = default;
 };
 
@@ -55,7 +55,7 @@
 
   // Credits expire this long after they were requested. A window may contain requests on credits
   // that were granted up to this long before it, which uses up half of `excess`.
-  [[nodiscard]] Duration CreditLife() const;
+  [[nodiscard]] Duration CreditLifetime() const;
   // Number of entries that may admit a team's requests on their own while its owner doesn't
   // respond.
   [[nodiscard]] std::size_t FreeEntries() const { return slack / 2; }
@@ -66,11 +66,11 @@
  public:
   CreditBucket(double level, Time now) : level_(level), at_(now) {}
   void Refill(double per_second, double capacity, Time now);
-  // Removes whole credits, at most `most`, and returns their number.
-  [[nodiscard]] std::uint32_t Take(std::uint32_t most);
+  // Removes whole credits, at most `max_credits`, and returns their number.
+  [[nodiscard]] std::uint32_t TakeUpTo(std::uint32_t max_credits);
   void Return(std::uint32_t credits) { level_ += credits; }
   // Time until there is a whole credit.
-  [[nodiscard]] Duration UntilNext(double per_second) const;
+  [[nodiscard]] Duration TimeToNextCredit(double per_second) const;
 
  private:
   double level_;
@@ -84,10 +84,10 @@
  public:
   // Initial credits of a team whose quota this process has just started to own: the previous owner
   // may have granted the whole burst.
-  static constexpr double kFirstLevel = 2;
+  static constexpr double kInitialCredits = 2;
   static constexpr std::size_t kMaxTeams = 8192;
 
-  explicit QuotaOwner(Time started_at) : changed_at_(started_at) {}
+  explicit QuotaOwner(Time started_at) : may_own_since_(started_at) {}
 
   // Forgets all buckets. Call it when this process may have lost the ownership of quotas without
   // noticing, because it was stopped or cut off: another entry may have granted the same credits
@@ -99,7 +99,7 @@
   [[nodiscard]] std::size_t tracked() const { return buckets_.size(); }
 
  private:
-  Time changed_at_;  // start of the earliest possible ownership of a team that is not tracked
+  Time may_own_since_;  // start of the earliest possible ownership of a team that is not tracked
   std::map<TeamId, CreditBucket> buckets_;
 };
 
@@ -130,25 +130,25 @@
   // An owner responds within a few ms, or some tens of ms on a busy host. Requests to it may be
   // lost, so one is sent again before the owner counts as unresponsive.
   static constexpr Duration kAskAgain{40'000};
-  static constexpr Duration kOwnerPatience{100'000};
+  static constexpr Duration kOwnerTimeout{100'000};
   // Interval at which an unresponsive owner is probed.
-  static constexpr Duration kSilentPause{250'000};
+  static constexpr Duration kOwnerProbeInterval{250'000};
   // Rate that all entries together admit while the owner doesn't respond. The owner may still serve
   // other entries, so this comes on top of the whole quota. Unit: share of the limit.
-  static constexpr double kSilentShare = 0.4;
+  static constexpr double kFallbackShare = 0.4;
   // After a refusal, further requests are refused from the last grant for this long, or until its
   // next credit if that is sooner.
-  static constexpr Duration kRefusalLife{50'000};
+  static constexpr Duration kRefusalLifetime{50'000};
   static constexpr std::size_t kMaxTeams = 8192;
   // Most requests of one team that wait for a grant at a time; no more arrive within
-  // kOwnerPatience.
+  // kOwnerTimeout.
   static constexpr std::size_t kMaxWaiting = 4096;
-  static constexpr Duration kForgetAfter{60'000'000};
+  static constexpr Duration kEvictAfter{60'000'000};
 
   struct Entries {
     std::size_t count = 1;  // live lately, including this one
     // Whether this entry may admit requests on its own while the owner doesn't respond.
-    bool free = true;
+    bool may_admit_alone = true;
   };
 
   explicit QuotaClient(QuotaBounds bounds) : bounds_(bounds) {}
@@ -169,7 +169,7 @@
   void OnTime(Time now);
 
   // Requests to send now, each to its team's owner; call both functions after each of the above.
-  [[nodiscard]] std::vector<QuotaAsk> TakeAsks() { return std::exchange(asks_, {}); }
+  [[nodiscard]] std::vector<QuotaAsk> TakeAsks() { return std::exchange(requests_, {}); }
   [[nodiscard]] std::vector<quota::Decision> TakeDecisions() {
     return std::exchange(decisions_, {});
   }
@@ -182,7 +182,7 @@
     Request request;
     Time since{};
   };
-  struct Ask {
+  struct SentRequest {
     std::uint64_t number = 0;
     Time at{};
   };
@@ -195,38 +195,38 @@
     Time credits_until{};
     std::uint32_t returned = 0;  // not reported to the owner yet
     std::deque<Waiting> waiting;
-    std::vector<Ask> open;  // sent and not answered yet
-    std::optional<Time> silent_since;
-    Time asked_at{};  // time of the last request to the owner
+    std::vector<SentRequest> in_flight;  // sent and not answered yet
+    std::optional<Time> unresponsive_since;
+    Time last_sent_at{};  // time of the last request to the owner
     // Set by a grant of fewer credits than requested.
     Time refused_until{};
     Time next_credit{};
-    Duration every{0};
-    RetryScheduler returns;
+    Duration credit_interval{0};
+    RetryScheduler retries;
     // Arrival rate, to request credits ahead of need.
-    double arrivals = 0;
-    Time arrivals_at{};
-    CreditBucket own_share{0, Time{}};  // used while the owner doesn't respond
+    double arrival_rate = 0;
+    Time last_arrival_at{};
+    CreditBucket fallback_share{0, Time{}};  // used while the owner doesn't respond
     Time used_at{};
   };
 
   [[nodiscard]] TeamState* Track(const Team& team, const Entries& entries, Time now);
   void DropExpired(TeamState& team, Time now) const;
   void CountArrival(TeamState& team, Time now) const;
-  void SendAsk(TeamState& team, Time now);
+  void SendRequest(TeamState& team, Time now);
   // Whether a request to the owner may still be answered; those that are older than kAskAgain don't
   // count.
-  [[nodiscard]] static bool IsAsking(TeamState& team, Time now);
-  [[nodiscard]] Result<quota::Admitted> Silent(TeamState& team, Time now) const;
-  [[nodiscard]] static Error Refused(TeamState& team, Duration time_left, Time now);
-  void Decide(TeamState& team, Result<quota::Admitted> verdict);
-  void Forget(Time now);
+  [[nodiscard]] static bool HasPendingRequest(TeamState& team, Time now);
+  [[nodiscard]] Result<quota::Admitted> ChargeFallbackShare(TeamState& team, Time now) const;
+  [[nodiscard]] static Error RateLimitError(TeamState& team, Duration time_left, Time now);
+  void DecideFirst(TeamState& team, Result<quota::Admitted> verdict);
+  void EvictIdle(Time now);
 
   QuotaBounds bounds_;
   std::map<TeamId, TeamState> teams_;
-  std::uint64_t numbers_ = 0;
+  std::uint64_t last_number_ = 0;
   std::size_t waiting_ = 0;
-  std::vector<QuotaAsk> asks_;
+  std::vector<QuotaAsk> requests_;
   std::vector<quota::Decision> decisions_;
 };
 
--- a/include/figmill/teams.h
+++ b/include/figmill/teams.h
@@ -52,15 +52,15 @@
   [[nodiscard]] std::span<const Team> teams() const { return teams_; }
 
  private:
-  struct Holder {
+  struct KeyOwner {
     std::string_view key;
     const Team* team = nullptr;
   };
-  [[nodiscard]] std::uint64_t DigestOf(std::string_view key) const;
+  [[nodiscard]] std::uint64_t HashOf(std::string_view key) const;
 
   std::vector<Team> teams_;
   std::uint64_t secret_;
-  std::unordered_multimap<std::uint64_t, Holder> by_digest_;
+  std::unordered_multimap<std::uint64_t, KeyOwner> by_hash_;
   std::unordered_map<TeamId, const Team*> by_name_;
 };
 
@@ -74,21 +74,21 @@
   using HostTime = Duration;
   // The lease ends early by this part of the allowed time (1/5), because the store may be late to
   // report changes.
-  static constexpr int kMarginParts = 5;
+  static constexpr int kMarginDivisor = 5;
 
   // `revoke_within`: longest time from the acknowledgement of a configuration until none of the
   // keys that it removes is accepted any more; nullopt: no bound.
   explicit KeyLease(std::optional<Duration> revoke_within) : revoke_within_(revoke_within) {}
 
-  // The store has confirmed the configuration as of `asked_at`.
-  void Confirm(HostTime asked_at);
+  // The store has confirmed the configuration as of `requested_at`.
+  void Confirm(HostTime requested_at);
   [[nodiscard]] bool Holds(HostTime now) const;
   // Time since the last confirmation; nullopt before the first.
   [[nodiscard]] std::optional<Duration> Age(HostTime now) const;
 
  private:
   std::optional<Duration> revoke_within_;
-  std::optional<HostTime> asked_at_;
+  std::optional<HostTime> confirmed_at_;
 };
 
 }  // namespace figmill
--- a/src/peer_messages/peer_codec.cc
+++ b/src/peer_messages/peer_codec.cc
@@ -15,7 +15,7 @@
 constexpr std::size_t kMaxDepth = 4;
 // Most slots, items or cores of one host or backend server; larger counts are invalid.
 constexpr int kMaxCount = 1'000'000;
-constexpr Duration kLongestDuration = std::chrono::hours(24);
+constexpr Duration kMaxDuration = std::chrono::hours(24);
 // Limit of the table service for a key. Unit: bytes.
 constexpr std::size_t kMaxNameBytes = 200;
 // Incarnations are times of day in milliseconds, or one more than another incarnation.
@@ -84,16 +84,16 @@
   }
 }
 
-void Pack(Packer& packer, const PlaceAsk& ask) {
+void Pack(Packer& packer, const PlaceAsk& request) {
   packer.pack_array(7);
-  packer.pack(ask.number);
-  packer.pack(ask.service.value);
-  packer.pack(ask.goal_left.count());
-  packer.pack(ask.time_left.count());
-  packer.pack(ask.last_chance);
-  packer.pack(ask.may_queue);
-  packer.pack_array(static_cast<std::uint32_t>(ask.tried.size()));
-  for (const BackendId& id : ask.tried) packer.pack(id.value);
+  packer.pack(request.number);
+  packer.pack(request.service.value);
+  packer.pack(request.goal_left.count());
+  packer.pack(request.time_left.count());
+  packer.pack(request.last_chance);
+  packer.pack(request.may_queue);
+  packer.pack_array(static_cast<std::uint32_t>(request.tried.size()));
+  for (const BackendId& id : request.tried) packer.pack(id.value);
 }
 
 void Pack(Packer& packer, const PlaceAnswer& answer) {
@@ -105,12 +105,12 @@
   packer.pack(answer.come_back.count());
 }
 
-void Pack(Packer& packer, const QuotaAsk& ask) {
+void Pack(Packer& packer, const QuotaAsk& request) {
   packer.pack_array(4);
-  packer.pack(ask.number);
-  packer.pack(ask.team.value);
-  packer.pack(ask.wanted);
-  packer.pack(ask.returned);
+  packer.pack(request.number);
+  packer.pack(request.team.value);
+  packer.pack(request.wanted);
+  packer.pack(request.returned);
 }
 
 void Pack(Packer& packer, const QuotaGrant& grant) {
@@ -119,8 +119,8 @@
   packer.pack(grant.team.value);
   packer.pack(grant.owned);
   packer.pack(grant.credits);
-  packer.pack(grant.next_after.count());
-  packer.pack(grant.every.count());
+  packer.pack(grant.time_to_next.count());
+  packer.pack(grant.credit_interval.count());
 }
 
 template <typename T>
@@ -132,7 +132,7 @@
   }
 }
 
-std::string Text(const PeerMessage& message) {
+std::string Serialize(const PeerMessage& message) {
   msgpack::sbuffer buffer;
   Packer packer(buffer);
   const bool quota = message.quota_ask || message.quota_grant;
@@ -153,7 +153,7 @@
 }
 
 // Returns an element of an array; throws if there is none.
-const Object& At(const Object& array, std::uint32_t index) {
+const Object& Element(const Object& array, std::uint32_t index) {
   if (array.type != msgpack::type::ARRAY || index >= array.via.array.size) {
     throw std::invalid_argument("element " + std::to_string(index) + " is missing");
   }
@@ -162,7 +162,7 @@
 
 template <typename T>
 T Get(const Object& array, std::uint32_t index) {
-  return At(array, index).as<T>();
+  return Element(array, index).as<T>();
 }
 
 std::uint32_t SizeOf(const Object& array) {
@@ -180,16 +180,16 @@
 // Durations are added to the time of arrival, which would overflow for the largest ones.
 Duration GetDuration(const Object& array, std::uint32_t index) {
   const Duration duration(Get<std::int64_t>(array, index));
-  if (duration < -kLongestDuration || duration > kLongestDuration) {
+  if (duration < -kMaxDuration || duration > kMaxDuration) {
     throw std::invalid_argument("a duration is out of range");
   }
   return duration;
 }
 
 // Time that is left until a deadline of the caller, which may be any time; limited to one day.
-Duration GetPatience(const Object& array, std::uint32_t index) {
-  const Duration patience(Get<std::int64_t>(array, index));
-  return std::clamp(patience, -kLongestDuration, kLongestDuration);
+Duration GetTimeLeft(const Object& array, std::uint32_t index) {
+  const Duration time_left(Get<std::int64_t>(array, index));
+  return std::clamp(time_left, -kMaxDuration, kMaxDuration);
 }
 
 std::string GetName(const Object& array, std::uint32_t index) {
@@ -228,7 +228,7 @@
 
 // Entries of an earlier version, which run beside this one during a release, don't send the tag; it
 // is unknown then.
-IncarnationTag IncarnationAt(const Object& line, std::uint32_t index) {
+IncarnationTag GetIncarnationTag(const Object& line, std::uint32_t index) {
   if (index >= SizeOf(line)) return {};
   return IncarnationTag{Get<std::uint16_t>(line, index)};
 }
@@ -245,64 +245,64 @@
   return peer;
 }
 
-PlaceReport ReadReport(const Object& object) {
+PlaceReport ReadSlotReport(const Object& object) {
   PlaceReport report;
   report.number = Get<std::uint64_t>(object, 0);
   report.grant = Get<std::uint64_t>(object, 1);
   report.asked = Get<std::vector<std::uint64_t>>(object, 2);
-  const Object& waiting = At(object, 3);
+  const Object& waiting = Element(object, 3);
   for (std::uint32_t i = 0; i < SizeOf(waiting); ++i) {
-    const Object& group = At(waiting, i);
+    const Object& group = Element(waiting, i);
     // Entries of an earlier version don't send `begun`.
     const bool begun = SizeOf(group) > 2 && Get<bool>(group, 2);
     report.waiting.push_back({StoreTime(Get<std::int64_t>(group, 0)), GetCount(group, 1), begun});
   }
-  const Object& lines = At(object, 4);
+  const Object& lines = Element(object, 4);
   for (std::uint32_t i = 0; i < SizeOf(lines); ++i) {
-    const Object& line = At(lines, i);
+    const Object& line = Element(lines, i);
     report.lines.push_back({BackendId{GetName(line, 0)}, GetCount(line, 1), GetCount(line, 2),
                             GetDuration(line, 3), Get<std::uint64_t>(line, 4),
-                            Get<std::uint64_t>(line, 5), IncarnationAt(line, 6)});
+                            Get<std::uint64_t>(line, 5), GetIncarnationTag(line, 6)});
   }
   // Entries of an earlier version don't send it.
   report.rest_unused = SizeOf(object) > 5 && Get<bool>(object, 5);
   return report;
 }
 
-PlaceGrant ReadGrant(const Object& object) {
+PlaceGrant ReadSlotGrant(const Object& object) {
   PlaceGrant grant;
   grant.number = Get<std::uint64_t>(object, 0);
-  const Object& lines = At(object, 1);
+  const Object& lines = Element(object, 1);
   for (std::uint32_t i = 0; i < SizeOf(lines); ++i) {
-    const Object& line = At(lines, i);
+    const Object& line = Element(lines, i);
     grant.lines.push_back({BackendId{GetName(line, 0)}, GetCount(line, 1), GetCount(line, 2),
-                           GetCount(line, 3), Get<bool>(line, 4), IncarnationAt(line, 5)});
+                           GetCount(line, 3), Get<bool>(line, 4), GetIncarnationTag(line, 5)});
   }
   if (SizeOf(object) <= 2) return grant;  // sent by an earlier version
-  const Object& services = At(object, 2);
+  const Object& services = Element(object, 2);
   for (std::uint32_t i = 0; i < SizeOf(services); ++i) {
-    const Object& use = At(services, i);
+    const Object& use = Element(services, i);
     grant.services.push_back({ServiceName{GetName(use, 0)}, GetCount(use, 1), GetCount(use, 2)});
   }
   return grant;
 }
 
-PlaceAsk ReadAsk(const Object& object) {
-  PlaceAsk ask;
-  ask.number = Get<std::uint64_t>(object, 0);
-  ask.service.value = GetName(object, 1);
-  ask.goal_left = GetPatience(object, 2);
-  ask.time_left = GetPatience(object, 3);
-  ask.last_chance = Get<bool>(object, 4);
-  ask.may_queue = Get<bool>(object, 5);
-  const Object& tried = At(object, 6);
+PlaceAsk ReadSlotRequest(const Object& object) {
+  PlaceAsk request;
+  request.number = Get<std::uint64_t>(object, 0);
+  request.service.value = GetName(object, 1);
+  request.goal_left = GetTimeLeft(object, 2);
+  request.time_left = GetTimeLeft(object, 3);
+  request.last_chance = Get<bool>(object, 4);
+  request.may_queue = Get<bool>(object, 5);
+  const Object& tried = Element(object, 6);
   for (std::uint32_t i = 0; i < SizeOf(tried); ++i) {
-    ask.tried.push_back(BackendId{GetName(tried, i)});
+    request.tried.push_back(BackendId{GetName(tried, i)});
   }
-  return ask;
+  return request;
 }
 
-PlaceAnswer ReadAnswer(const Object& object) {
+PlaceAnswer ReadSlotResponse(const Object& object) {
   PlaceAnswer answer;
   answer.number = Get<std::uint64_t>(object, 0);
   const int kind = Get<int>(object, 1);
@@ -317,13 +317,13 @@
   return answer;
 }
 
-QuotaAsk ReadQuotaAsk(const Object& object) {
-  QuotaAsk ask;
-  ask.number = Get<std::uint64_t>(object, 0);
-  ask.team.value = GetName(object, 1);
-  ask.wanted = static_cast<std::uint32_t>(GetCount(object, 2));
-  ask.returned = static_cast<std::uint32_t>(GetCount(object, 3));
-  return ask;
+QuotaAsk ReadQuotaRequest(const Object& object) {
+  QuotaAsk request;
+  request.number = Get<std::uint64_t>(object, 0);
+  request.team.value = GetName(object, 1);
+  request.wanted = static_cast<std::uint32_t>(GetCount(object, 2));
+  request.returned = static_cast<std::uint32_t>(GetCount(object, 3));
+  return request;
 }
 
 QuotaGrant ReadQuotaGrant(const Object& object) {
@@ -332,21 +332,21 @@
   grant.team.value = GetName(object, 1);
   grant.owned = Get<bool>(object, 2);
   grant.credits = static_cast<std::uint32_t>(GetCount(object, 3));
-  grant.next_after = GetDuration(object, 4);
-  grant.every = GetDuration(object, 5);
+  grant.time_to_next = GetDuration(object, 4);
+  grant.credit_interval = GetDuration(object, 5);
   return grant;
 }
 
 PeerMessage ReadMessage(const Object& object) {
   PeerMessage message;
-  message.from = ReadPeer(At(object, 0));
-  if (!At(object, 1).is_nil()) message.report = ReadReport(At(object, 1));
-  if (!At(object, 2).is_nil()) message.grant = ReadGrant(At(object, 2));
-  if (!At(object, 3).is_nil()) message.ask = ReadAsk(At(object, 3));
-  if (!At(object, 4).is_nil()) message.answer = ReadAnswer(At(object, 4));
-  const Object& known = At(object, 5);
+  message.from = ReadPeer(Element(object, 0));
+  if (!Element(object, 1).is_nil()) message.report = ReadSlotReport(Element(object, 1));
+  if (!Element(object, 2).is_nil()) message.grant = ReadSlotGrant(Element(object, 2));
+  if (!Element(object, 3).is_nil()) message.ask = ReadSlotRequest(Element(object, 3));
+  if (!Element(object, 4).is_nil()) message.answer = ReadSlotResponse(Element(object, 4));
+  const Object& known = Element(object, 5);
   for (std::uint32_t i = 0; i < SizeOf(known); ++i) {
-    message.known.push_back(ReadPeer(At(known, i)));
+    message.known.push_back(ReadPeer(Element(known, i)));
   }
   const int wants = Get<int>(object, 6);
   if (wants < 0 || wants > static_cast<int>(PeerMessage::Wants::kKnown)) {
@@ -355,13 +355,13 @@
   message.wants = static_cast<PeerMessage::Wants>(wants);
   // Only messages about quotas have these elements.
   if (SizeOf(object) <= 8) return message;
-  if (!At(object, 7).is_nil()) message.quota_ask = ReadQuotaAsk(At(object, 7));
-  if (!At(object, 8).is_nil()) message.quota_grant = ReadQuotaGrant(At(object, 8));
+  if (!Element(object, 7).is_nil()) message.quota_ask = ReadQuotaRequest(Element(object, 7));
+  if (!Element(object, 8).is_nil()) message.quota_grant = ReadQuotaGrant(Element(object, 8));
   return message;
 }
 
 // Halves one of the lists that may be truncated; returns false if all of them are empty.
-bool Shorten(PeerMessage& message) {
+bool Truncate(PeerMessage& message) {
   if (!message.known.empty()) {
     message.known.resize(message.known.size() / 2);
     return true;
@@ -393,10 +393,10 @@
 }
 
 std::string Encode(const PeerMessage& message) {
-  std::string text = Text(message);
+  std::string text = Serialize(message);
   if (text.size() <= kMaxPeerMessageBytes) return text;
-  PeerMessage shorter = message;
-  while (text.size() > kMaxPeerMessageBytes && Shorten(shorter)) text = Text(shorter);
+  PeerMessage truncated = message;
+  while (text.size() > kMaxPeerMessageBytes && Truncate(truncated)) text = Serialize(truncated);
   return text;
 }
 
@@ -404,15 +404,16 @@
   try {
     // Each element takes at least one byte. Without this limit five bytes that announce four
     // billion elements would make the parser allocate memory for all of them.
-    const std::size_t most = bytes.size();
-    const msgpack::unpack_limit limit(most, most, most, most, most, kMaxDepth);
+    const std::size_t max_elements = bytes.size();
+    const msgpack::unpack_limit limit(max_elements, max_elements, max_elements, max_elements,
+                                      max_elements, kMaxDepth);
     std::size_t end = 0;
     const msgpack::object_handle handle =
         msgpack::unpack(bytes.data(), bytes.size(), end, nullptr, nullptr, limit);
     if (end != bytes.size()) throw std::invalid_argument("bytes follow the message");
     return ReadMessage(handle.get());
-  } catch (const std::exception& mistake) {
-    return Error{ErrorKind::kBadRequest, std::string("peer message: ") + mistake.what()};
+  } catch (const std::exception& error) {
+    return Error{ErrorKind::kBadRequest, std::string("peer message: ") + error.what()};
   }
 }
 
--- a/src/peers/keeper_map.cc
+++ b/src/peers/keeper_map.cc
@@ -7,7 +7,7 @@
 namespace figmill {
 namespace {
 
-KeptBackend KeptOf(const BackendInfo& info) {
+KeptBackend ToManagedBackend(const BackendInfo& info) {
   const bool draining = info.state == BackendState::kDraining;
   return {info.service, draining ? 0 : info.slots, info.state == BackendState::kUnreadable,
           info.incarnation};
@@ -22,9 +22,9 @@
 
 // The allocators opposite to this entry when both the entries and the allocators of a data centre
 // are laid out evenly around a ring.
-std::vector<Peer> KeeperMap::Near(const std::vector<Peer>& keepers, const PeerTable& peers,
-                                  Time now) {
-  if (keepers.size() <= kNear + 1) return keepers;
+std::vector<Peer> KeeperMap::ChooseAllocators(const std::vector<Peer>& allocators,
+                                              const PeerTable& peers, Time now) {
+  if (allocators.size() <= kLocalAllocators + 1) return allocators;
   const Peer& self = peers.self();
   std::size_t rank = 0;
   std::size_t entries = 0;
@@ -33,14 +33,15 @@
     ++entries;
     if (peer.node < self.node) ++rank;
   }
-  const std::size_t start = rank * keepers.size() / std::max<std::size_t>(entries, 1);
-  std::vector<Peer> near;
-  for (std::size_t i = 0; i < kNear; ++i) near.push_back(keepers[(start + i) % keepers.size()]);
-  return near;
+  const std::size_t start = rank * allocators.size() / std::max<std::size_t>(entries, 1);
+  std::vector<Peer> chosen;
+  for (std::size_t i = 0; i < kLocalAllocators; ++i)
+    chosen.push_back(allocators[(start + i) % allocators.size()]);
+  return chosen;
 }
 
-void KeeperMap::Use(const BackendInfo& info, const Peer& keeper) {
-  if (!used_.emplace(info.id, keeper).second) return;
+void KeeperMap::AddUsed(const BackendInfo& info, const Peer& allocator) {
+  if (!used_.emplace(info.id, allocator).second) return;
   used_infos_.push_back(info);
 }
 
@@ -56,33 +57,35 @@
   std::map<DataCentre, std::size_t> counts;
   for (const BackendInfo& info : backends_) ++counts[info.data_centre];
   const Peer& self = peers.self();
-  std::map<DataCentre, std::vector<Peer>> keepers;
-  std::set<NodeId> used_keepers;
-  const std::size_t far_centres = std::max<std::size_t>(counts.size(), 2) - 1;
-  const std::size_t far_each = std::max<std::size_t>(kFar / far_centres, 1);
+  std::map<DataCentre, std::vector<Peer>> allocators;
+  std::set<NodeId> chosen_nodes;
+  const std::size_t remote_centres = std::max<std::size_t>(counts.size(), 2) - 1;
+  const std::size_t per_remote_centre =
+      std::max<std::size_t>(kRemoteAllocators / remote_centres, 1);
   for (const auto& [centre, count] : counts) {
-    keepers[centre] = peers.KeepersOf(centre, count, now);
-    std::vector<Peer> use = Near(keepers[centre], peers, now);
-    if (centre != self.data_centre && use.size() > far_each) use.resize(far_each);
-    for (const Peer& peer : use) used_keepers.insert(peer.node);
+    allocators[centre] = peers.KeepersOf(centre, count, now);
+    std::vector<Peer> chosen = ChooseAllocators(allocators[centre], peers, now);
+    if (centre != self.data_centre && chosen.size() > per_remote_centre)
+      chosen.resize(per_remote_centre);
+    for (const Peer& peer : chosen) chosen_nodes.insert(peer.node);
   }
 
-  std::set<ServiceName> served;
-  std::vector<std::pair<const BackendInfo*, const Peer*>> unused;
+  std::set<ServiceName> served_services;
+  std::vector<std::pair<const BackendInfo*, const Peer*>> not_chosen;
   for (const BackendInfo& info : backends_) {
-    const Peer* keeper = KeeperAmong(keepers[info.data_centre], info.id);
-    if (keeper == nullptr) continue;
-    if (keeper->node == self.node) kept_[info.id] = KeptOf(info);
-    if (used_keepers.contains(keeper->node)) {
-      Use(info, *keeper);
-      served.insert(info.service);
+    const Peer* allocator = KeeperAmong(allocators[info.data_centre], info.id);
+    if (allocator == nullptr) continue;
+    if (allocator->node == self.node) kept_[info.id] = ToManagedBackend(info);
+    if (chosen_nodes.contains(allocator->node)) {
+      AddUsed(info, *allocator);
+      served_services.insert(info.service);
     } else {
-      unused.emplace_back(&info, keeper);
+      not_chosen.emplace_back(&info, allocator);
     }
   }
   // A service with few backend servers may have none among those chosen so far.
-  for (const auto& [info, keeper] : unused) {
-    if (!served.contains(info->service)) Use(*info, *keeper);
+  for (const auto& [info, allocator] : not_chosen) {
+    if (!served_services.contains(info->service)) AddUsed(*info, *allocator);
   }
   return true;
 }
--- a/src/peers/peer_table.cc
+++ b/src/peers/peer_table.cc
@@ -8,13 +8,13 @@
 
 bool PeerTable::Named(const Peer& peer) {
   if (peer.node == self_.node) return false;
-  const auto [at, fresh] = others_.try_emplace(peer.node, Entry{peer});
+  const auto [at, inserted] = others_.try_emplace(peer.node, PeerState{peer});
   // A later process under the same name: the state of the earlier one no longer holds.
   const bool later = peer.incarnation > at->second.peer.incarnation;
-  if (later) at->second = Entry{peer};
+  if (later) at->second = PeerState{peer};
   at->second.listed = true;
-  if (fresh || later) ++generation_;
-  return fresh || later;
+  if (inserted || later) ++generation_;
+  return inserted || later;
 }
 
 void PeerTable::Unlisted(const NodeId& node) {
@@ -28,16 +28,16 @@
 
 bool PeerTable::Heard(const Peer& peer, Time now) {
   if (peer.node == self_.node) return false;
-  const auto [at, fresh] = others_.try_emplace(peer.node, Entry{peer});
-  Entry& entry = at->second;
-  if (peer.incarnation < entry.peer.incarnation) return false;  // a delayed datagram
-  if (peer.incarnation > entry.peer.incarnation) entry = Entry{peer};
-  const bool first = !entry.heard_at || entry.suspected;
-  if (first || entry.peer != peer) ++generation_;
-  entry.peer = peer;
-  entry.heard_at = now;
-  entry.asked_at.reset();
-  entry.suspected = false;
+  const auto [at, inserted] = others_.try_emplace(peer.node, PeerState{peer});
+  PeerState& state = at->second;
+  if (peer.incarnation < state.peer.incarnation) return false;  // a delayed datagram
+  if (peer.incarnation > state.peer.incarnation) state = PeerState{peer};
+  const bool first = !state.heard_at || state.suspected;
+  if (first || state.peer != peer) ++generation_;
+  state.peer = peer;
+  state.heard_at = now;
+  state.probed_at.reset();
+  state.suspected = false;
   return first;
 }
 
@@ -70,9 +70,9 @@
   if (node == self_.node) return true;
   const auto found = others_.find(node);
   if (found == others_.end() || found->second.suspected) return false;
-  const Entry& entry = found->second;
-  if (entry.listed) return true;
-  return entry.heard_at && now - *entry.heard_at < kSilence;
+  const PeerState& state = found->second;
+  if (state.listed) return true;
+  return state.heard_at && now - *state.heard_at < kSilence;
 }
 
 std::uint64_t PeerTable::Generation(Time now) {
@@ -98,99 +98,103 @@
 
 std::vector<Peer> PeerTable::Live(Time now) const {
   std::vector<Peer> peers{self_};
-  for (const auto& [node, entry] : others_) {
-    if (IsLive(node, now)) peers.push_back(entry.peer);
+  for (const auto& [node, state] : others_) {
+    if (IsLive(node, now)) peers.push_back(state.peer);
   }
   return peers;
 }
 
-void PeerTable::ForgetGone(Time now) {
+void PeerTable::EvictGone(Time now) {
   std::erase_if(others_, [now](const auto& each) {
-    const Entry& entry = each.second;
-    const Time last = std::max(entry.heard_at.value_or(Time{}), entry.asked_at.value_or(Time{}));
-    return entry.gone() && now - last >= kForgotten;
+    const PeerState& state = each.second;
+    const Time last = std::max(state.heard_at.value_or(Time{}), state.probed_at.value_or(Time{}));
+    return state.gone() && now - last >= kEvictAfter;
   });
 }
 
-std::vector<PeerTable::Entry*> PeerTable::Ring() {
-  const auto place = [](const NodeId& node) { return RendezvousWeight("ring", node.value); };
-  const std::uint64_t here = place(self_.node);
-  std::vector<std::pair<std::uint64_t, Entry*>> ring;
+std::vector<PeerTable::PeerState*> PeerTable::HashRing() {
+  const auto ring_position = [](const NodeId& node) {
+    return RendezvousWeight("ring", node.value);
+  };
+  const std::uint64_t self_position = ring_position(self_.node);
+  std::vector<std::pair<std::uint64_t, PeerState*>> ring;
   ring.reserve(others_.size());
-  for (auto& [node, entry] : others_) {
-    if (!entry.gone()) ring.emplace_back(place(node) - here, &entry);
+  for (auto& [node, state] : others_) {
+    if (!state.gone()) ring.emplace_back(ring_position(node) - self_position, &state);
   }
   std::sort(ring.begin(), ring.end());
-  std::vector<Entry*> entries;
+  std::vector<PeerState*> entries;
   entries.reserve(ring.size());
-  for (const auto& [distance, entry] : ring) entries.push_back(entry);
+  for (const auto& [distance, state] : ring) entries.push_back(state);
   return entries;
 }
 
 // Suspected peers don't count against the limits: otherwise they would displace the peers after
 // them in the ring, and after the loss of a data centre most of its entries would not be monitored.
-std::vector<PeerTable::Entry*> PeerTable::Watched(const std::vector<Entry*>& ring) const {
-  if (ring.size() <= kWatchAll) return ring;
-  std::vector<Entry*> watched;
-  std::size_t anywhere = 0;
-  std::size_t near = 0;
-  for (Entry* entry : ring) {
-    if (anywhere == kWatchedAnywhere && near == kWatchedNear) break;
-    if (entry->suspected) continue;
-    if (anywhere < kWatchedAnywhere) {
-      ++anywhere;
-    } else if (near < kWatchedNear && entry->peer.data_centre == self_.data_centre) {
-      ++near;
+std::vector<PeerTable::PeerState*> PeerTable::MonitoredPeers(
+    const std::vector<PeerState*>& ring) const {
+  if (ring.size() <= kMonitorAllLimit) return ring;
+  std::vector<PeerState*> monitored;
+  std::size_t any_count = 0;
+  std::size_t local_count = 0;
+  for (PeerState* state : ring) {
+    if (any_count == kMonitoredAnywhere && local_count == kMonitoredLocal) break;
+    if (state->suspected) continue;
+    if (any_count < kMonitoredAnywhere) {
+      ++any_count;
+    } else if (local_count < kMonitoredLocal && state->peer.data_centre == self_.data_centre) {
+      ++local_count;
     } else {
       continue;
     }
-    watched.push_back(entry);
+    monitored.push_back(state);
   }
-  return watched;
+  return monitored;
 }
 
-void PeerTable::Look(Entry& entry, Watch& watch, Time now) {
-  if (entry.heard_at && now - *entry.heard_at < kPresence) return;
-  if (!entry.asked_at) entry.asked_at = now;
-  watch.to_ask.push_back(entry.peer);
+void PeerTable::CheckPeer(PeerState& state, Watch& watch, Time now) {
+  if (state.heard_at && now - *state.heard_at < kPresence) return;
+  if (!state.probed_at) state.probed_at = now;
+  watch.to_ask.push_back(state.peer);
   const Time since =
-      std::max(entry.heard_at.value_or(*entry.asked_at), *entry.asked_at - kPresence);
-  if (entry.suspected || now - since < kSilence) return;
-  watch.silent.push_back(entry.peer);
+      std::max(state.heard_at.value_or(*state.probed_at), *state.probed_at - kPresence);
+  if (state.suspected || now - since < kSilence) return;
+  watch.silent.push_back(state.peer);
 }
 
 PeerTable::Watch PeerTable::WatchOthers(Time now) {
-  ForgetGone(now);
+  EvictGone(now);
   Watch watch;
-  const std::vector<Entry*> ring = Ring();
-  for (Entry* entry : Watched(ring)) Look(*entry, watch, now);
+  const std::vector<PeerState*> ring = HashRing();
+  for (PeerState* state : MonitoredPeers(ring)) CheckPeer(*state, watch, now);
   for (const Peer& peer : watch.silent) Suspect(peer.node);
-  AskInTurn(ring, watch, now);
+  ProbeInTurn(ring, watch, now);
   return watch;
 }
 
 bool PeerTable::HearsMost(Time now) {
-  const std::vector<Entry*> watched = Watched(Ring());
-  const auto heard = std::count_if(watched.begin(), watched.end(), [now](const Entry* entry) {
-    return entry->heard_at && now - *entry->heard_at < kSilence;
-  });
-  return watched.empty() || 2 * static_cast<std::size_t>(heard) > watched.size();
+  const std::vector<PeerState*> monitored = MonitoredPeers(HashRing());
+  const auto heard =
+      std::count_if(monitored.begin(), monitored.end(), [now](const PeerState* state) {
+        return state->heard_at && now - *state->heard_at < kSilence;
+      });
+  return monitored.empty() || 2 * static_cast<std::size_t>(heard) > monitored.size();
 }
 
 // A peer is also suspected when it fails to respond as an allocator, by entries that don't monitor
 // it. Without a probe it would stay suspected for ever.
-void PeerTable::AskInTurn(const std::vector<Entry*>& ring, Watch& watch, Time now) {
-  std::vector<const Entry*> in_doubt;
-  for (const Entry* entry : ring) {
-    const bool joining = entry->peer.joining && IsLive(entry->peer.node, now);
-    const auto is_same = [entry](const Peer& peer) { return peer.node == entry->peer.node; };
-    if (!entry->suspected && !joining) continue;
+void PeerTable::ProbeInTurn(const std::vector<PeerState*>& ring, Watch& watch, Time now) {
+  std::vector<const PeerState*> candidates;
+  for (const PeerState* state : ring) {
+    const bool joining = state->peer.joining && IsLive(state->peer.node, now);
+    const auto is_same = [state](const Peer& peer) { return peer.node == state->peer.node; };
+    if (!state->suspected && !joining) continue;
     if (std::any_of(watch.to_ask.begin(), watch.to_ask.end(), is_same)) continue;
-    in_doubt.push_back(entry);
+    candidates.push_back(state);
   }
-  const std::size_t count = std::min(kAskedInTurn, in_doubt.size());
+  const std::size_t count = std::min(kMaxExtraProbes, candidates.size());
   for (std::size_t i = 0; i < count; ++i) {
-    watch.to_ask.push_back(in_doubt[asked_in_turn_++ % in_doubt.size()]->peer);
+    watch.to_ask.push_back(candidates[extra_probes_++ % candidates.size()]->peer);
   }
 }
 
@@ -199,21 +203,21 @@
   std::erase_if(peers, [](const Peer& peer) { return peer.leaving || peer.joining; });
   double largest = 0;
   for (const Peer& peer : peers) largest = std::max(largest, peer.capacity);
-  std::erase_if(peers,
-                [largest](const Peer& peer) { return peer.capacity < largest * kLeastCapacity; });
+  std::erase_if(
+      peers, [largest](const Peer& peer) { return peer.capacity < largest * kMinCapacityShare; });
   return peers;
 }
 
 namespace {
 
-void KeepOnly(std::vector<Peer>& peers, const DataCentre& data_centre) {
+void KeepDataCentre(std::vector<Peer>& peers, const DataCentre& data_centre) {
   const auto is_there = [&](const Peer& peer) { return peer.data_centre == data_centre; };
   if (std::none_of(peers.begin(), peers.end(), is_there)) return;
   std::erase_if(peers, [&](const Peer& peer) { return !is_there(peer); });
 }
 
 // Sorts by descending rendezvous weight.
-void Rank(std::vector<Peer>& peers, std::string_view key) {
+void SortByWeight(std::vector<Peer>& peers, std::string_view key) {
   std::sort(peers.begin(), peers.end(), [key](const Peer& a, const Peer& b) {
     return RendezvousWeight(key, a.node.value) > RendezvousWeight(key, b.node.value);
   });
@@ -223,14 +227,14 @@
 
 std::vector<Peer> PeerTable::RankedFor(std::string_view key, Time now) const {
   std::vector<Peer> peers = Capable(now);
-  Rank(peers, key);
+  SortByWeight(peers, key);
   return peers;
 }
 
 std::optional<Peer> PeerTable::OwnerOf(std::string_view key,
                                        const std::optional<DataCentre>& prefer, Time now) const {
   std::vector<Peer> peers = RankedFor(key, now);
-  if (prefer) KeepOnly(peers, *prefer);
+  if (prefer) KeepDataCentre(peers, *prefer);
   if (peers.empty()) return std::nullopt;
   return peers.front();
 }
@@ -238,19 +242,19 @@
 std::vector<Peer> PeerTable::KeepersOf(const DataCentre& data_centre, std::size_t backends,
                                        Time now) const {
   std::vector<Peer> peers = Capable(now);
-  KeepOnly(peers, data_centre);
-  Rank(peers, data_centre.value);
-  const std::size_t wanted = (backends + kBackendsPerKeeper - 1) / kBackendsPerKeeper;
+  KeepDataCentre(peers, data_centre);
+  SortByWeight(peers, data_centre.value);
+  const std::size_t wanted = (backends + kBackendsPerAllocator - 1) / kBackendsPerAllocator;
   if (peers.size() > std::max<std::size_t>(wanted, 1)) {
     peers.resize(std::max<std::size_t>(wanted, 1));
   }
   return peers;
 }
 
-const Peer* KeeperAmong(std::span<const Peer> keepers, const BackendId& backend) {
+const Peer* KeeperAmong(std::span<const Peer> allocators, const BackendId& backend) {
   const Peer* best = nullptr;
   std::uint64_t best_weight = 0;
-  for (const Peer& peer : keepers) {
+  for (const Peer& peer : allocators) {
     const std::uint64_t weight = RendezvousWeight(backend.value, peer.node.value);
     if (best != nullptr && weight <= best_weight) continue;
     best = &peer;
--- a/src/quarantine/crash_rows.cc
+++ b/src/quarantine/crash_rows.cc
@@ -14,7 +14,7 @@
 constexpr std::size_t kFingerprintDigits = 32;
 constexpr char kSeparator = '/';
 
-Error Refused(const std::string& why) {
+Error InvalidRow(const std::string& why) {
   return Error{ErrorKind::kBadRequest, why.substr(0, fields::kMaxReasonBytes)};
 }
 
@@ -46,14 +46,14 @@
   const std::size_t first = key.find(kSeparator);
   const std::size_t second = key.find(kSeparator, first + 1);
   if (first == std::string_view::npos || second == std::string_view::npos) {
-    return Refused("the key does not have three parts");
+    return InvalidRow("the key does not have three parts");
   }
   const std::string_view request = key.substr(0, first);
   const auto incarnation = ParseNumber(key.substr(first + 1, second - first - 1));
   const std::string_view backend = key.substr(second + 1);
-  if (!IsFingerprint(request)) return Refused("the key does not begin with a fingerprint");
-  if (!incarnation) return Refused("the incarnation in the key is not a number");
-  if (backend.empty()) return Refused("the key names no backend server");
+  if (!IsFingerprint(request)) return InvalidRow("the key does not begin with a fingerprint");
+  if (!incarnation) return InvalidRow("the incarnation in the key is not a number");
+  if (backend.empty()) return InvalidRow("the key names no backend server");
   return Crash{{std::string(request)}, {std::string(backend)}, {*incarnation}};
 }
 
@@ -64,8 +64,8 @@
     const auto chain = fields::CountOf<std::uint32_t>(fields::Need(Json::parse(row.value), "chain"),
                                                       "chain", 1, CrashReport::kMaxChain);
     return CrashReport{ValueOf(crash), static_cast<int>(chain)};
-  } catch (const std::exception& mistake) {
-    return Refused(mistake.what());
+  } catch (const std::exception& error) {
+    return InvalidRow(error.what());
   }
 }
 
--- a/src/quarantine/quarantine.cc
+++ b/src/quarantine/quarantine.cc
@@ -6,7 +6,7 @@
 
 namespace figmill {
 
-const Quarantine::Seen& Quarantine::Longest(const Suspect& suspect) {
+const Quarantine::SeenCrash& Quarantine::LongestChain(const SuspectRequest& suspect) {
   return std::max_element(suspect.crashes.begin(), suspect.crashes.end(),
                           [](const auto& a, const auto& b) {
                             return std::pair(a.second.chain, a.second.at) <
@@ -15,54 +15,54 @@
       ->second;
 }
 
-bool Quarantine::IsQuarantined(const Suspect& suspect) {
-  return !suspect.crashes.empty() && Longest(suspect).chain >= kOnline.chain_limit;
+bool Quarantine::IsQuarantined(const SuspectRequest& suspect) {
+  return !suspect.crashes.empty() && LongestChain(suspect).chain >= kOnline.min_chain;
 }
 
 void Quarantine::Add(const CrashReport& report, Time seen_at) {
-  Suspect& suspect = suspects_[report.crash.request];
+  SuspectRequest& suspect = suspects_[report.crash.request];
   const bool before = IsQuarantined(suspect);
-  const auto [found, fresh] =
-      suspect.crashes.try_emplace(report.crash, Seen{report.chain, seen_at});
-  if (fresh) ++reports_;
+  const auto [found, inserted] =
+      suspect.crashes.try_emplace(report.crash, SeenCrash{report.chain, seen_at});
+  if (inserted) ++reports_;
   // A duplicate report keeps the time of the first one, unless its chain is longer.
-  if (!fresh && report.chain > found->second.chain) found->second = {report.chain, seen_at};
+  if (!inserted && report.chain > found->second.chain) found->second = {report.chain, seen_at};
   if (!before && IsQuarantined(suspect)) ++quarantined_;
 }
 
 void Quarantine::Remove(const Crash& crash) {
   const auto found = suspects_.find(crash.request);
   if (found == suspects_.end()) return;
-  Suspect& suspect = found->second;
+  SuspectRequest& suspect = found->second;
   const bool before = IsQuarantined(suspect);
   reports_ -= suspect.crashes.erase(crash);
   if (before && !IsQuarantined(suspect)) --quarantined_;
   if (suspect.crashes.empty()) suspects_.erase(found);
 }
 
-int Quarantine::ChainOf(const RequestFingerprint& request, Time begun_at) const {
+int Quarantine::ChainOf(const RequestFingerprint& request, Time started_at) const {
   const auto found = suspects_.find(request);
   if (found == suspects_.end()) return 1;
   int before = 0;
   for (const auto& [crash, seen] : found->second.crashes) {
-    if (seen.at <= begun_at) before = std::max(before, seen.chain);
+    if (seen.at <= started_at) before = std::max(before, seen.chain);
   }
   return std::min(before + 1, CrashReport::kMaxChain);
 }
 
 int Quarantine::ChainOf(const RequestFingerprint& request) const {
   const auto found = suspects_.find(request);
-  return found == suspects_.end() ? 0 : Longest(found->second).chain;
+  return found == suspects_.end() ? 0 : LongestChain(found->second).chain;
 }
 
 // Spreads the ends of a quarantine over the entries. Otherwise all of them would probe with the
 // next attempts that arrive, and lose a backend server each.
-std::optional<Duration> Quarantine::PeriodOf(const RequestFingerprint& request,
-                                             const Policy& policy, int chain) const {
+std::optional<Duration> Quarantine::QuarantinePeriod(const RequestFingerprint& request,
+                                                     const Policy& policy, int chain) const {
   if (chain >= CrashReport::kMaxChain) return std::nullopt;
   const auto weight = static_cast<double>(RendezvousWeight(request.value, self_.value));
   const double spread = weight / static_cast<double>(std::numeric_limits<std::uint64_t>::max());
-  const Duration period = policy.first_period * (1 << (chain - policy.chain_limit));
+  const Duration period = policy.initial_period * (1 << (chain - policy.min_chain));
   return period + std::chrono::duration_cast<Duration>(period * spread);
 }
 
@@ -71,11 +71,11 @@
   const auto found = suspects_.find(request);
   if (found == suspects_.end()) return std::nullopt;
   const Policy& policy = work == WorkClass::kBatch ? kBatch : kOnline;
-  const Seen& last = Longest(found->second);
-  if (last.chain < policy.chain_limit) return std::nullopt;
-  const std::optional<Duration> period = PeriodOf(request, policy, last.chain);
-  if (!period) return kLongestWait;
-  const Time until = std::max(last.at + *period, found->second.probed_until);
+  const SeenCrash& last = LongestChain(found->second);
+  if (last.chain < policy.min_chain) return std::nullopt;
+  const std::optional<Duration> period = QuarantinePeriod(request, policy, last.chain);
+  if (!period) return kMaxRetryAfter;
+  const Time until = std::max(last.at + *period, found->second.probe_until);
   if (now >= until) return std::nullopt;
   return until - now;
 }
@@ -83,7 +83,7 @@
 void Quarantine::Began(const RequestFingerprint& request, Time now) {
   const auto found = suspects_.find(request);
   if (found == suspects_.end() || !IsQuarantined(found->second)) return;
-  found->second.probed_until = now + kProbeTimeout;
+  found->second.probe_until = now + kProbeTimeout;
 }
 
 std::vector<Crash> Quarantine::Completed(const RequestFingerprint& request) {
--- a/src/quota/quota_client.cc
+++ b/src/quota/quota_client.cc
@@ -7,8 +7,8 @@
 namespace figmill {
 namespace {
 
-// Time constant of the arrival rate: arrivals are weighted with exp(-age / kArrivalSeconds).
-constexpr double kArrivalSeconds = 1.0;
+// Time constant of the arrival rate: arrivals are weighted with exp(-age / kArrivalTimeConstant).
+constexpr double kArrivalTimeConstant = 1.0;
 constexpr double kMicrosPerSecond = 1e6;
 
 double SecondsBetween(Time a, Time b) {
@@ -20,11 +20,11 @@
 QuotaClient::TeamState* QuotaClient::Track(const Team& team, const Entries& entries, Time now) {
   auto found = teams_.find(team.name);
   if (found == teams_.end()) {
-    if (teams_.size() >= kMaxTeams) Forget(now);
+    if (teams_.size() >= kMaxTeams) EvictIdle(now);
     if (teams_.size() >= kMaxTeams) return nullptr;
     found = teams_.emplace(team.name, TeamState{}).first;
     found->second.name = team.name;
-    found->second.own_share = CreditBucket(entries.free ? 1 : 0, now);
+    found->second.fallback_share = CreditBucket(entries.may_admit_alone ? 1 : 0, now);
   }
   TeamState& state = found->second;
   state.per_second = team.requests_per_second;
@@ -40,9 +40,9 @@
 }
 
 void QuotaClient::CountArrival(TeamState& team, Time now) const {
-  const double fade = std::exp(-SecondsBetween(team.arrivals_at, now) / kArrivalSeconds);
-  team.arrivals = team.arrivals * fade + 1 / kArrivalSeconds;
-  team.arrivals_at = now;
+  const double decay = std::exp(-SecondsBetween(team.last_arrival_at, now) / kArrivalTimeConstant);
+  team.arrival_rate = team.arrival_rate * decay + 1 / kArrivalTimeConstant;
+  team.last_arrival_at = now;
 }
 
 quota::Verdict QuotaClient::Admit(const Team& limits, const Entries& entries,
@@ -50,7 +50,7 @@
   if (!limits.limited()) return quota::Admitted{now};
   TeamState* team = Track(limits, entries, now);
   if (team == nullptr) {
-    return Error{ErrorKind::kNoBackend, "too many teams at once", Ran::kNo, kSilentPause};
+    return Error{ErrorKind::kNoBackend, "too many teams at once", Ran::kNo, kOwnerProbeInterval};
   }
   CountArrival(*team, now);
   DropExpired(*team, now);
@@ -58,36 +58,37 @@
     --team->credits;
     return quota::Admitted{now};
   }
-  if (now < team->refused_until) return Refused(*team, request.time_left, now);
-  if (team->silent_since) {
-    if (now - team->asked_at >= kSilentPause) SendAsk(*team, now);
-    Result<quota::Admitted> verdict = Silent(*team, now);
+  if (now < team->refused_until) return RateLimitError(*team, request.time_left, now);
+  if (team->unresponsive_since) {
+    if (now - team->last_sent_at >= kOwnerProbeInterval) SendRequest(*team, now);
+    Result<quota::Admitted> verdict = ChargeFallbackShare(*team, now);
     if (IsOk(verdict)) return ValueOf(verdict);
     return ErrorOf(verdict);
   }
-  if (team->waiting.size() >= kMaxWaiting) return Refused(*team, request.time_left, now);
+  if (team->waiting.size() >= kMaxWaiting) return RateLimitError(*team, request.time_left, now);
   team->waiting.push_back({request, now});
   ++waiting_;
-  if (!IsAsking(*team, now)) SendAsk(*team, now);
+  if (!HasPendingRequest(*team, now)) SendRequest(*team, now);
   return quota::Waits{};
 }
 
-void QuotaClient::SendAsk(TeamState& team, Time now) {
+void QuotaClient::SendRequest(TeamState& team, Time now) {
   DropExpired(team, now);
   // Whole credits for the requests that are expected while the credits are valid.
-  const double life = static_cast<double>(bounds_.CreditLife().count()) / kMicrosPerSecond;
-  const auto ahead = static_cast<std::uint32_t>(team.arrivals * life);
+  const double lifetime = static_cast<double>(bounds_.CreditLifetime().count()) / kMicrosPerSecond;
+  const auto ahead = static_cast<std::uint32_t>(team.arrival_rate * lifetime);
   const auto wanted = static_cast<std::uint32_t>(team.waiting.size()) + ahead;
-  const std::uint64_t number = ++numbers_;
-  asks_.push_back({number, team.name, std::max(1U, wanted), std::exchange(team.returned, 0)});
-  team.open.push_back({number, now});
-  team.asked_at = now;
+  const std::uint64_t number = ++last_number_;
+  requests_.push_back({number, team.name, std::max(1U, wanted), std::exchange(team.returned, 0)});
+  team.in_flight.push_back({number, now});
+  team.last_sent_at = now;
 }
 
-bool QuotaClient::IsAsking(TeamState& team, Time now) {
-  std::erase_if(team.open, [now](const Ask& ask) { return now - ask.at >= kOwnerPatience; });
-  return std::any_of(team.open.begin(), team.open.end(),
-                     [now](const Ask& ask) { return now - ask.at < kAskAgain; });
+bool QuotaClient::HasPendingRequest(TeamState& team, Time now) {
+  std::erase_if(team.in_flight,
+                [now](const SentRequest& ask) { return now - ask.at >= kOwnerTimeout; });
+  return std::any_of(team.in_flight.begin(), team.in_flight.end(),
+                     [now](const SentRequest& ask) { return now - ask.at < kAskAgain; });
 }
 
 void QuotaClient::GiveBack(const TeamId& name, Time charged_at, Time now) {
@@ -95,7 +96,7 @@
   if (found == teams_.end()) return;
   // A request that waited longer is not refunded: so many may have waited that the next window
   // would contain them in addition to all requests that are allowed in it.
-  if (now >= charged_at + bounds_.CreditLife()) return;
+  if (now >= charged_at + bounds_.CreditLifetime()) return;
   ++found->second.returned;
 }
 
@@ -103,19 +104,20 @@
   const auto found = teams_.find(grant.team);
   if (found == teams_.end()) return;
   TeamState& team = found->second;
-  const auto ask = std::find_if(team.open.begin(), team.open.end(),
-                                [&grant](const Ask& each) { return each.number == grant.number; });
-  if (ask == team.open.end()) return;
-  const Time asked_at = ask->at;
-  team.open.erase(ask);
+  const auto ask =
+      std::find_if(team.in_flight.begin(), team.in_flight.end(),
+                   [&grant](const SentRequest& each) { return each.number == grant.number; });
+  if (ask == team.in_flight.end()) return;
+  const Time sent_at = ask->at;
+  team.in_flight.erase(ask);
   if (!grant.owned) {
-    if (!team.silent_since) team.silent_since = now;
-    while (!team.waiting.empty()) Decide(team, Silent(team, now));
+    if (!team.unresponsive_since) team.unresponsive_since = now;
+    while (!team.waiting.empty()) DecideFirst(team, ChargeFallbackShare(team, now));
     return;
   }
-  team.silent_since.reset();
+  team.unresponsive_since.reset();
   DropExpired(team, now);
-  const Time until = asked_at + bounds_.CreditLife();
+  const Time until = sent_at + bounds_.CreditLifetime();
   if (now < until) {
     team.credits_until = team.credits > 0 ? std::min(team.credits_until, until) : until;
     team.credits += grant.credits;
@@ -124,72 +126,72 @@
   }
   while (team.credits > 0 && !team.waiting.empty()) {
     --team.credits;
-    Decide(team, quota::Admitted{now});
+    DecideFirst(team, quota::Admitted{now});
   }
-  if (grant.next_after.count() > 0) {
-    team.every = grant.every;
-    team.next_credit = now + grant.next_after;
-    team.refused_until = now + std::min(kRefusalLife, grant.next_after);
+  if (grant.time_to_next.count() > 0) {
+    team.credit_interval = grant.credit_interval;
+    team.next_credit = now + grant.time_to_next;
+    team.refused_until = now + std::min(kRefusalLifetime, grant.time_to_next);
     while (!team.waiting.empty()) {
-      Decide(team, Refused(team, team.waiting.front().request.time_left, now));
+      DecideFirst(team, RateLimitError(team, team.waiting.front().request.time_left, now));
     }
   }
-  if (!team.waiting.empty() && !IsAsking(team, now)) SendAsk(team, now);
+  if (!team.waiting.empty() && !HasPendingRequest(team, now)) SendRequest(team, now);
 }
 
 void QuotaClient::OnOwnerChanged(const TeamId& name) {
   const auto found = teams_.find(name);
   if (found == teams_.end()) return;
-  found->second.silent_since.reset();
-  found->second.open.clear();
-  found->second.asked_at = {};
+  found->second.unresponsive_since.reset();
+  found->second.in_flight.clear();
+  found->second.last_sent_at = {};
 }
 
 void QuotaClient::OnTime(Time now) {
   for (auto& [name, team] : teams_) {
     if (team.waiting.empty()) continue;
-    if (now - team.waiting.front().since >= kOwnerPatience) {
-      if (!team.silent_since) team.silent_since = now;
-      team.open.clear();
-      while (!team.waiting.empty()) Decide(team, Silent(team, now));
+    if (now - team.waiting.front().since >= kOwnerTimeout) {
+      if (!team.unresponsive_since) team.unresponsive_since = now;
+      team.in_flight.clear();
+      while (!team.waiting.empty()) DecideFirst(team, ChargeFallbackShare(team, now));
       continue;
     }
-    if (!IsAsking(team, now)) SendAsk(team, now);
+    if (!HasPendingRequest(team, now)) SendRequest(team, now);
   }
 }
 
 // Charges this entry's share of the limit, which is divided evenly over all entries.
-Result<quota::Admitted> QuotaClient::Silent(TeamState& team, Time now) const {
+Result<quota::Admitted> QuotaClient::ChargeFallbackShare(TeamState& team, Time now) const {
   const auto entries = static_cast<double>(std::max<std::size_t>(1, team.entries.count));
-  const double part = kSilentShare / entries;
-  const double least = team.entries.free ? 1 : 0;
-  team.own_share.Refill(team.per_second * part,
-                        std::max(least, (team.per_second + team.burst) * part), now);
-  if (team.own_share.Take(1) == 1) return quota::Admitted{now};
+  const double part = kFallbackShare / entries;
+  const double least = team.entries.may_admit_alone ? 1 : 0;
+  team.fallback_share.Refill(team.per_second * part,
+                             std::max(least, (team.per_second + team.burst) * part), now);
+  if (team.fallback_share.TakeUpTo(1) == 1) return quota::Admitted{now};
   return Error{ErrorKind::kNoBackend,
                "the quota of team '" + team.name.value + "' is unknown: its owner is unavailable",
-               Ran::kNo, kSilentPause};
+               Ran::kNo, kOwnerProbeInterval};
 }
 
 // A credit that becomes available goes to any of the entries; this one gets one in as many as there
 // are entries.
-Error QuotaClient::Refused(TeamState& team, Duration time_left, Time now) {
+Error QuotaClient::RateLimitError(TeamState& team, Duration time_left, Time now) {
   const auto entries = static_cast<Duration::rep>(std::max<std::size_t>(1, team.entries.count));
   const RetryScheduler::RefusedRequest refused{
-      time_left, std::max(team.next_credit - now, Duration{0}), team.every * entries};
+      time_left, std::max(team.next_credit - now, Duration{0}), team.credit_interval * entries};
   return Error{ErrorKind::kTeamLimit, "team '" + team.name.value + "' has used up its rate",
-               Ran::kNo, team.returns.ScheduleRetry(refused, now)};
+               Ran::kNo, team.retries.ScheduleRetry(refused, now)};
 }
 
-void QuotaClient::Decide(TeamState& team, Result<quota::Admitted> verdict) {
+void QuotaClient::DecideFirst(TeamState& team, Result<quota::Admitted> verdict) {
   decisions_.push_back({team.waiting.front().request.ticket, std::move(verdict)});
   team.waiting.pop_front();
   --waiting_;
 }
 
-void QuotaClient::Forget(Time now) {
+void QuotaClient::EvictIdle(Time now) {
   std::erase_if(teams_, [now](const auto& entry) {
-    return entry.second.waiting.empty() && now > entry.second.used_at + kForgetAfter;
+    return entry.second.waiting.empty() && now > entry.second.used_at + kEvictAfter;
   });
 }
 
--- a/src/quota/quota_owner.cc
+++ b/src/quota/quota_owner.cc
@@ -8,17 +8,17 @@
 
 constexpr double kMicrosPerSecond = 1e6;
 // A team with a limit may make at least one request.
-constexpr double kLeastCapacity = 1;
+constexpr double kMinCapacity = 1;
 
 Duration SecondsOf(double seconds) {
-  constexpr double kLongest = 60;
+  constexpr double kMaxSeconds = 60;
   return Duration(
-      static_cast<Duration::rep>(std::clamp(seconds, 0.0, kLongest) * kMicrosPerSecond));
+      static_cast<Duration::rep>(std::clamp(seconds, 0.0, kMaxSeconds) * kMicrosPerSecond));
 }
 
 }  // namespace
 
-Duration QuotaBounds::CreditLife() const {
+Duration QuotaBounds::CreditLifetime() const {
   constexpr double kShare = 0.5;
   return std::chrono::duration_cast<Duration>(window * excess * kShare);
 }
@@ -29,25 +29,25 @@
   at_ = std::max(at_, now);
 }
 
-std::uint32_t CreditBucket::Take(std::uint32_t most) {
+std::uint32_t CreditBucket::TakeUpTo(std::uint32_t max_credits) {
   const auto whole = static_cast<std::uint32_t>(std::max(0.0, std::floor(level_)));
-  const std::uint32_t taken = std::min(whole, most);
+  const std::uint32_t taken = std::min(whole, max_credits);
   level_ -= taken;
   return taken;
 }
 
-Duration CreditBucket::UntilNext(double per_second) const {
+Duration CreditBucket::TimeToNextCredit(double per_second) const {
   return SecondsOf((1 - level_) / per_second);
 }
 
 void QuotaOwner::Restart(Time now) {
   buckets_.clear();
-  changed_at_ = now;
+  may_own_since_ = now;
 }
 
 void QuotaOwner::OnEntriesChanged(const std::function<bool(const TeamId&)>& owns, Time now) {
   std::erase_if(buckets_, [&owns](const auto& entry) { return !owns(entry.first); });
-  changed_at_ = now;
+  may_own_since_ = now;
 }
 
 QuotaGrant QuotaOwner::Grant(const QuotaAsk& ask, const Team& team, Time now) {
@@ -57,16 +57,16 @@
   auto found = buckets_.find(ask.team);
   if (found == buckets_.end()) {
     if (buckets_.size() >= kMaxTeams) return grant;
-    found = buckets_.emplace(ask.team, CreditBucket(kFirstLevel, changed_at_)).first;
+    found = buckets_.emplace(ask.team, CreditBucket(kInitialCredits, may_own_since_)).first;
   }
   grant.owned = true;
   CreditBucket& bucket = found->second;
   bucket.Return(ask.returned);
-  bucket.Refill(team.requests_per_second, std::max(team.burst, kLeastCapacity), now);
-  grant.credits = bucket.Take(ask.wanted);
+  bucket.Refill(team.requests_per_second, std::max(team.burst, kMinCapacity), now);
+  grant.credits = bucket.TakeUpTo(ask.wanted);
   if (grant.credits < ask.wanted) {
-    grant.next_after = bucket.UntilNext(team.requests_per_second);
-    grant.every = SecondsOf(1 / team.requests_per_second);
+    grant.time_to_next = bucket.TimeToNextCredit(team.requests_per_second);
+    grant.credit_interval = SecondsOf(1 / team.requests_per_second);
   }
   return grant;
 }
--- a/src/teams/team_directory.cc
+++ b/src/teams/team_directory.cc
@@ -11,23 +11,22 @@
 namespace figmill {
 namespace {
 
-Error BadTeam(const Team& team, std::string_view why) {
+Error InvalidTeam(const Team& team, std::string_view why) {
   return Error{ErrorKind::kBadRequest, "team '" + team.name.value + "': " + std::string(why)};
 }
 
-bool IsLimit(double limit) {
+bool IsValidLimit(double limit) {
   return std::isfinite(limit) && limit >= 0;
 }
 
 // The name is sent as the value of a header.
 bool IsPrintable(std::string_view name) {
-  return std::none_of(name.begin(), name.end(), [](char sign) {
-    return std::iscntrl(static_cast<unsigned char>(sign)) != 0;
-  });
+  return std::none_of(name.begin(), name.end(),
+                      [](char c) { return std::iscntrl(static_cast<unsigned char>(c)) != 0; });
 }
 
 // Compares in constant time, so that the time doesn't show where two keys differ first.
-bool SameKey(std::string_view a, std::string_view b) {
+bool KeysEqual(std::string_view a, std::string_view b) {
   if (a.size() != b.size()) return false;
   unsigned difference = 0;
   for (std::size_t i = 0; i < a.size(); ++i) {
@@ -42,15 +41,16 @@
   std::set<TeamId> names;
   std::set<std::string_view> keys;
   for (const Team& team : teams) {
-    if (team.name.empty()) return BadTeam(team, "has no name");
-    if (!IsPrintable(team.name.value)) return BadTeam(team, "has a name with control characters");
-    if (!names.insert(team.name).second) return BadTeam(team, "is listed twice");
-    if (!IsLimit(team.requests_per_second) || !IsLimit(team.burst)) {
-      return BadTeam(team, "has a limit that is negative or not finite");
+    if (team.name.empty()) return InvalidTeam(team, "has no name");
+    if (!IsPrintable(team.name.value))
+      return InvalidTeam(team, "has a name with control characters");
+    if (!names.insert(team.name).second) return InvalidTeam(team, "is listed twice");
+    if (!IsValidLimit(team.requests_per_second) || !IsValidLimit(team.burst)) {
+      return InvalidTeam(team, "has a limit that is negative or not finite");
     }
     for (const std::string& key : team.keys) {
-      if (key.empty()) return BadTeam(team, "has an empty key");
-      if (!keys.insert(key).second) return BadTeam(team, "has a key that is listed twice");
+      if (key.empty()) return InvalidTeam(team, "has an empty key");
+      if (!keys.insert(key).second) return InvalidTeam(team, "has a key that is listed twice");
     }
   }
   return Ok{};
@@ -60,18 +60,18 @@
     : teams_(std::move(teams)), secret_(secret) {
   for (const Team& team : teams_) {
     by_name_.emplace(team.name, &team);
-    for (const std::string& key : team.keys) by_digest_.emplace(DigestOf(key), Holder{key, &team});
+    for (const std::string& key : team.keys) by_hash_.emplace(HashOf(key), KeyOwner{key, &team});
   }
 }
 
-std::uint64_t TeamDirectory::DigestOf(std::string_view key) const {
+std::uint64_t TeamDirectory::HashOf(std::string_view key) const {
   return XXH3_64bits_withSeed(key.data(), key.size(), secret_);
 }
 
 const Team* TeamDirectory::HolderOf(std::string_view key) const {
-  const auto [first, last] = by_digest_.equal_range(DigestOf(key));
+  const auto [first, last] = by_hash_.equal_range(HashOf(key));
   for (auto at = first; at != last; ++at) {
-    if (SameKey(at->second.key, key)) return at->second.team;
+    if (KeysEqual(at->second.key, key)) return at->second.team;
   }
   return nullptr;
 }
--- a/test/peers-test.cc
+++ b/test/peers-test.cc
@@ -15,8 +15,9 @@
 constexpr Time kStart{Duration{10'000'000}};
 const ServiceName kLlm{"llm"};
 
-Peer PeerNamed(const std::string& node, const std::string& centre = "dc", double capacity = 1) {
-  return {NodeId{node}, 1, Address{"10.0.0.1", 1}, DataCentre{centre}, capacity, false};
+Peer PeerNamed(const std::string& node, const std::string& data_centre = "dc",
+               double capacity = 1) {
+  return {NodeId{node}, 1, Address{"10.0.0.1", 1}, DataCentre{data_centre}, capacity, false};
 }
 
 }  // namespace
@@ -76,11 +77,11 @@
 namespace {
 
 // A fleet of `each` entries in each of so many data centres.
-std::vector<Peer> FleetOf(int centres, int each) {
+std::vector<Peer> FleetOf(int data_centres, int each) {
   std::vector<Peer> peers;
-  for (int i = 0; i < centres * each; ++i) {
-    const std::string centre = "dc" + std::to_string(i / each);
-    peers.push_back(PeerNamed(centre + "-p" + std::to_string(100 + i), centre));
+  for (int i = 0; i < data_centres * each; ++i) {
+    const std::string data_centre = "dc" + std::to_string(i / each);
+    peers.push_back(PeerNamed(data_centre + "-p" + std::to_string(100 + i), data_centre));
   }
   return peers;
 }
@@ -94,15 +95,15 @@
 }  // namespace
 
 TEST_CASE("each entry monitors the same number of others, whatever the fleet size") {
-  constexpr std::size_t kWatched = PeerTable::kWatchedAnywhere + PeerTable::kWatchedNear;
+  constexpr std::size_t kMonitored = PeerTable::kMonitoredAnywhere + PeerTable::kMonitoredLocal;
   const std::vector<Peer> peers = FleetOf(1, 100);
-  std::map<std::string, std::size_t> watched;
+  std::map<std::string, std::size_t> monitors;
   for (const Peer& self : peers) {
     const PeerTable::Watch watch = TableOf(self, peers).WatchOthers(kStart);
-    CHECK(watch.to_ask.size() == kWatched);
-    for (const Peer& peer : watch.to_ask) ++watched[peer.node.value];
+    CHECK(watch.to_ask.size() == kMonitored);
+    for (const Peer& peer : watch.to_ask) ++monitors[peer.node.value];
   }
-  for (const auto& [node, count] : watched) CHECK(count == kWatched);
+  for (const auto& [node, count] : monitors) CHECK(count == kMonitored);
 }
 
 // Symptom: most traffic between data centres is entries that probe each other.
@@ -113,12 +114,12 @@
   const std::vector<Peer> peers = FleetOf(6, 50);
   std::map<std::string, std::set<DataCentre>> watchers;
   for (const Peer& self : peers) {
-    std::size_t far = 0;
+    std::size_t remote = 0;
     for (const Peer& peer : TableOf(self, peers).WatchOthers(kStart).to_ask) {
-      if (peer.data_centre != self.data_centre) ++far;
+      if (peer.data_centre != self.data_centre) ++remote;
       watchers[peer.node.value].insert(self.data_centre);
     }
-    CHECK(far <= PeerTable::kWatchedAnywhere);
+    CHECK(remote <= PeerTable::kMonitoredAnywhere);
   }
   for (const Peer& peer : peers) CHECK(watchers[peer.node.value].size() >= 2);
 }
@@ -130,7 +131,7 @@
 TEST_CASE("the loss of a whole data centre is detected for each of its entries") {
   const std::vector<Peer> peers = FleetOf(6, 50);
   const DataCentre lost{"dc3"};
-  std::set<std::string> found;
+  std::set<std::string> suspected;
   for (const Peer& self : peers) {
     if (self.data_centre == lost) continue;
     PeerTable table = TableOf(self, peers);
@@ -141,11 +142,11 @@
       }
       for (const Peer& peer : table.WatchOthers(now).silent) {
         REQUIRE(peer.data_centre == lost);
-        found.insert(peer.node.value);
+        suspected.insert(peer.node.value);
       }
     }
   }
-  CHECK(found.size() == 50);
+  CHECK(suspected.size() == 50);
 }
 
 // Symptom: after a day of replaced hosts the failure of an entry is not detected.
@@ -163,9 +164,9 @@
   }
   for (int i = 0; i < 40; ++i) table.Named(PeerNamed("new" + std::to_string(i)));
   const PeerTable::Watch watch = table.WatchOthers(now);
-  CHECK(watch.to_ask.size() == PeerTable::kWatchedAnywhere + PeerTable::kWatchedNear);
+  CHECK(watch.to_ask.size() == PeerTable::kMonitoredAnywhere + PeerTable::kMonitoredLocal);
   for (const Peer& peer : watch.to_ask) CHECK(peer.node.value.starts_with("new"));
-  (void)table.WatchOthers(now + PeerTable::kForgotten);
+  (void)table.WatchOthers(now + PeerTable::kEvictAfter);
   CHECK(table.others().size() == 40);
 }
 
@@ -175,14 +176,14 @@
 // Cause: no entry probed it again, and it sends no message to that entry unless asked.
 TEST_CASE("a suspected peer that is still listed is probed until it responds") {
   const std::vector<Peer> peers = FleetOf(6, 50);
-  for (const Peer& keeper : {peers[17], peers[140], peers[260]}) {
+  for (const Peer& allocator : {peers[17], peers[140], peers[260]}) {
     PeerTable table = TableOf(peers[0], peers);
     for (const Peer& peer : peers) table.Heard(peer, kStart);
-    table.Suspect(keeper.node);
+    table.Suspect(allocator.node);
     const PeerTable::Watch watch = table.WatchOthers(kStart);
     REQUIRE(watch.to_ask.size() == 1);
-    CHECK(watch.to_ask[0].node == keeper.node);
-    table.Heard(keeper, kStart);
+    CHECK(watch.to_ask[0].node == allocator.node);
+    table.Heard(allocator, kStart);
     CHECK(table.WatchOthers(kStart).to_ask.empty());
   }
 }
@@ -199,7 +200,7 @@
   std::set<std::string> asked;
   for (int i = 0; i < 300; ++i) {
     const PeerTable::Watch watch = table.WatchOthers(kStart);
-    REQUIRE(watch.to_ask.size() <= PeerTable::kAskedInTurn);
+    REQUIRE(watch.to_ask.size() <= PeerTable::kMaxExtraProbes);
     for (const Peer& peer : watch.to_ask) asked.insert(peer.node.value);
   }
   CHECK(asked.size() == 300);
@@ -228,9 +229,10 @@
   table.Heard(leaving, kStart);
   table.Heard(PeerNamed("a"), kStart);
   table.Heard(PeerNamed("b"), kStart);
-  const auto keepers = table.KeepersOf(DataCentre{"dc"}, 30, kStart);
-  REQUIRE(keepers.size() == 2);
-  for (const Peer& keeper : keepers) CHECK((keeper.node.value == "a" || keeper.node.value == "b"));
+  const auto allocators = table.KeepersOf(DataCentre{"dc"}, 30, kStart);
+  REQUIRE(allocators.size() == 2);
+  for (const Peer& allocator : allocators)
+    CHECK((allocator.node.value == "a" || allocator.node.value == "b"));
   CHECK(table.KeepersOf(DataCentre{"dc"}, 5, kStart).size() == 1);
   // The data centre has no entry: those of other data centres are used.
   CHECK_FALSE(table.KeepersOf(DataCentre{"gone"}, 5, kStart).empty());
@@ -249,9 +251,9 @@
   for (int i = 0; i < 40; ++i) other.Heard(PeerNamed("p" + std::to_string(i), "far"), kStart);
   other.Heard(mine.self(), kStart);
   for (PeerTable* table : {&mine, &other}) {
-    const auto keepers = table->KeepersOf(DataCentre{"dc"}, 30, kStart);
-    REQUIRE(keepers.size() == 1);
-    CHECK(keepers[0].node == NodeId{"old"});
+    const auto allocators = table->KeepersOf(DataCentre{"dc"}, 30, kStart);
+    REQUIRE(allocators.size() == 1);
+    CHECK(allocators[0].node == NodeId{"old"});
   }
   const PeerTable::Watch watch = other.WatchOthers(kStart + Duration{1});
   REQUIRE(watch.to_ask.size() == 1);
@@ -283,7 +285,7 @@
                         DataCentre{"dc" + std::to_string(i % 4)}, 8, BackendState::kReady});
   }
   std::map<std::string, int> users;
-  std::size_t kept = 0;
+  std::size_t owned = 0;
   for (const Peer& self : peers) {
     PeerTable table(self);
     for (const Peer& peer : peers) table.Named(peer);
@@ -292,14 +294,14 @@
     REQUIRE(map.Update(table, kStart));
     CHECK_FALSE(map.Update(table, kStart));
     CHECK(map.used().size() < 250);
-    kept += map.kept().size();
-    std::set<std::string> keepers;
-    for (const auto& [id, keeper] : map.used()) keepers.insert(keeper.node.value);
-    for (const std::string& keeper : keepers) ++users[keeper];
+    owned += map.kept().size();
+    std::set<std::string> allocators;
+    for (const auto& [id, allocator] : map.used()) allocators.insert(allocator.node.value);
+    for (const std::string& allocator : allocators) ++users[allocator];
   }
-  CHECK(kept == kBackends);  // each has one allocator, the same at all entries
+  CHECK(owned == kBackends);  // each has one allocator, the same at all entries
   CHECK(users.size() == kEntries);
-  for (const auto& [keeper, count] : users) {
+  for (const auto& [allocator, count] : users) {
     CHECK(count >= 4);
     CHECK(count < 40);
   }
@@ -309,11 +311,12 @@
   std::vector<BackendInfo> backends;
   PeerTable table(PeerNamed("self", "dc0"));
   for (int i = 0; i < 40; ++i) {
-    const std::string centre = "dc" + std::to_string(i % 2);
-    table.Named(PeerNamed("e" + std::to_string(i), centre));
+    const std::string data_centre = "dc" + std::to_string(i % 2);
+    table.Named(PeerNamed("e" + std::to_string(i), data_centre));
     for (int j = 0; j < 6; ++j) {
       backends.push_back({BackendId{"b" + std::to_string(i) + "-" + std::to_string(j)}, kLlm,
-                          Address{"10.0.0.1", 1}, DataCentre{centre}, 8, BackendState::kReady});
+                          Address{"10.0.0.1", 1}, DataCentre{data_centre}, 8,
+                          BackendState::kReady});
     }
   }
   backends.push_back({BackendId{"rare"}, ServiceName{"rare"}, Address{"10.0.0.1", 1},
--- a/test/quarantine-test.cc
+++ b/test/quarantine-test.cc
@@ -25,16 +25,16 @@
  public:
   explicit Entry(std::string name = "a") : quarantine(NodeId{std::move(name)}) {}
 
-  // A run of the request that started at `begun_at` ends with a crash of its backend server.
-  CrashReport Crashes(int backend, Duration begun_at, Duration ended_at,
-                      const RequestFingerprint& request = kRequest) {
-    CrashReport report{CrashOf(request, backend), quarantine.ChainOf(request, At(begun_at))};
+  // A run of the request that started at `started_at` ends with a crash of its backend server.
+  CrashReport AddCrash(int backend, Duration started_at, Duration ended_at,
+                       const RequestFingerprint& request = kRequest) {
+    CrashReport report{CrashOf(request, backend), quarantine.ChainOf(request, At(started_at))};
     quarantine.Add(report, At(ended_at));
     return report;
   }
   // Adds `count` crashes in sequence, the first at `from`.
-  void CrashesInTurn(int count, Duration from) {
-    for (int i = 0; i < count; ++i) Crashes(++backends_, from + i * 1s, from + i * 1s + 100ms);
+  void AddCrashChain(int count, Duration from) {
+    for (int i = 0; i < count; ++i) AddCrash(++backends_, from + i * 1s, from + i * 1s + 100ms);
   }
   [[nodiscard]] bool MayRun(Duration at, WorkClass work = WorkClass::kOnline) const {
     return !quarantine.TimeLeft(kRequest, work, At(at));
@@ -74,9 +74,9 @@
 // Guards against a request that crashes one backend server after the other.
 TEST_CASE("a request is quarantined after a second crash that followed the first") {
   Entry entry;
-  entry.Crashes(1, 0s, 100ms);
+  entry.AddCrash(1, 0s, 100ms);
   CHECK(entry.MayRun(200ms));
-  entry.Crashes(2, 200ms, 300ms);
+  entry.AddCrash(2, 200ms, 300ms);
   CHECK_FALSE(entry.MayRun(400ms));
   CHECK_FALSE(entry.quarantine.TimeLeft(kOther, WorkClass::kOnline, At(400ms)));
   CHECK(entry.quarantine.quarantined() == 1);
@@ -85,7 +85,7 @@
 // Guards against blaming a frequent request for the loss of a rack.
 TEST_CASE("backend servers that crash at the same time form no chain") {
   Entry entry;
-  for (int backend = 0; backend < 8; ++backend) entry.Crashes(backend, 0s, 100ms);
+  for (int backend = 0; backend < 8; ++backend) entry.AddCrash(backend, 0s, 100ms);
   CHECK(entry.MayRun(200ms));
   CHECK(entry.quarantine.quarantined() == 0);
 }
@@ -93,14 +93,14 @@
 // Guards against entries that each lose backend servers of their own to the same request.
 TEST_CASE("a crash that another entry reports counts from the time at which its report arrives") {
   Entry first("a"), second("b");
-  const CrashReport report = first.Crashes(1, 0s, 100ms);
+  const CrashReport report = first.AddCrash(1, 0s, 100ms);
   second.quarantine.Add(report, At(130ms));
   SUBCASE("a run that started before does not follow it") {
-    second.Crashes(2, 120ms, 200ms);
+    second.AddCrash(2, 120ms, 200ms);
     CHECK(second.MayRun(300ms));
   }
   SUBCASE("a run that started later does") {
-    const CrashReport next = second.Crashes(2, 150ms, 250ms);
+    const CrashReport next = second.AddCrash(2, 150ms, 250ms);
     CHECK_FALSE(second.MayRun(300ms));
     first.quarantine.Add(next, At(280ms));
     CHECK_FALSE(first.MayRun(300ms));
@@ -109,8 +109,8 @@
 
 TEST_CASE("a duplicate report does not restart the quarantine") {
   Entry entry;
-  entry.Crashes(1, 0s, 100ms);
-  const CrashReport last = entry.Crashes(2, 200ms, 300ms);
+  entry.AddCrash(1, 0s, 100ms);
+  const CrashReport last = entry.AddCrash(2, 200ms, 300ms);
   const auto left = entry.quarantine.TimeLeft(kRequest, WorkClass::kOnline, At(40s));
   entry.quarantine.Add(last, At(30s));
   CHECK(entry.quarantine.TimeLeft(kRequest, WorkClass::kOnline, At(40s)) == left);
@@ -119,8 +119,8 @@
 // Guards against refusing requests for ever because they ran beside the cause.
 TEST_CASE("a request that is completed is not the cause") {
   Entry entry;
-  entry.Crashes(1, 0s, 100ms);
-  entry.Crashes(2, 200ms, 300ms);
+  entry.AddCrash(1, 0s, 100ms);
+  entry.AddCrash(2, 200ms, 300ms);
   CHECK(entry.quarantine.Completed(kRequest).size() == 2);
   CHECK(entry.MayRun(400ms));
   CHECK(entry.quarantine.reports() == 0);
@@ -130,8 +130,8 @@
 
 TEST_CASE("removed reports no longer count") {
   Entry entry;
-  entry.Crashes(1, 0s, 100ms);
-  entry.Crashes(2, 200ms, 300ms);
+  entry.AddCrash(1, 0s, 100ms);
+  entry.AddCrash(2, 200ms, 300ms);
   entry.quarantine.Remove(CrashOf(kRequest, 2));
   CHECK(entry.MayRun(400ms));
   entry.quarantine.Remove(CrashOf(kRequest, 2));
@@ -140,24 +140,24 @@
 
 TEST_CASE("probes come after a period that doubles, one at a time, and stop after some crashes") {
   Entry entry;
-  entry.CrashesInTurn(2, 0s);
+  entry.AddCrashChain(2, 0s);
   Duration last = 1100ms;
   for (int chain = 2; chain < CrashReport::kMaxChain; ++chain) {
-    const Duration period = Quarantine::kOnline.first_period * (1 << (chain - 2));
+    const Duration period = Quarantine::kOnline.initial_period * (1 << (chain - 2));
     CHECK_FALSE(entry.MayRun(last + period - 1s));
     const Duration probe = last + 2 * period;
     CHECK(entry.MayRun(probe));
     entry.quarantine.Began(kRequest, At(probe));
     CHECK_FALSE(entry.MayRun(probe + 50ms));
     last = probe + 100ms;
-    entry.Crashes(chain, probe, last);
+    entry.AddCrash(chain, probe, last);
   }
   CHECK_FALSE(entry.MayRun(last + 1000h));
 }
 
 TEST_CASE("entries end a quarantine at different times") {
   Entry first("a"), second("b");
-  for (Entry* entry : {&first, &second}) entry->CrashesInTurn(2, 0s);
+  for (Entry* entry : {&first, &second}) entry->AddCrashChain(2, 0s);
   CHECK(first.quarantine.TimeLeft(kRequest, WorkClass::kOnline, At(2s)) !=
         second.quarantine.TimeLeft(kRequest, WorkClass::kOnline, At(2s)));
 }
@@ -166,21 +166,21 @@
 // against items that crash backend servers all night.
 TEST_CASE("a batch item is quarantined after a longer chain, and for a shorter time") {
   Entry entry;
-  entry.CrashesInTurn(3, 0s);
+  entry.AddCrashChain(3, 0s);
   CHECK(entry.MayRun(4s, WorkClass::kBatch));
-  entry.CrashesInTurn(1, 4s);
+  entry.AddCrashChain(1, 4s);
   CHECK_FALSE(entry.MayRun(5s, WorkClass::kBatch));
-  CHECK(entry.MayRun(4s + 100ms + 2 * Quarantine::kBatch.first_period, WorkClass::kBatch));
-  entry.CrashesInTurn(2, 30s);
+  CHECK(entry.MayRun(4s + 100ms + 2 * Quarantine::kBatch.initial_period, WorkClass::kBatch));
+  entry.AddCrashChain(2, 30s);
   CHECK_FALSE(entry.MayRun(1000h, WorkClass::kBatch));
 }
 
 TEST_CASE("the number of reports is limited: the shortest chains are removed, the oldest first") {
   Entry entry;
-  entry.CrashesInTurn(2, 0s);
+  entry.AddCrashChain(2, 0s);
   for (int i = 0; i < static_cast<int>(Quarantine::kMaxReports); ++i) {
     const RequestFingerprint request{std::to_string(i)};
-    entry.Crashes(1, 0s, 10s + i * 1ms, request);
+    entry.AddCrash(1, 0s, 10s + i * 1ms, request);
   }
   const std::vector<Crash> surplus = entry.quarantine.Surplus();
   REQUIRE(surplus.size() == 2);
--- a/test/quota-sim.h
+++ b/test/quota-sim.h
@@ -24,11 +24,11 @@
   Duration span{30'000'000};
   double loss = 0.01;  // probability, for each datagram
   Duration latency{1'000};
-  // Fault that starts at `fault_at` and lasts for `fault_for`.
+  // Fault that starts at `fault_at` and lasts for `fault_duration`.
   enum class Fault { kNone, kOwnerKilled, kOwnerFrozen, kOwnerCut, kSomeCut, kAllRestarted };
   Fault fault = Fault::kNone;
   Duration fault_at{10'000'000};
-  Duration fault_for{5'000'000};
+  Duration fault_duration{5'000'000};
   unsigned seed = 1;
 };
 
@@ -55,11 +55,11 @@
 };
 
 // Time until the others detect that an entry has failed.
-constexpr Duration kNoticed = std::chrono::milliseconds(2500);
+constexpr Duration kFailureDetectionTime = std::chrono::milliseconds(2500);
 // Time until the others know that it is back: one that was stopped announces itself at once, and
 // one that was cut off is probed by the others.
-constexpr Duration kBackAfterCut = std::chrono::milliseconds(1000);
-constexpr Duration kBackAfterStop = std::chrono::milliseconds(100);
+constexpr Duration kRejoinAfterCut = std::chrono::milliseconds(1000);
+constexpr Duration kRejoinAfterStop = std::chrono::milliseconds(100);
 
 class QuotaWorld {
  public:
@@ -72,9 +72,9 @@
       weights_.push_back(RendezvousWeight("quota/" + team_.name.value, nodes_.back().value));
     }
     first_owner_ = OwnerAmong([](int) { return true; });
-    owner_without_faulty_ = OwnerAmong([this](int entry) {
-      const bool cut = load_.fault == QuotaLoad::Fault::kSomeCut && entry % 6 == 0;
-      return entry != first_owner_ && !cut;
+    fallback_owner_ = OwnerAmong([this](int entry) {
+      const bool cut_off = load_.fault == QuotaLoad::Fault::kSomeCut && entry % 6 == 0;
+      return entry != first_owner_ && !cut_off;
     });
     for (int i = 0; i < load.entries; ++i) {
       ranks_.push_back(static_cast<int>(std::count_if(
@@ -92,7 +92,7 @@
   [[nodiscard]] int entries() const { return load_.entries; }
 
   void After(Duration delay, std::function<void()> task) {
-    tasks_.push({now_ + delay, ++order_, std::move(task)});
+    tasks_.push({now_ + delay, ++last_order_, std::move(task)});
   }
   void Every(Duration period, const std::function<void()>& task) {
     After(period, [this, period, task] {
@@ -102,9 +102,10 @@
   }
   void Send(int from, int to, std::function<void()> arrived) {
     ++messages_;
-    if (Draw() < load_.loss || IsCut(from) != IsCut(to) || (IsCut(from) && from != to)) return;
+    if (Draw() < load_.loss || IsCutOff(from) != IsCutOff(to) || (IsCutOff(from) && from != to))
+      return;
     After(load_.latency, [this, to, arrived = std::move(arrived)] {
-      if (Runs(to)) arrived();
+      if (IsRunning(to)) arrived();
     });
   }
   void RunUntil(Time end) {
@@ -118,14 +119,14 @@
   }
 
   // --- Liveness ---
-  [[nodiscard]] bool InFault() const {
+  [[nodiscard]] bool IsFaultActive() const {
     const Time begin = Start() + load_.fault_at;
-    return now_ >= begin && now_ < begin + load_.fault_for;
+    return now_ >= begin && now_ < begin + load_.fault_duration;
   }
-  [[nodiscard]] bool FaultIsNoticed() const {
+  [[nodiscard]] bool IsFaultDetected() const {
     const Time begin = Start() + load_.fault_at;
-    const Duration back = IsOwnerFault() ? kBackAfterStop : kBackAfterCut;
-    return now_ >= begin + kNoticed && now_ < begin + load_.fault_for + back;
+    const Duration back = IsOwnerFault() ? kRejoinAfterStop : kRejoinAfterCut;
+    return now_ >= begin + kFailureDetectionTime && now_ < begin + load_.fault_duration + back;
   }
   [[nodiscard]] int FirstOwner() const {
     return OwnerAmong([](int) { return true; });
@@ -134,30 +135,30 @@
     return load_.fault == QuotaLoad::Fault::kOwnerKilled ||
            load_.fault == QuotaLoad::Fault::kOwnerFrozen;
   }
-  [[nodiscard]] bool Runs(int entry) const {
-    return !(IsOwnerFault() && InFault() && entry == FirstOwner());
+  [[nodiscard]] bool IsRunning(int entry) const {
+    return !(IsOwnerFault() && IsFaultActive() && entry == FirstOwner());
   }
-  [[nodiscard]] bool IsCut(int entry) const {
-    if (!InFault()) return false;
+  [[nodiscard]] bool IsCutOff(int entry) const {
+    if (!IsFaultActive()) return false;
     if (load_.fault == QuotaLoad::Fault::kOwnerCut) return entry == FirstOwner();
     return load_.fault == QuotaLoad::Fault::kSomeCut && entry % 6 == 0;
   }
   // Whether `viewer` believes `entry` to be live; the belief lags behind the fault.
-  [[nodiscard]] bool SeesLive(int viewer, int entry) const {
-    if (viewer == entry || !FaultIsNoticed()) return true;
+  [[nodiscard]] bool BelievesLive(int viewer, int entry) const {
+    if (viewer == entry || !IsFaultDetected()) return true;
     if (IsOwnerFault()) return entry != FirstOwner();
-    return !IsCut(viewer) && !IsCut(entry);
+    return !IsCutOff(viewer) && !IsCutOff(entry);
   }
   // The owner as `viewer` sees it. It depends only on the time and on the viewer's side of a
   // partition.
   [[nodiscard]] int OwnerSeenBy(int viewer) const {
-    if (!FaultIsNoticed() || viewer == first_owner_) return first_owner_;
-    if (IsCut(viewer)) return viewer;
-    return SeesLive(viewer, first_owner_) ? first_owner_ : owner_without_faulty_;
+    if (!IsFaultDetected() || viewer == first_owner_) return first_owner_;
+    if (IsCutOff(viewer)) return viewer;
+    return BelievesLive(viewer, first_owner_) ? first_owner_ : fallback_owner_;
   }
   [[nodiscard]] static Time Start() { return Time{Duration{1'000'000'000}}; }
   // An entry that is cut off hears from no other.
-  [[nodiscard]] bool MayOwn(int entry) const { return !(IsCut(entry) && FaultIsNoticed()); }
+  [[nodiscard]] bool MayOwn(int entry) const { return !(IsCutOff(entry) && IsFaultDetected()); }
   [[nodiscard]] int Rank(int entry) const { return ranks_[static_cast<std::size_t>(entry)]; }
 
   double Draw() { return std::uniform_real_distribution<double>(0, 1)(random_); }
@@ -176,11 +177,11 @@
   [[nodiscard]] std::uint64_t Weight(int entry) const {
     return weights_[static_cast<std::size_t>(entry)];
   }
-  template <typename Counts>
-  [[nodiscard]] int OwnerAmong(Counts counts) const {
+  template <typename Filter>
+  [[nodiscard]] int OwnerAmong(Filter is_candidate) const {
     int best = -1;
     for (int entry = 0; entry < load_.entries; ++entry) {
-      if (counts(entry) && (best < 0 || Weight(entry) > Weight(best))) best = entry;
+      if (is_candidate(entry) && (best < 0 || Weight(entry) > Weight(best))) best = entry;
     }
     return best;
   }
@@ -192,20 +193,20 @@
   std::vector<std::uint64_t> weights_;
   std::vector<int> ranks_;
   int first_owner_ = 0;
-  int owner_without_faulty_ = 0;  // the owner while the first one, or each sixth entry, is not live
+  int fallback_owner_ = 0;  // the owner while the first one, or each sixth entry, is not live
   Time now_ = Start();
   std::priority_queue<Task> tasks_;
-  std::uint64_t order_ = 0;
+  std::uint64_t last_order_ = 0;
   int messages_ = 0;
 };
 
 template <typename Policy>
 QuotaResult Play(const QuotaLoad& load) {
-  QuotaWorld world(load);
-  Policy policy(world);
+  QuotaWorld simulation(load);
+  Policy policy(simulation);
   // The owner has been live for a while when the first requests arrive.
-  const Time first = world.now() + std::chrono::seconds(5);
-  world.RunUntil(first);
+  const Time first = simulation.now() + std::chrono::seconds(5);
+  simulation.RunUntil(first);
   std::vector<double> weights = load.weights;
   if (weights.empty()) weights.assign(static_cast<std::size_t>(load.entries), 1);
   std::discrete_distribution<int> entry(weights.begin(), weights.end());
@@ -217,29 +218,29 @@
   double allowed = 0;
   int offered = 0;
   std::function<void()> arrive = [&] {
-    if (world.now() >= first + load.span) return;
-    const int at = entry(world.random());
-    if (world.Runs(at)) {
+    if (simulation.now() >= first + load.span) return;
+    const int at = entry(simulation.random());
+    if (simulation.IsRunning(at)) {
       ++offered;
-      if (reference.Level(world.now()) >= 1) {
+      if (reference.Level(simulation.now()) >= 1) {
         reference.Take(1);
         ++allowed;
       }
-      policy.Admit(at, [&, since = world.now()](bool yes) {
-        waits.push_back(static_cast<double>((world.now() - since).count()) / 1e3);
-        if (yes) admitted.push_back(world.now());
+      policy.Admit(at, [&, since = simulation.now()](bool is_admitted) {
+        waits.push_back(static_cast<double>((simulation.now() - since).count()) / 1e3);
+        if (is_admitted) admitted.push_back(simulation.now());
       });
     }
-    world.After(Duration(static_cast<Duration::rep>(gap(world.random()) * 1e6)), arrive);
+    simulation.After(Duration(static_cast<Duration::rep>(gap(simulation.random()) * 1e6)), arrive);
   };
-  world.After(Duration{0}, arrive);
+  simulation.After(Duration{0}, arrive);
   if (load.fault == QuotaLoad::Fault::kAllRestarted) {
-    for (Duration at = load.fault_at; at < load.fault_at + load.fault_for;
+    for (Duration at = load.fault_at; at < load.fault_at + load.fault_duration;
          at += Duration{1'000'000}) {
-      world.After(at - (first - QuotaWorld::Start()), [&] { policy.RestartAll(); });
+      simulation.After(at - (first - QuotaWorld::Start()), [&] { policy.RestartAll(); });
     }
   }
-  world.RunUntil(first + load.span + std::chrono::seconds(1));
+  simulation.RunUntil(first + load.span + std::chrono::seconds(1));
 
   QuotaResult result;
   const QuotaBounds bounds;
@@ -256,7 +257,7 @@
     result.median_ms = waits[waits.size() / 2];
     result.p99_ms = waits[waits.size() * 99 / 100];
   }
-  result.messages = static_cast<double>(world.messages()) / std::max(offered, 1);
+  result.messages = static_cast<double>(simulation.messages()) / std::max(offered, 1);
   return result;
 }
 
--- a/test/quota-test.cc
+++ b/test/quota-test.cc
@@ -38,8 +38,8 @@
   return std::holds_alternative<quota::Waits>(verdict);
 }
 
-QuotaGrant Answer(const QuotaAsk& ask, std::uint32_t credits, Duration next_after = Duration{0}) {
-  return {ask.number, ask.team, true, credits, next_after, next_after};
+QuotaGrant Answer(const QuotaAsk& ask, std::uint32_t credits, Duration time_to_next = Duration{0}) {
+  return {ask.number, ask.team, true, credits, time_to_next, time_to_next};
 }
 
 }  // namespace
@@ -53,8 +53,8 @@
   CHECK(owner.Grant(Ask(30), team, later).credits == 20);
   const QuotaGrant none = owner.Grant(Ask(1), team, later);
   CHECK(none.credits == 0);
-  CHECK(none.next_after == 100 * kMs);
-  CHECK(none.every == 100 * kMs);
+  CHECK(none.time_to_next == 100 * kMs);
+  CHECK(none.credit_interval == 100 * kMs);
   CHECK(owner.Grant(Ask(9), team, later + 500 * kMs).credits == 5);
 }
 
@@ -129,7 +129,7 @@
   client.OnGrant(Answer(client.TakeAsks()[0], 4), kStart + 2 * kMs);
   CHECK(client.TakeDecisions().size() == 1);
   CHECK(IsAdmitted(client.Admit(team, kEntries, Request(2), kStart + 3 * kMs)));
-  CHECK(Waits(client.Admit(team, kEntries, Request(3), kStart + bounds.CreditLife())));
+  CHECK(Waits(client.Admit(team, kEntries, Request(3), kStart + bounds.CreditLifetime())));
   CHECK(client.TakeAsks()[0].returned == 2);
 }
 
@@ -140,7 +140,7 @@
   (void)client.Admit(team, kEntries, Request(1), kStart);
   client.OnGrant(Answer(client.TakeAsks()[0], 1), kStart);
   client.GiveBack(team.name, kStart, kStart + 10 * kMs);
-  client.GiveBack(team.name, kStart, kStart + bounds.CreditLife());
+  client.GiveBack(team.name, kStart, kStart + bounds.CreditLifetime());
   (void)client.Admit(team, kEntries, Request(2), kStart + std::chrono::seconds(1));
   CHECK(client.TakeAsks()[0].returned == 1);
 }
@@ -189,7 +189,7 @@
   (void)client.Admit(team, kEntries, Request(1), kStart);
   (void)client.Admit(team, kEntries, Request(2), kStart);
   CHECK(client.TakeAsks().size() == 1);
-  const Time late = kStart + QuotaClient::kOwnerPatience;
+  const Time late = kStart + QuotaClient::kOwnerTimeout;
   client.OnTime(late);
   const std::vector<quota::Decision> decisions = client.TakeDecisions();
   REQUIRE(decisions.size() == 2);
@@ -199,19 +199,19 @@
   CHECK(ErrorOf(decisions[1].verdict).ran == Ran::kNo);
   const quota::Verdict at_once = client.Admit(team, kEntries, Request(3), late + kMs);
   CHECK(std::holds_alternative<Error>(at_once));
-  (void)client.Admit(team, kEntries, Request(4), late + QuotaClient::kSilentPause);
+  (void)client.Admit(team, kEntries, Request(4), late + QuotaClient::kOwnerProbeInterval);
   const std::vector<QuotaAsk> asks = client.TakeAsks();
   REQUIRE(asks.size() == 1);
-  client.OnGrant(Answer(asks[0], 1), late + QuotaClient::kSilentPause + 2 * kMs);
+  client.OnGrant(Answer(asks[0], 1), late + QuotaClient::kOwnerProbeInterval + 2 * kMs);
   CHECK(IsAdmitted(
-      client.Admit(team, kEntries, Request(5), late + QuotaClient::kSilentPause + 3 * kMs)));
+      client.Admit(team, kEntries, Request(5), late + QuotaClient::kOwnerProbeInterval + 3 * kMs)));
 }
 
 // Guards against entries that each admit one request, of which a fleet may have hundreds.
 TEST_CASE("only some entries may admit requests of a small team on their own") {
   QuotaClient client{QuotaBounds{}};
   (void)client.Admit(Limited(1, 1), {300, false}, Request(1), kStart);
-  client.OnTime(kStart + QuotaClient::kOwnerPatience);
+  client.OnTime(kStart + QuotaClient::kOwnerTimeout);
   const std::vector<quota::Decision> decisions = client.TakeDecisions();
   REQUIRE(decisions.size() == 1);
   CHECK_FALSE(IsOk(decisions[0].verdict));
--- a/test/quota-ways.h
+++ b/test/quota-ways.h
@@ -15,117 +15,118 @@
 
 namespace figmill::sim {
 
-using Decided = std::function<void(bool admitted)>;
+using AdmitCallback = std::function<void(bool admitted)>;
 
 // Each entry gets an equal share.
 class EqualShares {
  public:
-  explicit EqualShares(QuotaWorld& world)
-      : world_(world), buckets_(static_cast<std::size_t>(world.entries())) {
-    const double part = 1.0 / world.entries();
+  explicit EqualShares(QuotaWorld& simulation)
+      : simulation_(simulation), buckets_(static_cast<std::size_t>(simulation.entries())) {
+    const double part = 1.0 / simulation.entries();
     for (TokenBucket& bucket : buckets_) {
-      bucket.SetRate(world.load().rate * part, std::max(1.0, world.load().burst * part),
-                     world.now());
+      bucket.SetRate(simulation.load().rate * part, std::max(1.0, simulation.load().burst * part),
+                     simulation.now());
     }
   }
-  void Admit(int entry, const Decided& decided) {
+  void Admit(int entry, const AdmitCallback& decided) {
     TokenBucket& bucket = buckets_[static_cast<std::size_t>(entry)];
-    const bool admitted = bucket.Level(world_.now()) >= 1;
+    const bool admitted = bucket.Level(simulation_.now()) >= 1;
     if (admitted) bucket.Take(1);
     decided(admitted);
   }
-  void RestartAll() { *this = EqualShares(world_); }
+  void RestartAll() { *this = EqualShares(simulation_); }
   EqualShares& operator=(EqualShares&& other) noexcept {
     buckets_ = std::move(other.buckets_);
     return *this;
   }
 
  private:
-  QuotaWorld& world_;
+  QuotaWorld& simulation_;
   std::vector<TokenBucket> buckets_;
 };
 
 // The owner divides the limit in proportion to the demand that the entries report.
 class DemandShares {
  public:
-  explicit DemandShares(QuotaWorld& world) : world_(world) {
+  explicit DemandShares(QuotaWorld& simulation) : simulation_(simulation) {
     auto config = std::make_shared<Config>();
-    config->limits[world.team().name] = {world.team().name, world.load().rate, 0,
-                                         world.load().burst / world.load().rate};
+    config->limits[simulation.team().name] = {simulation.team().name, simulation.load().rate, 0,
+                                              simulation.load().burst / simulation.load().rate};
     snapshot_.config = config;
-    for (int i = 0; i < world.entries(); ++i) {
+    for (int i = 0; i < simulation.entries(); ++i) {
       Member member;
-      member.node = world.node(i);
+      member.node = simulation.node(i);
       snapshot_.members.push_back(member);
     }
     RestartAll();
-    for (int i = 0; i < world.entries(); ++i) {
-      world_.After(TeamLimits::kReportPeriod * i / world.entries(), [this, i] {
-        world_.Every(TeamLimits::kReportPeriod, [this, i] { Report(i); });
+    for (int i = 0; i < simulation.entries(); ++i) {
+      simulation_.After(TeamLimits::kReportPeriod * i / simulation.entries(), [this, i] {
+        simulation_.Every(TeamLimits::kReportPeriod, [this, i] { Report(i); });
       });
     }
   }
-  void Admit(int entry, const Decided& decided) {
-    decided(
-        IsOk(limits_[static_cast<std::size_t>(entry)].Admit(world_.team().name, 1, world_.now())));
+  void Admit(int entry, const AdmitCallback& decided) {
+    decided(IsOk(limits_[static_cast<std::size_t>(entry)].Admit(simulation_.team().name, 1,
+                                                                simulation_.now())));
   }
   void RestartAll() {
     limits_.clear();
-    homes_.clear();
-    for (int i = 0; i < world_.entries(); ++i) {
-      limits_.emplace_back(world_.node(i));
-      limits_.back().Update(snapshot_, world_.now());
+    owners_.clear();
+    for (int i = 0; i < simulation_.entries(); ++i) {
+      limits_.emplace_back(simulation_.node(i));
+      limits_.back().Update(snapshot_, simulation_.now());
     }
   }
 
  private:
   void Report(int entry) {
-    if (!world_.Runs(entry)) return;
+    if (!simulation_.IsRunning(entry)) return;
     for (const ShareRequest& ask :
-         limits_[static_cast<std::size_t>(entry)].TakeDueReports(world_.now())) {
-      const int home = world_.OwnerSeenBy(entry);
-      world_.Send(entry, home, [this, entry, home, report = ask.report] {
-        const TeamRates share =
-            homes_[home].Allocate(world_.node(entry), report,
-                                  snapshot_.config->limits.at(world_.team().name), world_.now());
-        world_.Send(home, entry, [this, entry, share] {
-          limits_[static_cast<std::size_t>(entry)].ApplyShare(world_.team().name, share,
-                                                              world_.now());
+         limits_[static_cast<std::size_t>(entry)].TakeDueReports(simulation_.now())) {
+      const int owner = simulation_.OwnerSeenBy(entry);
+      simulation_.Send(entry, owner, [this, entry, owner, report = ask.report] {
+        const TeamRates share = owners_[owner].Allocate(
+            simulation_.node(entry), report, snapshot_.config->limits.at(simulation_.team().name),
+            simulation_.now());
+        simulation_.Send(owner, entry, [this, entry, share] {
+          limits_[static_cast<std::size_t>(entry)].ApplyShare(simulation_.team().name, share,
+                                                              simulation_.now());
         });
       });
     }
   }
 
-  QuotaWorld& world_;
+  QuotaWorld& simulation_;
   Snapshot snapshot_;
   std::deque<TeamLimits> limits_;
-  std::map<int, TeamShareAllocator> homes_;
+  std::map<int, TeamShareAllocator> owners_;
 };
 
 // The owner grants credits that expire after a short time.
 class Credits {
  public:
-  explicit Credits(QuotaWorld& world) : world_(world) {
+  explicit Credits(QuotaWorld& simulation) : simulation_(simulation) {
     RestartAll();
-    world_.Every(QuotaClient::kAskAgain / 2, [this] {
-      for (int i = 0; i < world_.entries(); ++i) {
-        if (!world_.Runs(i)) continue;
-        WatchOwner(i);
-        const Time before = std::exchange(At(i).watched_at, world_.now());
-        const bool stood_still = world_.now() - before > std::chrono::seconds(1);
-        if (stood_still || !world_.MayOwn(i)) At(i).owner.Restart(world_.now());
-        At(i).client.OnTime(world_.now());
+    simulation_.Every(QuotaClient::kAskAgain / 2, [this] {
+      for (int i = 0; i < simulation_.entries(); ++i) {
+        if (!simulation_.IsRunning(i)) continue;
+        CheckOwner(i);
+        const Time before = std::exchange(At(i).checked_at, simulation_.now());
+        const bool was_stopped = simulation_.now() - before > std::chrono::seconds(1);
+        if (was_stopped || !simulation_.MayOwn(i)) At(i).owner.Restart(simulation_.now());
+        At(i).client.OnTime(simulation_.now());
         Flush(i);
       }
     });
   }
-  void Admit(int entry, const Decided& decided) {
+  void Admit(int entry, const AdmitCallback& decided) {
     Entry& at = At(entry);
     const std::uint64_t ticket = ++tickets_;
-    const bool free = world_.Rank(entry) < static_cast<int>(QuotaBounds{}.FreeEntries());
-    const quota::Verdict verdict =
-        at.client.Admit(world_.team(), {static_cast<std::size_t>(world_.entries()), free},
-                        {ticket, Duration{5'000'000}}, world_.now());
+    const bool may_admit_alone =
+        simulation_.Rank(entry) < static_cast<int>(QuotaBounds{}.FreeEntries());
+    const quota::Verdict verdict = at.client.Admit(
+        simulation_.team(), {static_cast<std::size_t>(simulation_.entries()), may_admit_alone},
+        {ticket, Duration{5'000'000}}, simulation_.now());
     if (std::holds_alternative<quota::Waits>(verdict)) {
       at.waiting.emplace(ticket, decided);
     } else {
@@ -135,11 +136,11 @@
   }
   void RestartAll() {
     entries_.clear();
-    for (int i = 0; i < world_.entries(); ++i) {
+    for (int i = 0; i < simulation_.entries(); ++i) {
       entries_.push_back(std::make_unique<Entry>(Entry{QuotaClient(QuotaBounds{}),
-                                                       QuotaOwner(world_.now()),
-                                                       world_.OwnerSeenBy(i),
-                                                       world_.now(),
+                                                       QuotaOwner(simulation_.now()),
+                                                       simulation_.OwnerSeenBy(i),
+                                                       simulation_.now(),
                                                        {}}));
     }
   }
@@ -149,32 +150,33 @@
     QuotaClient client;
     QuotaOwner owner;
     int owner_seen = -1;
-    Time watched_at{};
-    std::map<std::uint64_t, Decided> waiting;
+    Time checked_at{};
+    std::map<std::uint64_t, AdmitCallback> waiting;
   };
   Entry& At(int entry) { return *entries_[static_cast<std::size_t>(entry)]; }
-  void WatchOwner(int entry) {
-    const int now = world_.OwnerSeenBy(entry);
+  void CheckOwner(int entry) {
+    const int now = simulation_.OwnerSeenBy(entry);
     if (std::exchange(At(entry).owner_seen, now) == now) return;
-    At(entry).client.OnOwnerChanged(world_.team().name);
-    At(entry).owner.OnEntriesChanged([&](const TeamId&) { return now == entry; }, world_.now());
+    At(entry).client.OnOwnerChanged(simulation_.team().name);
+    At(entry).owner.OnEntriesChanged([&](const TeamId&) { return now == entry; },
+                                     simulation_.now());
   }
   [[nodiscard]] QuotaGrant Grant(int owner, const QuotaAsk& ask) {
-    const bool owned = At(owner).owner_seen == owner && world_.MayOwn(owner);
+    const bool owned = At(owner).owner_seen == owner && simulation_.MayOwn(owner);
     if (!owned) return {ask.number, ask.team, false, 0, Duration{0}, Duration{0}};
-    return At(owner).owner.Grant(ask, world_.team(), world_.now());
+    return At(owner).owner.Grant(ask, simulation_.team(), simulation_.now());
   }
   void Flush(int entry) {
     Entry& at = At(entry);
     for (const QuotaAsk& ask : at.client.TakeAsks()) {
       const int owner = at.owner_seen;
       if (owner == entry) {
-        at.client.OnGrant(Grant(entry, ask), world_.now());
+        at.client.OnGrant(Grant(entry, ask), simulation_.now());
         continue;
       }
-      world_.Send(entry, owner, [this, entry, owner, ask] {
-        world_.Send(owner, entry, [this, entry, grant = Grant(owner, ask)] {
-          At(entry).client.OnGrant(grant, world_.now());
+      simulation_.Send(entry, owner, [this, entry, owner, ask] {
+        simulation_.Send(owner, entry, [this, entry, grant = Grant(owner, ask)] {
+          At(entry).client.OnGrant(grant, simulation_.now());
           Flush(entry);
         });
       });
@@ -185,7 +187,7 @@
     }
   }
 
-  QuotaWorld& world_;
+  QuotaWorld& simulation_;
   std::uint64_t tickets_ = 0;
   std::vector<std::unique_ptr<Entry>> entries_;
 };
