--- a/bench/quota_bench.cc
+++ b/bench/quota_bench.cc
@@ -4,8 +4,8 @@
 
 #include <string>
 
+#include "test/quota-policies.h"
 #include "test/quota-sim.h"
-#include "test/quota-ways.h"
 
 namespace figmill::sim {
 namespace {
@@ -30,7 +30,7 @@
       {"even", calm}, {"skewed", skewed}, {"all at one", one}, {"ten times", over}};
   const std::pair<const char*, QuotaLoad::Fault> faults[] = {
       {"owner killed", QuotaLoad::Fault::kOwnerKilled},
-      {"owner frozen", QuotaLoad::Fault::kOwnerFrozen},
+      {"owner frozen", QuotaLoad::Fault::kOwnerStopped},
       {"owner cut off", QuotaLoad::Fault::kOwnerCut},
       {"one in six cut off", QuotaLoad::Fault::kSomeCut},
       {"all restarted", QuotaLoad::Fault::kAllRestarted}};
@@ -53,7 +53,7 @@
   for (unsigned seed = 1; seed <= kSeeds; ++seed) {
     QuotaLoad load = row.load;
     load.seed = seed;
-    const QuotaResult result = Play<Policy>(load);
+    const QuotaResult result = SimulateQuota<Policy>(load);
     worst.worst_window = std::max(worst.worst_window, result.worst_window);
     admitted += result.admitted / kSeeds;
     messages += result.messages / kSeeds;
--- a/include/figmill/peer_messages.h
+++ b/include/figmill/peer_messages.h
@@ -46,33 +46,33 @@
 
 // From an entry to an allocator: requests a slot for one online request. The allocator responds at
 // once, and again later if it queues the request.
-struct PlaceAsk {
+struct SlotRequest {
   std::uint64_t number = 0;  // increases with each request of this incarnation
   ServiceName service;
   Duration goal_left{0};  // until the first event would miss its goal
   Duration time_left{0};  // until the caller's deadline
   // a retry of a refused request: serving it late is better than refusing it again
-  bool last_chance = false;
+  bool last_try = false;
   bool may_queue = false;        // the allocator may queue it if no slot is free
   std::vector<BackendId> tried;  // backend servers to exclude
 };
 
-struct PlaceAnswer {
+struct SlotResponse {
   enum class Kind : std::uint8_t {
-    kPlaced,  // `backend` has a slot, which is reserved for the request for a while
-    kQueued,  // another response follows
-    kFull,    // no slot will be free in time
+    kAssigned,  // `backend` has a slot, which is reserved for the request for a while
+    kQueued,    // another response follows
+    kFull,      // no slot will be free in time
     // The allocator owns no backend server of the service: it has not read the list of backend
     // servers yet, or its list is outdated, or all of them are leaving. Other allocators may have
     // slots.
-    kNotKept,
+    kNotOwned,
   };
   std::uint64_t number = 0;
   Kind kind = Kind::kFull;
   BackendId backend;
   Duration wait{0};  // expected time until a slot is free
   // For a refused request that could have been queued: delay before the caller should retry.
-  Duration come_back{0};
+  Duration retry_after{0};
 };
 
 // Batch items of one entry that wait for a slot and have the same due time; either all of them have
@@ -86,29 +86,30 @@
 
   StoreTime due{0};
   int items = 0;
-  bool begun = false;  // started before; resumed before other items that can be in time
+  bool started = false;  // started before; resumed before other items that can be in time
   // Sort key: the items that run first come first.
-  [[nodiscard]] std::pair<bool, StoreTime> order() const { return {!begun, due}; }
+  [[nodiscard]] std::pair<bool, StoreTime> order() const { return {!started, due}; }
   bool operator==(const WaitingItems&) const = default;
 };
-[[nodiscard]] int CountOf(std::span<const WaitingItems> waiting);
+[[nodiscard]] int CountItems(std::span<const WaitingItems> waiting);
 
 // From an entry to an allocator. All counts are absolute, so only the latest report counts.
-struct PlaceReport {
+struct SlotReport {
   struct Line {
     BackendId backend;
     int online = 0;
     int batch = 0;
-    Duration usual_run{0};  // typical run time of its online requests there; 0: none has ended yet
+    Duration typical_run_time{
+        0};  // typical run time of its online requests there; 0: none has ended yet
     // Outcomes of its sends there since the entry started.
     std::uint64_t answers = 0;
     std::uint64_t faults = 0;
     IncarnationTag incarnation = {};
   };
-  std::uint64_t number = 0;  // increases with each report of this incarnation
-  std::uint64_t grant = 0;   // number of the last grant that this entry has applied
+  std::uint64_t number = 0;       // increases with each report of this incarnation
+  std::uint64_t acked_grant = 0;  // number of the last grant that this entry has applied
   // Numbers of the slot requests whose responses this entry has processed since its last report.
-  std::vector<std::uint64_t> asked;
+  std::vector<std::uint64_t> acked_requests;
   // Batch items that could start now, in the order in which they would start.
   std::vector<WaitingItems> waiting;
   std::vector<Line> lines;
@@ -118,7 +119,7 @@
 };
 
 // From an allocator to an entry.
-struct PlaceGrant {
+struct SlotGrant {
   struct Line {
     BackendId backend;
     int online_other = 0;  // slots used by all entries but the receiver
@@ -129,29 +130,29 @@
   };
   // Slots of one service on all backend servers that the allocator owns, and how many of them are
   // used by online requests.
-  struct ServiceUse {
+  struct ServiceUsage {
     ServiceName service;
-    int places = 0;
+    int slots = 0;
     int online = 0;
-    bool operator==(const ServiceUse&) const = default;
+    bool operator==(const ServiceUsage&) const = default;
   };
   std::uint64_t number = 0;
   std::vector<Line> lines;
   // Sent to entries of other data centres in place of lines for the backend servers that they don't
   // use: they need to know which allocator to ask, not the state of each of its backend servers.
-  std::vector<ServiceUse> services;
+  std::vector<ServiceUsage> services;
 };
 
 struct PeerMessage {
   Peer from;
-  std::optional<PlaceReport> report;
-  std::optional<PlaceGrant> grant;
-  std::optional<PlaceAsk> ask;
-  std::optional<PlaceAnswer> answer;
-  std::vector<Peer> known;  // peers that the sender knows; sent on first contact
-  enum class Wants : std::uint8_t { kNothing, kAnswer, kKnown };
-  Wants wants = Wants::kNothing;
-  std::optional<QuotaAsk> quota_ask;
+  std::optional<SlotReport> report;
+  std::optional<SlotGrant> grant;
+  std::optional<SlotRequest> slot_request;
+  std::optional<SlotResponse> slot_response;
+  std::vector<Peer> known_peers;  // peers that the sender knows; sent on first contact
+  enum class WantedReply : std::uint8_t { kNone, kAny, kKnownPeers };
+  WantedReply wanted_reply = WantedReply::kNone;
+  std::optional<QuotaRequest> quota_request;
   std::optional<QuotaGrant> quota_grant;
 };
 
--- a/include/figmill/peers.h
+++ b/include/figmill/peers.h
@@ -33,14 +33,14 @@
 };
 
 // A backend server as its allocator sees it.
-struct KeptBackend {
+struct ManagedBackend {
   ServiceName service;
   // 0 while it is draining: no new requests go there, and batch items are preempted
-  int places = 0;
+  int slots = 0;
   // No new requests go there; running ones keep their slots until they end.
   bool frozen = false;
   BackendIncarnation incarnation = {};
-  bool operator==(const KeptBackend&) const = default;
+  bool operator==(const ManagedBackend&) const = default;
 };
 
 // Tracks the entries and detects failed ones. A peer that the store lists counts as live until some
@@ -50,9 +50,9 @@
 class PeerTable {
  public:
   // A monitored peer is probed after this long without a message from it. It counts as failed after
-  // kSilence: two replies in a row were lost.
-  static constexpr Duration kPresence{1'000'000};
-  static constexpr Duration kSilence{2'300'000};
+  // kFailureTimeout: two replies in a row were lost.
+  static constexpr Duration kProbeInterval{1'000'000};
+  static constexpr Duration kFailureTimeout{2'300'000};
   // With up to this many others, an entry monitors all of them.
   static constexpr std::size_t kMonitorAllLimit = 16;
   // In a larger fleet it monitors this many peers of any data centre, in hash order, and this many
@@ -77,30 +77,30 @@
   explicit PeerTable(Peer self) : self_(std::move(self)) {}
 
   // Adds a peer that the store lists or that another peer knows. Returns true if it is new here.
-  bool Named(const Peer& peer);
+  bool AddListed(const Peer& peer);
   // The store no longer lists the peer.
-  void Unlisted(const NodeId& node);
+  void MarkUnlisted(const NodeId& node);
   // Records a message from the peer itself. Returns true if it wasn't live before.
-  bool Heard(const Peer& peer, Time now);
+  bool RecordMessage(const Peer& peer, Time now);
   // Marks the peer as not live until the next message from it.
   void Suspect(const NodeId& node);
   void SetLeaving(bool leaving) { self_.leaving = leaving; }
   // This entry has read the list of backend servers. Returns true if it was joining before.
-  bool Joined();
+  bool FinishJoining();
   // Other entries know a process under this entry's name with the incarnation `known`. If that is
   // higher than this process's own, takes a higher one and returns true. Incarnations are made from
   // the time of day, which may jump back; a process that starts then would be taken for an earlier
   // one, and be granted nothing.
-  bool Outlive(Incarnation known);
+  bool RaiseIncarnation(Incarnation known);
   // Returns what is known of a later process under the peer's name; null if there is none.
-  [[nodiscard]] const Peer* LaterThan(const Peer& peer) const;
+  [[nodiscard]] const Peer* FindLaterProcess(const Peer& peer) const;
 
   [[nodiscard]] const Peer& self() const { return self_; }
   [[nodiscard]] bool IsLive(const NodeId& node, Time now) const;
-  // Whether more than half of the monitored peers have sent a message within kSilence; true if
-  // there are none to monitor. An entry that is cut off hears from no peer, whatever it believes
+  // Whether more than half of the monitored peers have sent a message within kFailureTimeout; true
+  // if there are none to monitor. An entry that is cut off hears from no peer, whatever it believes
   // about their state.
-  [[nodiscard]] bool HearsMost(Time now);
+  [[nodiscard]] bool HearsMajority(Time now);
   [[nodiscard]] const Peer* Find(const NodeId& node) const;
   // All known peers, live or not, without this entry. The list is in the order of names, rotated to
   // start after this entry, so that a truncated list continues with the
@@ -108,17 +108,18 @@
   [[nodiscard]] std::vector<Peer> others() const;
   [[nodiscard]] std::vector<Peer> Live(Time now) const;  // including this entry
 
-  struct Watch {
-    // Monitored peers without a message for kPresence; also some of the suspected and joining ones,
-    // in turn, because the message that they are alive or have joined may have been lost.
-    std::vector<Peer> to_ask;
-    std::vector<Peer> silent;  // detected as failed by this call, and suspected from now on
+  struct CheckResult {
+    // Monitored peers without a message for kProbeInterval; also some of the suspected and joining
+    // ones, in turn, because the message that they are alive or have joined may have been lost.
+    std::vector<Peer> to_probe;
+    std::vector<Peer>
+        newly_suspected;  // detected as failed by this call, and suspected from now on
   };
-  // Call it every kPresence / 2.
-  [[nodiscard]] Watch WatchOthers(Time now);
+  // Call it every kProbeInterval / 2.
+  [[nodiscard]] CheckResult CheckPeers(Time now);
 
   // Live peers that have joined, are not leaving, and whose hosts have capacity to spare.
-  [[nodiscard]] std::vector<Peer> Capable(Time now) const;
+  [[nodiscard]] std::vector<Peer> EligiblePeers(Time now) const;
   // The eligible peers in the order of the rendezvous hash for `key`, which is the same at all
   // entries.
   [[nodiscard]] std::vector<Peer> RankedFor(std::string_view key, Time now) const;
@@ -128,8 +129,8 @@
                                             Time now) const;
   // The allocators of a data centre with `backends` backend servers, in an order that is the same
   // at all entries.
-  [[nodiscard]] std::vector<Peer> KeepersOf(const DataCentre& data_centre, std::size_t backends,
-                                            Time now) const;
+  [[nodiscard]] std::vector<Peer> AllocatorsOf(const DataCentre& data_centre, std::size_t backends,
+                                               Time now) const;
   // Increases when a peer is added or removed, or when one starts or stops being live or eligible.
   // Pass the current time, because a peer may stop being live by timeout alone.
   [[nodiscard]] std::uint64_t Generation(Time now);
@@ -148,8 +149,8 @@
   // The others that are not gone, in hash order, starting after this entry.
   [[nodiscard]] std::vector<PeerState*> HashRing();
   [[nodiscard]] std::vector<PeerState*> MonitoredPeers(const std::vector<PeerState*>& ring) const;
-  static void CheckPeer(PeerState& state, Watch& watch, Time now);
-  void ProbeInTurn(const std::vector<PeerState*>& ring, Watch& watch, Time now);
+  static void CheckPeer(PeerState& state, CheckResult& result, Time now);
+  void ProbeInTurn(const std::vector<PeerState*>& ring, CheckResult& result, Time now);
 
   Peer self_;
   std::map<NodeId, PeerState> others_;
@@ -160,12 +161,12 @@
 
 // The allocator of a backend server, out of the allocators of its data centre; null if there are
 // none.
-[[nodiscard]] const Peer* KeeperAmong(std::span<const Peer> allocators, const BackendId& backend);
+[[nodiscard]] const Peer* AllocatorFor(std::span<const Peer> allocators, const BackendId& backend);
 
 // Which backend servers this entry owns as allocator, and which it uses. An entry uses the backend
 // servers of a few allocators only, so that its cost doesn't grow with the fleet. Entries that are
 // neighbours in the shared order use overlapping sets, so that all allocators are used evenly.
-class KeeperMap {
+class AllocatorMap {
  public:
   // Allocators of its own data centre that an entry uses. With 6 to 10 backend servers each, that
   // is enough to find a free slot if the fleet as a whole has any.
@@ -181,9 +182,13 @@
   bool Update(PeerTable& peers, Time now);
 
   // By id of the backend server: its allocator.
-  [[nodiscard]] const std::map<BackendId, Peer>& used() const { return used_; }
-  [[nodiscard]] const std::vector<BackendInfo>& used_infos() const { return used_infos_; }
-  [[nodiscard]] const std::map<BackendId, KeptBackend>& kept() const { return kept_; }
+  [[nodiscard]] const std::map<BackendId, Peer>& used_allocators() const {
+    return used_allocators_;
+  }
+  [[nodiscard]] const std::vector<BackendInfo>& used_backends() const { return used_backends_; }
+  [[nodiscard]] const std::map<BackendId, ManagedBackend>& owned_backends() const {
+    return owned_backends_;
+  }
 
  private:
   [[nodiscard]] static std::vector<Peer> ChooseAllocators(const std::vector<Peer>& allocators,
@@ -191,9 +196,9 @@
   void AddUsed(const BackendInfo& info, const Peer& allocator);
 
   std::vector<BackendInfo> backends_;
-  std::map<BackendId, Peer> used_;
-  std::vector<BackendInfo> used_infos_;
-  std::map<BackendId, KeptBackend> kept_;
+  std::map<BackendId, Peer> used_allocators_;
+  std::vector<BackendInfo> used_backends_;
+  std::map<BackendId, ManagedBackend> owned_backends_;
   std::uint64_t peers_generation_ = 0;
   bool backends_changed_ = false;
 };
--- a/include/figmill/quarantine.h
+++ b/include/figmill/quarantine.h
@@ -57,9 +57,9 @@
 
 // Reports are stored as rows of a shared table. `seen_by` and `attempt` are for people who read the
 // rows.
-[[nodiscard]] std::string RowKeyOf(const Crash& crash);
-[[nodiscard]] std::string RowValueOf(const CrashReport& report, const NodeId& seen_by,
-                                     std::string_view attempt);
+[[nodiscard]] std::string CrashRowKey(const Crash& crash);
+[[nodiscard]] std::string CrashRowValue(const CrashReport& report, const NodeId& seen_by,
+                                        std::string_view attempt);
 // Errors: kBadRequest, with the cause.
 [[nodiscard]] Result<Crash> ParseCrashKey(std::string_view key);
 [[nodiscard]] Result<CrashReport> ParseCrashRow(const TableRow& row);
@@ -92,19 +92,19 @@
   void Add(const CrashReport& report, Time seen_at);
   void Remove(const Crash& crash);
   // Chain length of a crash in a run that started at `started_at`.
-  [[nodiscard]] int ChainOf(const RequestFingerprint& request, Time started_at) const;
+  [[nodiscard]] int NextChainLength(const RequestFingerprint& request, Time started_at) const;
 
   // Time until the request may run here as work of this class; nullopt: it may run now.
   [[nodiscard]] std::optional<Duration> TimeLeft(const RequestFingerprint& request, WorkClass work,
                                                  Time now) const;
   // Length of the request's longest chain of crashes; 0 without reports.
-  [[nodiscard]] int ChainOf(const RequestFingerprint& request) const;
+  [[nodiscard]] int ChainLength(const RequestFingerprint& request) const;
   // A run of the request starts.
-  void Began(const RequestFingerprint& request, Time now);
+  void RecordStart(const RequestFingerprint& request, Time now);
   // A run of the request has ended with a complete answer. Returns the reports that this withdraws.
-  [[nodiscard]] std::vector<Crash> Completed(const RequestFingerprint& request);
+  [[nodiscard]] std::vector<Crash> RecordCompletion(const RequestFingerprint& request);
   // The reports beyond kMaxReports: those of the shortest chains, and of these the oldest.
-  [[nodiscard]] std::vector<Crash> Surplus() const;
+  [[nodiscard]] std::vector<Crash> ExcessReports() const;
 
   [[nodiscard]] std::size_t reports() const { return reports_; }
   // Number of requests whose chain is long enough for a quarantine of online requests.
--- a/include/figmill/quota.h
+++ b/include/figmill/quota.h
@@ -27,12 +27,12 @@
 // --- Messages ----------------------------------------------------------------------
 
 // From an entry to the owner of a team's quota.
-struct QuotaAsk {
+struct QuotaRequest {
   std::uint64_t number = 0;  // increases with each request of this process
   TeamId team;
   std::uint32_t wanted = 0;    // credits requested
   std::uint32_t returned = 0;  // unspent credits of earlier grants that have expired
-  bool operator==(const QuotaAsk&) const = default;
+  bool operator==(const QuotaRequest&) const = default;
 };
 
 struct QuotaGrant {
@@ -58,7 +58,7 @@
   [[nodiscard]] Duration CreditLifetime() const;
   // Number of entries that may admit a team's requests on their own while its owner doesn't
   // respond.
-  [[nodiscard]] std::size_t FreeEntries() const { return slack / 2; }
+  [[nodiscard]] std::size_t FallbackEntries() const { return slack / 2; }
 };
 
 // A token bucket.
@@ -92,10 +92,10 @@
   // Forgets all buckets. Call it when this process may have lost the ownership of quotas without
   // noticing, because it was stopped or cut off: another entry may have granted the same credits
   // meanwhile.
-  void Restart(Time now);
+  void Reset(Time now);
   // The set of live entries has changed: forgets the quotas that this process no longer owns.
   void OnEntriesChanged(const std::function<bool(const TeamId&)>& owns, Time now);
-  [[nodiscard]] QuotaGrant Grant(const QuotaAsk& ask, const Team& team, Time now);
+  [[nodiscard]] QuotaGrant Grant(const QuotaRequest& request, const Team& team, Time now);
   [[nodiscard]] std::size_t tracked() const { return buckets_.size(); }
 
  private:
@@ -110,16 +110,16 @@
 struct Admitted {
   Time charged_at{};
 };
-// The decision follows from OnGrant or OnTime.
-struct Waits {};
-using Verdict = std::variant<Admitted, Waits, Error>;
+// The decision follows from OnGrant or ApplyTimeouts.
+struct Pending {};
+using AdmitResult = std::variant<Admitted, Pending, Error>;
 
 // Decision on a request that had to wait. The error is kTeamLimit, or kNoBackend if the owner
 // doesn't respond and this entry's fallback share is used up; the request has not run in either
 // case.
 struct Decision {
   std::uint64_t ticket = 0;
-  Result<Admitted> verdict;
+  Result<Admitted> result;
 };
 
 }  // namespace quota
@@ -129,7 +129,7 @@
  public:
   // An owner responds within a few ms, or some tens of ms on a busy host. Requests to it may be
   // lost, so one is sent again before the owner counts as unresponsive.
-  static constexpr Duration kAskAgain{40'000};
+  static constexpr Duration kRetryInterval{40'000};
   static constexpr Duration kOwnerTimeout{100'000};
   // Interval at which an unresponsive owner is probed.
   static constexpr Duration kOwnerProbeInterval{250'000};
@@ -158,22 +158,22 @@
     Duration time_left{0};     // until the caller's deadline
   };
   // Charges a request to the team's quota.
-  [[nodiscard]] quota::Verdict Admit(const Team& team, const Entries& entries,
-                                     const Request& request, Time now);
+  [[nodiscard]] quota::AdmitResult Admit(const Team& team, const Entries& entries,
+                                         const Request& request, Time now);
   // Refunds a request that was refused after it was charged, and has not run.
-  void GiveBack(const TeamId& team, Time charged_at, Time now);
+  void Refund(const TeamId& team, Time charged_at, Time now);
   void OnGrant(const QuotaGrant& grant, Time now);
   // The team's quota has a new owner, which has not missed a deadline yet.
   void OnOwnerChanged(const TeamId& team);
-  // Applies timeouts; call it every kAskAgain / 2 while `waits` is true.
-  void OnTime(Time now);
+  // Applies timeouts; call it every kRetryInterval / 2 while `waits` is true.
+  void ApplyTimeouts(Time now);
 
   // Requests to send now, each to its team's owner; call both functions after each of the above.
-  [[nodiscard]] std::vector<QuotaAsk> TakeAsks() { return std::exchange(requests_, {}); }
+  [[nodiscard]] std::vector<QuotaRequest> TakeRequests() { return std::exchange(requests_, {}); }
   [[nodiscard]] std::vector<quota::Decision> TakeDecisions() {
     return std::exchange(decisions_, {});
   }
-  [[nodiscard]] bool waits() const { return waiting_ > 0; }
+  [[nodiscard]] bool has_waiting() const { return waiting_ > 0; }
   [[nodiscard]] const QuotaBounds& bounds() const { return bounds_; }
   [[nodiscard]] std::size_t tracked() const { return teams_.size(); }
 
@@ -214,19 +214,19 @@
   void DropExpired(TeamState& team, Time now) const;
   void CountArrival(TeamState& team, Time now) const;
   void SendRequest(TeamState& team, Time now);
-  // Whether a request to the owner may still be answered; those that are older than kAskAgain don't
-  // count.
+  // Whether a request to the owner may still be answered; those that are older than kRetryInterval
+  // don't count.
   [[nodiscard]] static bool HasPendingRequest(TeamState& team, Time now);
   [[nodiscard]] Result<quota::Admitted> ChargeFallbackShare(TeamState& team, Time now) const;
   [[nodiscard]] static Error RateLimitError(TeamState& team, Duration time_left, Time now);
-  void DecideFirst(TeamState& team, Result<quota::Admitted> verdict);
+  void DecideFirst(TeamState& team, Result<quota::Admitted> result);
   void EvictIdle(Time now);
 
   QuotaBounds bounds_;
   std::map<TeamId, TeamState> teams_;
   std::uint64_t last_number_ = 0;
   std::size_t waiting_ = 0;
-  std::vector<QuotaAsk> requests_;
+  std::vector<QuotaRequest> requests_;
   std::vector<quota::Decision> decisions_;
 };
 
--- a/include/figmill/sharing.h
+++ b/include/figmill/sharing.h
@@ -2,7 +2,7 @@
 
 // Shares the slots of backend servers among entries without a round trip for each request. Each
 // backend server is owned by one allocator: the entry of its data centre that wins the rendezvous
-// hash (called its keeper in peers.h, in the peer messages and in log lines). Entries report to the
+// hash (called its keeper in log lines). Entries report to the
 // allocator how many of its slots they use, in absolute numbers. The allocator replies with grants:
 // how many slots the other entries use, and how many batch items each entry may run on each backend
 // server. Any message may be lost or delayed, because the next one repeats the whole state. Online
@@ -35,7 +35,7 @@
  public:
   struct Entry {
     NodeId from;
-    PlaceAsk request;
+    SlotRequest request;
     Time goal_deadline{};
     Time caller_deadline{};  // when it stops waiting
   };
@@ -97,16 +97,16 @@
 
   // Sets the backend servers that this entry owns now. State of an earlier incarnation is dropped:
   // its slots are free, and its faults are forgotten.
-  void SetOwnedBackends(const std::map<BackendId, KeptBackend>& backends, Time now);
+  void SetOwnedBackends(const std::map<BackendId, ManagedBackend>& backends, Time now);
   // `local`: the entry is in this data centre.
-  void OnReport(const Peer& from, bool local, const PlaceReport& report, Time now);
-  void OnRequest(const NodeId& from, const PlaceAsk& request, Time now);
+  void OnReport(const Peer& from, bool local, const SlotReport& report, Time now);
+  void OnRequest(const NodeId& from, const SlotRequest& request, Time now);
   void RemoveEntry(const NodeId& entry, Time now);
 
   struct Outgoing {
     NodeId to;
-    std::optional<PlaceGrant> grant;
-    std::optional<PlaceAnswer> answer;
+    std::optional<SlotGrant> grant;
+    std::optional<SlotResponse> answer;
   };
   // Applies timeouts and expiries; call it once every kCoalesce.
   void Tick(Time now);
@@ -145,7 +145,7 @@
     Time until{};
   };
   struct OwnedBackend {
-    KeptBackend info;
+    ManagedBackend info;
     Time since{};
     std::map<NodeId, EntryShare> shares;
     std::vector<Reservation> reserved;
@@ -198,43 +198,43 @@
   // Slots granted to the entry on other backend servers of the service that it has not reported as
   // used yet.
   [[nodiscard]] int UnusedGrantsElsewhere(const NodeId& entry, const OwnedBackend& except) const;
-  bool TryAssignSlot(const NodeId& from, const PlaceAsk& request, Time now);
+  bool TryAssignSlot(const NodeId& from, const SlotRequest& request, Time now);
   void ServeQueue(Time now);
   void ExpireReservations(Time now);
-  void Answer(const NodeId& to, PlaceAnswer answer);
+  void Answer(const NodeId& to, SlotResponse answer);
   // No slot will be free in time. An allocator that owns no eligible backend server answers
-  // kNotKept: with kFull the request would be refused although other allocators may have free
+  // kNotOwned: with kFull the request would be refused although other allocators may have free
   // slots.
-  void AnswerNoSlot(const NodeId& to, const PlaceAsk& request, std::optional<Duration> wait);
+  void AnswerNoSlot(const NodeId& to, const SlotRequest& request, std::optional<Duration> wait);
   void RecordQueueOutcome(const SlotRequestQueue::Entry& entry, bool served, Time now);
   // Tells the caller when to retry.
-  void Refuse(const NodeId& to, const PlaceAsk& request, Duration wait, Time now);
-  [[nodiscard]] bool ShouldQueue(const PlaceAsk& request, std::size_t ahead, Duration wait,
+  void Refuse(const NodeId& to, const SlotRequest& request, Duration wait, Time now);
+  [[nodiscard]] bool ShouldQueue(const SlotRequest& request, std::size_t ahead, Duration wait,
                                  Time now);
   [[nodiscard]] static bool IsEligible(const BackendId& id, const OwnedBackend& owned,
-                                       const PlaceAsk& request);
-  [[nodiscard]] ExpectedCompletions CompletionsWithin(const PlaceAsk& request, Duration span,
+                                       const SlotRequest& request);
+  [[nodiscard]] ExpectedCompletions CompletionsWithin(const SlotRequest& request, Duration span,
                                                       Time now) const;
   [[nodiscard]] Duration TypicalRunTime(const ServiceName& service) const;
-  [[nodiscard]] int SlotsFor(const PlaceAsk& request) const;
+  [[nodiscard]] int SlotsFor(const SlotRequest& request) const;
   // Expected time until a request queued at `position` gets a slot; nullopt if no eligible backend
   // server is owned here.
-  [[nodiscard]] std::optional<Duration> ExpectedWait(const PlaceAsk& request,
+  [[nodiscard]] std::optional<Duration> ExpectedWait(const SlotRequest& request,
                                                      std::size_t position) const;
-  static void RecordOutcomes(OwnedBackend& owned, EntryShare& share, const PlaceReport::Line& line,
+  static void RecordOutcomes(OwnedBackend& owned, EntryShare& share, const SlotReport::Line& line,
                              Time now);
   // Ejects and readmits backend servers for all entries at once.
   void UpdateEjections(Time now);
   void UpdateRunTime(const ServiceName& service, Duration usual);
   // Free slots of the service, less those that are reserved for online requests.
   [[nodiscard]] int SpareSlots(const ServiceName& service) const;
-  void ClearUnreported(const NodeId& entry, const PlaceReport& report, Time now);
-  [[nodiscard]] PlaceGrant GrantFor(const NodeId& node, EntryState& entry, Time now);
+  void ClearUnreported(const NodeId& entry, const SlotReport& report, Time now);
+  [[nodiscard]] SlotGrant GrantFor(const NodeId& node, EntryState& entry, Time now);
   // Whether an entry of another data centre needs the line of this backend server. Also records the
   // values that the line will carry.
   [[nodiscard]] static bool NeedsLine(const OwnedBackend& owned, EntryShare& share,
                                       const EntryState& entry);
-  [[nodiscard]] std::vector<PlaceGrant::ServiceUse> ServiceUses() const;
+  [[nodiscard]] std::vector<SlotGrant::ServiceUsage> ServiceUses() const;
   void MarkOthersChanged(const OwnedBackend& owned, const NodeId& except);
   // Recomputes which entries are idle, once per Tick. Doing it for each message took 2% of a core
   // on an allocator of ten backend servers for 38 entries (estimated).
@@ -257,14 +257,14 @@
 namespace search {
 
 struct Answered {
-  PlaceAnswer answer;
+  SlotResponse answer;
 };
 struct TimedOut {};
 using Event = std::variant<Answered, TimedOut>;
 
 struct AskAllocator {
   NodeId allocator;
-  PlaceAsk request;
+  SlotRequest request;
   Duration timeout{0};  // then TimedOut
 };
 // The allocator has queued the request and will answer again.
@@ -292,7 +292,7 @@
   static constexpr std::size_t kMaxAsked = 3;
 
   // `allocators`: in the order in which they are asked.
-  SlotSearch(PlaceAsk request, std::vector<NodeId> allocators, Time now);
+  SlotSearch(SlotRequest request, std::vector<NodeId> allocators, Time now);
 
   [[nodiscard]] search::Action Start(Time now);
   [[nodiscard]] search::Action OnEvent(const search::Event& event, Time now);
@@ -302,7 +302,7 @@
   [[nodiscard]] search::Action AskNextAllocator(Time now);
   [[nodiscard]] search::Action RequestFrom(const NodeId& allocator, Time now);
 
-  PlaceAsk request_;
+  SlotRequest request_;
   std::vector<NodeId> allocators_;
   std::size_t next_ = 0;
   // The full allocator with the shortest expected wait.
--- a/include/figmill/teams.h
+++ b/include/figmill/teams.h
@@ -47,7 +47,7 @@
 
   // Returns null if no team has the key. The time of the comparison doesn't depend on the position
   // of the first difference.
-  [[nodiscard]] const Team* HolderOf(std::string_view key) const;
+  [[nodiscard]] const Team* FindByKey(std::string_view key) const;
   [[nodiscard]] const Team* Find(const TeamId& name) const;
   [[nodiscard]] std::span<const Team> teams() const { return teams_; }
 
@@ -82,7 +82,7 @@
 
   // The store has confirmed the configuration as of `requested_at`.
   void Confirm(HostTime requested_at);
-  [[nodiscard]] bool Holds(HostTime now) const;
+  [[nodiscard]] bool IsValid(HostTime now) const;
   // Time since the last confirmation; nullopt before the first.
   [[nodiscard]] std::optional<Duration> Age(HostTime now) const;
 
--- a/src/gateway/crash_watch.cc
+++ b/src/gateway/crash_watch.cc
@@ -57,13 +57,13 @@
 
 void CrashWatch::Report(const LostSend& lost, Time seen_at) {
   const Crash crash{lost.request, lost.backend.id, lost.backend.incarnation};
-  const CrashReport report{crash, quarantine_.ChainOf(lost.request, lost.begun_at)};
+  const CrashReport report{crash, quarantine_.NextChainLength(lost.request, lost.begun_at)};
   const std::size_t before = quarantine_.quarantined();
   quarantine_.Add(report, seen_at);
   reported_.Add();
   LogChange(lost.request, before);
-  Write(crash, RowValueOf(report, self_, lost.id));
-  for (const Crash& surplus : quarantine_.Surplus()) {
+  Write(crash, CrashRowValue(report, self_, lost.id));
+  for (const Crash& surplus : quarantine_.ExcessReports()) {
     quarantine_.Remove(surplus);
     Write(surplus, std::nullopt);
   }
@@ -74,18 +74,18 @@
   const std::optional<Duration> left = quarantine_.TimeLeft(request, work, Loop::Now());
   if (!left) return std::nullopt;
   const std::string why = "in quarantine: fingerprint " + request.value + " crashed " +
-                          std::to_string(quarantine_.ChainOf(request)) +
+                          std::to_string(quarantine_.ChainLength(request)) +
                           " backend servers one after the other";
   return Error{ErrorKind::kQuarantined, why, Ran::kNo, left};
 }
 
 void CrashWatch::Began(const RequestFingerprint& request) {
-  quarantine_.Began(request, Loop::Now());
+  quarantine_.RecordStart(request, Loop::Now());
 }
 
 void CrashWatch::Completed(const RequestFingerprint& request) {
   const std::size_t before = quarantine_.quarantined();
-  for (const Crash& crash : quarantine_.Completed(request)) Write(crash, std::nullopt);
+  for (const Crash& crash : quarantine_.RecordCompletion(request)) Write(crash, std::nullopt);
   LogChange(request, before);
 }
 
@@ -98,7 +98,7 @@
       quarantine_.TimeLeft(request, WorkClass::kOnline, Loop::Now());
   Log(LogLevel::kWarning, now > quarantined_before ? "request_quarantined" : "request_released",
       {{"fingerprint", request.value},
-       {"chain", std::to_string(quarantine_.ChainOf(request))},
+       {"chain", std::to_string(quarantine_.ChainLength(request))},
        {"for_ms", left ? Milliseconds(*left) : ""}});
 }
 
@@ -127,7 +127,7 @@
 }
 
 void CrashWatch::Write(const Crash& crash, std::optional<std::string> value) {
-  unwritten_[RowKeyOf(crash)] = std::move(value);
+  unwritten_[CrashRowKey(crash)] = std::move(value);
   // What a backend server's end brings up goes out together.
   loop_.Post([this] { Flush(); });
 }
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -103,10 +103,10 @@
         peers_(SelfOf(settings)),
         link_(loop_, peers_, places_, metrics_, traffic_,
               {[this] { return runner_.Waiting(); }, [this] { runner_.Pump(); },
-               [this](const PlaceAnswer& answer) { finder_.OnAnswer(answer); },
+               [this](const SlotResponse& answer) { finder_.OnAnswer(answer); },
                [this](const Peer& peer) { control_.RemoveMember(peer); },
                [this](const Peer& self) { control_.Rename(self); },
-               [this](const Peer& from, const QuotaAsk& ask) { teams_.OnAsk(from, ask); },
+               [this](const Peer& from, const QuotaRequest& ask) { teams_.OnAsk(from, ask); },
                [this](const QuotaGrant& grant) { teams_.OnGrant(grant); }}),
         teams_(loop_, peers_, link_, metrics_, settings.teams),
         finder_(loop_, places_, link_),
@@ -154,7 +154,7 @@
     }
     jobs_.Start();
     crashes_.Start();
-    peers_timer_ = loop_.Every(PeerTable::kPresence, [this] { TellPeers(); });
+    peers_timer_ = loop_.Every(PeerTable::kProbeInterval, [this] { TellPeers(); });
     Log(LogLevel::kInfo, "started",
         {{"node", settings_.node.value},
          {"incarnation", std::to_string(peers_.self().incarnation)}});
@@ -192,7 +192,7 @@
     set("figmill_requests_in_flight", "Requests without a final answer yet",
         static_cast<double>(door_.in_flight()));
     set("figmill_items_running", "Batch items that run", static_cast<double>(runner_.running()));
-    set("figmill_items_waiting", "Batch items that could run", CountOf(runner_.Waiting()));
+    set("figmill_items_waiting", "Batch items that could run", CountItems(runner_.Waiting()));
     set("figmill_jobs_owned", "Batch jobs that this entry owns",
         static_cast<double>(jobs_.owned()));
     set("figmill_peers_live", "Entries that are there, with this one",
@@ -220,7 +220,7 @@
   // By way of whom the store may be reached.
   void TellPeers() {
     std::vector<Address> peers;
-    for (const Peer& peer : peers_.Capable(Loop::Now())) {
+    for (const Peer& peer : peers_.EligiblePeers(Loop::Now())) {
       if (peer.node != peers_.self().node) peers.push_back(peer.address);
       if (peers.size() == kStorePeers) break;
     }
--- a/src/gateway/job_store.cc
+++ b/src/gateway/job_store.cc
@@ -137,7 +137,7 @@
 // This entry, unless its host is too small for more than its callers.
 Peer JobStore::OwnerOfNew(const JobId& job) const {
   const Time now = Loop::Now();
-  const std::vector<Peer> capable = peers_.Capable(now);
+  const std::vector<Peer> capable = peers_.EligiblePeers(now);
   const bool am_capable = std::any_of(capable.begin(), capable.end(), [this](const Peer& peer) {
     return peer.node == peers_.self().node;
   });
--- a/src/gateway/job_store.h
+++ b/src/gateway/job_store.h
@@ -20,7 +20,7 @@
 class JobStore {
  public:
   // A job whose owner is not heard of is taken over after this. The owner's death
-  // is known after PeerTable::kSilence; this leaves a restarted one time to come
+  // is known after PeerTable::kFailureTimeout; this leaves a restarted one time to come
   // back for its own.
   static constexpr Duration kTakeOverAfter{800'000};
   // After a try that failed. A store that turns writes away does so for seconds, and each
--- a/src/gateway/peer_link.cc
+++ b/src/gateway/peer_link.cc
@@ -12,9 +12,9 @@
 TrafficKind KindOf(const PeerMessage& message) {
   if (message.report) return TrafficKind::kReport;
   if (message.grant) return TrafficKind::kGrant;
-  if (message.ask) return TrafficKind::kAsk;
-  if (message.answer) return TrafficKind::kAnswer;
-  if (message.quota_ask || message.quota_grant) return TrafficKind::kQuota;
+  if (message.slot_request) return TrafficKind::kAsk;
+  if (message.slot_response) return TrafficKind::kAnswer;
+  if (message.quota_request || message.quota_grant) return TrafficKind::kQuota;
   return TrafficKind::kPresence;
 }
 
@@ -41,12 +41,12 @@
       [this](std::string_view bytes, const Address& from) { OnDatagram(bytes, from); }, &metrics_);
   if (!IsOk(socket)) return ErrorOf(socket);
   socket_ = std::move(ValueOf(socket));
-  AskSeeds(seeds, PeerMessage::Wants::kAnswer);
+  AskSeeds(seeds, PeerMessage::WantedReply::kAny);
   seeds_timer_ = loop_.After(kStorePatience, [this, seeds] {
-    if (!listed_) AskSeeds(seeds, PeerMessage::Wants::kKnown);
+    if (!listed_) AskSeeds(seeds, PeerMessage::WantedReply::kKnownPeers);
   });
   heartbeat_ = loop_.Every(kHeartbeat, [this] { Heartbeat(); });
-  watch_timer_ = loop_.Every(PeerTable::kPresence / 2, [this] { WatchPeers(); });
+  watch_timer_ = loop_.Every(PeerTable::kProbeInterval / 2, [this] { WatchPeers(); });
   grant_timer_ = loop_.Every(SlotAllocator::kCoalesce, [this] {
     keeper_.Tick(Loop::Now());
     LogEjections();
@@ -56,17 +56,17 @@
 }
 
 // Who they are is not known yet, so that no message to them counts as one to a peer.
-void PeerLink::AskSeeds(const std::vector<Address>& seeds, PeerMessage::Wants wants) {
+void PeerLink::AskSeeds(const std::vector<Address>& seeds, PeerMessage::WantedReply wants) {
   for (const Address& seed : seeds) {
     PeerMessage message;
     message.from = peers_.self();
-    message.wants = wants;
+    message.wanted_reply = wants;
     socket_->Send(Encode(message), seed);
   }
 }
 
 void PeerLink::Joined() {
-  if (!peers_.Joined()) return;
+  if (!peers_.FinishJoining()) return;
   Log(LogLevel::kInfo, "joined", {{"node", peers_.self().node.value}});
   TellAll();
   UpdateKeepers();
@@ -85,12 +85,12 @@
 void PeerLink::Named(const Peer& peer) {
   listed_ = true;
   if (peer.node == peers_.self().node) return Outlive(peer.incarnation);
-  if (peers_.Named(peer)) SendQuestion(peer, PeerMessage::Wants::kAnswer);
+  if (peers_.AddListed(peer)) SendQuestion(peer, PeerMessage::WantedReply::kAny);
 }
 
-void PeerLink::SendQuestion(const Peer& to, PeerMessage::Wants wants) {
+void PeerLink::SendQuestion(const Peer& to, PeerMessage::WantedReply wants) {
   PeerMessage message;
-  message.wants = wants;
+  message.wanted_reply = wants;
   Send(to, std::move(message));
 }
 
@@ -104,16 +104,16 @@
       Outlive(peer.incarnation);
       continue;
     }
-    if (!peers_.Named(peer)) continue;
-    if (last) SendQuestion(*last, PeerMessage::Wants::kAnswer);
+    if (!peers_.AddListed(peer)) continue;
+    if (last) SendQuestion(*last, PeerMessage::WantedReply::kAny);
     last = peer;
   }
-  if (last) SendQuestion(*last, PeerMessage::Wants::kKnown);
+  if (last) SendQuestion(*last, PeerMessage::WantedReply::kKnownPeers);
 }
 
 void PeerLink::Outlive(Incarnation known) {
   const Incarnation before = peers_.self().incarnation;
-  if (!peers_.Outlive(known)) return;
+  if (!peers_.RaiseIncarnation(known)) return;
   Log(LogLevel::kWarning, "incarnation_raised",
       {{"before", std::to_string(before)},
        {"known", std::to_string(known)},
@@ -124,7 +124,7 @@
 }
 
 void PeerLink::Unlisted(const NodeId& node) {
-  peers_.Unlisted(node);
+  peers_.MarkUnlisted(node);
 }
 
 void PeerLink::Send(const Peer& to, PeerMessage message) {
@@ -137,9 +137,9 @@
   socket_->Send(bytes, to.address);
 }
 
-void PeerLink::SendQuota(const Peer& to, const QuotaAsk& ask) {
+void PeerLink::SendQuota(const Peer& to, const QuotaRequest& ask) {
   PeerMessage message;
-  message.quota_ask = ask;
+  message.quota_request = ask;
   Send(to, std::move(message));
 }
 
@@ -165,14 +165,14 @@
   const Result<PeerMessage> decoded = DecodePeerMessage(bytes);
   if (!IsOk(decoded)) return OnUnreadable(from, ErrorOf(decoded).detail);
   const PeerMessage& message = ValueOf(decoded);
-  if (const Peer* later = peers_.LaterThan(message.from)) {
+  if (const Peer* later = peers_.FindLaterProcess(message.from)) {
     // Either it came late, or its sender has to be told.
     PeerMessage answer;
-    answer.known = {*later};
+    answer.known_peers = {*later};
     return Send(message.from, std::move(answer));
   }
   const Time now = Loop::Now();
-  if (peers_.Heard(message.from, now)) {
+  if (peers_.RecordMessage(message.from, now)) {
     Log(LogLevel::kInfo, "peer_live",
         {{"peer", message.from.node.value},
          {"incarnation", std::to_string(message.from.incarnation)},
@@ -180,23 +180,24 @@
     from_keeper_.erase(message.from.node);
     UpdateKeepers();
   }
-  LearnOf(message.known);
-  if (message.wants != PeerMessage::Wants::kNothing) {
+  LearnOf(message.known_peers);
+  if (message.wanted_reply != PeerMessage::WantedReply::kNone) {
     PeerMessage answer;
-    if (message.wants == PeerMessage::Wants::kKnown) answer.known = peers_.others();
+    if (message.wanted_reply == PeerMessage::WantedReply::kKnownPeers)
+      answer.known_peers = peers_.others();
     Send(message.from, std::move(answer));
   }
   if (message.report) {
     keeper_.OnReport(message.from, IsNear(message.from), *message.report, now);
     SendGrants();
   }
-  if (message.ask) {
-    keeper_.OnRequest(message.from.node, *message.ask, now);
+  if (message.slot_request) {
+    keeper_.OnRequest(message.from.node, *message.slot_request, now);
     SendGrants();
   }
   if (message.grant) OnGrant(message.from, *message.grant);
-  if (message.answer) hooks_.answered(*message.answer);
-  if (message.quota_ask) hooks_.quota_asked(message.from, *message.quota_ask);
+  if (message.slot_response) hooks_.answered(*message.slot_response);
+  if (message.quota_request) hooks_.quota_asked(message.from, *message.quota_request);
   if (message.quota_grant) hooks_.quota_granted(*message.quota_grant);
 }
 
@@ -205,9 +206,9 @@
 }
 
 void PeerLink::WatchPeers() {
-  const PeerTable::Watch watch = peers_.WatchOthers(Loop::Now());
-  for (const Peer& peer : watch.to_ask) SendQuestion(peer, PeerMessage::Wants::kAnswer);
-  for (const Peer& peer : watch.silent) {
+  const PeerTable::CheckResult watch = peers_.CheckPeers(Loop::Now());
+  for (const Peer& peer : watch.to_probe) SendQuestion(peer, PeerMessage::WantedReply::kAny);
+  for (const Peer& peer : watch.newly_suspected) {
     Log(LogLevel::kWarning, "peer_silent",
         {{"peer", peer.node.value}, {"incarnation", std::to_string(peer.incarnation)}});
     hooks_.silent(peer);
--- a/src/gateway/peer_link.h
+++ b/src/gateway/peer_link.h
@@ -21,12 +21,12 @@
   struct Hooks {
     std::function<std::vector<WaitingItems>()> waiting;  // batch items that could start now
     std::function<void()> grants_changed;
-    std::function<void(const PlaceAnswer&)> answered;
+    std::function<void(const SlotResponse&)> answered;
     // It was found silent: its row is to be taken out of the store.
     std::function<void(const Peer&)> silent;
     // This entry goes by another incarnation from now on.
     std::function<void(const Peer& self)> renamed;
-    std::function<void(const Peer& from, const QuotaAsk&)> quota_asked;
+    std::function<void(const Peer& from, const QuotaRequest&)> quota_asked;
     std::function<void(const QuotaGrant&)> quota_granted;
   };
   // Entries report to their keepers at least this often.
@@ -66,10 +66,10 @@
   // This entry's use of a backend server, or what it wants, has changed.
   void Touch(const BackendId& backend);
   void WantedChanged();
-  void Ask(const NodeId& keeper, const PlaceAsk& ask);
+  void Ask(const NodeId& keeper, const SlotRequest& ask);
   // This entry has acted on the keeper's answer, or wants no place any more.
   void ActedOn(const NodeId& keeper, std::uint64_t ask);
-  void SendQuota(const Peer& to, const QuotaAsk& ask);
+  void SendQuota(const Peer& to, const QuotaRequest& ask);
   void SendQuota(const Peer& to, const QuotaGrant& grant);
   // Keepers of a service's backend servers in the order in which to ask them for a
   // place: by the share that is free of what they keep, this data centre first.
@@ -80,10 +80,10 @@
   void OnDatagram(std::string_view bytes, const Address& from);
   void OnUnreadable(const Address& from, const std::string& why);
   void LearnOf(std::span<const Peer> peers);
-  void AskSeeds(const std::vector<Address>& seeds, PeerMessage::Wants wants);
+  void AskSeeds(const std::vector<Address>& seeds, PeerMessage::WantedReply wants);
   void TellAll();
-  void SendQuestion(const Peer& to, PeerMessage::Wants wants);
-  void OnGrant(const Peer& from, const PlaceGrant& grant);
+  void SendQuestion(const Peer& to, PeerMessage::WantedReply wants);
+  void OnGrant(const Peer& from, const SlotGrant& grant);
   void Outlive(Incarnation known);
   void Heartbeat();
   [[nodiscard]] bool IsNear(const Peer& peer) const;
@@ -94,7 +94,7 @@
   void ScheduleFlush();
   void Flush();
   struct ReportLines {
-    std::vector<PlaceReport::Line> lines;
+    std::vector<SlotReport::Line> lines;
     bool rest_unused = false;
   };
   void SendReport(const Peer& keeper, ReportLines lines);
@@ -108,7 +108,7 @@
     bool near = false;
   };
   void TakeToldUse(const NodeId& keeper, const ServiceName& service, KeeperShare& share) const;
-  [[nodiscard]] PlaceReport::Line LineOf(const BackendId& backend) const;
+  [[nodiscard]] SlotReport::Line LineOf(const BackendId& backend) const;
   [[nodiscard]] IncarnationTag TagOf(const BackendId& backend) const;
 
   Loop& loop_;
@@ -122,7 +122,7 @@
   Hooks hooks_;
   SlotAllocator keeper_{kReserve};
   std::unique_ptr<UdpSocket> socket_;
-  KeeperMap keepers_;
+  AllocatorMap keepers_;
   std::map<BackendId, Peer> keeper_of_;  // of the backend servers that are used
   // By keeper: the last grant acted on, and when one came or was first due.
   struct FromKeeper {
@@ -132,7 +132,7 @@
     Time reported_at{};
     Time all_reported_at{};  // with a line for each backend server
     // Of its services, if it tells them.
-    std::vector<PlaceGrant::ServiceUse> services;
+    std::vector<SlotGrant::ServiceUsage> services;
     // Since when this entry has used its places or waited for some; not now: nullopt.
     std::optional<Time> busy_since;
   };
--- a/src/gateway/peer_link_places.cc
+++ b/src/gateway/peer_link_places.cc
@@ -8,7 +8,7 @@
 namespace figmill {
 namespace {
 
-bool IsUnused(const PlaceReport::Line& line) {
+bool IsUnused(const SlotReport::Line& line) {
   return line.online == 0 && line.batch == 0;
 }
 
@@ -19,14 +19,14 @@
   UpdateKeepers();
 }
 
-void PeerLink::OnGrant(const Peer& from, const PlaceGrant& grant) {
+void PeerLink::OnGrant(const Peer& from, const SlotGrant& grant) {
   FromKeeper& keeper = from_keeper_[from.node];
   keeper.heard_at = Loop::Now();
   if (grant.number <= keeper.acted) return;
   keeper.acted = grant.number;
   keeper.services = grant.services;
   bool changed = false;
-  for (const PlaceGrant::Line& line : grant.lines) {
+  for (const SlotGrant::Line& line : grant.lines) {
     const auto mine = keeper_of_.find(line.backend);
     if (mine == keeper_of_.end() || mine->second.node != from.node) continue;
     if (!MayBeSame(line.incarnation, TagOf(line.backend))) {
@@ -50,7 +50,7 @@
   const Time now = Loop::Now();
   if (!keepers_.Update(peers_, now)) return;
   SyncPlaces();
-  for (const auto& [id, keeper] : keepers_.used()) {
+  for (const auto& [id, keeper] : keepers_.used_allocators()) {
     const auto before = keeper_of_.find(id);
     const bool changed = before == keeper_of_.end() || before->second.node != keeper.node ||
                          before->second.incarnation != keeper.incarnation;
@@ -59,18 +59,18 @@
     touched_.insert(id);
     from_keeper_.try_emplace(keeper.node, FromKeeper{0, now, {}, {}, {}, {}, {}});
   }
-  keeper_of_ = keepers_.used();
-  keeper_.SetOwnedBackends(keepers_.kept(), now);
+  keeper_of_ = keepers_.used_allocators();
+  keeper_.SetOwnedBackends(keepers_.owned_backends(), now);
   if (!touched_.empty()) ScheduleFlush();
 }
 
 void PeerLink::SyncPlaces() {
   std::vector<BackendId> gone;
   places_.ForEach([&](const BackendInfo& info, const SlotUsage& /*use*/) {
-    if (!keepers_.used().contains(info.id)) gone.push_back(info.id);
+    if (!keepers_.used_allocators().contains(info.id)) gone.push_back(info.id);
   });
   for (const BackendId& id : gone) places_.Remove(id);
-  for (const BackendInfo& info : keepers_.used_infos()) places_.AddOrUpdate(info);
+  for (const BackendInfo& info : keepers_.used_backends()) places_.AddOrUpdate(info);
 }
 
 void PeerLink::SuspectSilentKeepers() {
@@ -99,7 +99,7 @@
   UpdateKeepers();
   const Time now = Loop::Now();
   const bool waits = !hooks_.waiting().empty();
-  std::map<NodeId, std::vector<PlaceReport::Line>> lines;
+  std::map<NodeId, std::vector<SlotReport::Line>> lines;
   for (const auto& [backend, keeper] : keeper_of_) lines[keeper.node].push_back(LineOf(backend));
   for (auto& [node, each] : lines) {
     const Peer* peer = peers_.Find(node);
@@ -116,7 +116,7 @@
   }
 }
 
-PlaceReport::Line PeerLink::LineOf(const BackendId& backend) const {
+SlotReport::Line PeerLink::LineOf(const BackendId& backend) const {
   const SlotUsage use = places_.UsageOf(backend);
   return {backend, use.online, use.batch, use.usual_run, use.answers, use.faults, TagOf(backend)};
 }
@@ -161,12 +161,12 @@
 }
 
 void PeerLink::SendReport(const Peer& keeper, ReportLines lines) {
-  PlaceReport report;
+  SlotReport report;
   report.number = ++report_number_;
   FromKeeper& from_keeper = from_keeper_[keeper.node];
-  report.grant = from_keeper.acted;
+  report.acked_grant = from_keeper.acted;
   from_keeper.reported_at = Loop::Now();
-  report.asked = std::exchange(from_keeper.asks_acted, {});
+  report.acked_requests = std::exchange(from_keeper.asks_acted, {});
   report.waiting = hooks_.waiting();
   report.lines = std::move(lines.lines);
   report.rest_unused = lines.rest_unused;
@@ -193,7 +193,7 @@
     }
     PeerMessage message;
     message.grant = std::move(outgoing.grant);
-    message.answer = std::move(outgoing.answer);
+    message.slot_response = std::move(outgoing.answer);
     Send(*peer, std::move(message));
   }
 }
@@ -208,7 +208,7 @@
   }
 }
 
-void PeerLink::Ask(const NodeId& keeper, const PlaceAsk& ask) {
+void PeerLink::Ask(const NodeId& keeper, const SlotRequest& ask) {
   if (keeper == peers_.self().node) {
     keeper_.OnRequest(keeper, ask, Loop::Now());
     return SendGrants();
@@ -216,7 +216,7 @@
   const Peer* peer = peers_.Find(keeper);
   if (peer == nullptr) return;
   PeerMessage message;
-  message.ask = ask;
+  message.slot_request = ask;
   Send(*peer, std::move(message));
 }
 
@@ -231,10 +231,10 @@
                            KeeperShare& share) const {
   const auto from = from_keeper_.find(keeper);
   if (from == from_keeper_.end()) return;
-  for (const PlaceGrant::ServiceUse& use : from->second.services) {
-    if (use.service != service || use.places == 0) continue;
-    share.places = use.places;
-    share.free = std::max(0, use.places - use.online);
+  for (const SlotGrant::ServiceUsage& use : from->second.services) {
+    if (use.service != service || use.slots == 0) continue;
+    share.places = use.slots;
+    share.free = std::max(0, use.slots - use.online);
   }
 }
 
--- a/src/gateway/place_finder.cc
+++ b/src/gateway/place_finder.cc
@@ -21,7 +21,7 @@
   Search& operator=(const Search&) = delete;
 
   void Start() { Do(search_.Start(Loop::Now())); }
-  void OnAnswer(const PlaceAnswer& answer) {
+  void OnAnswer(const SlotResponse& answer) {
     if (done_) Do(search_.OnEvent(search::Answered{answer}, Loop::Now()));
   }
 
@@ -94,12 +94,12 @@
     done(places_.Choose(need.query, now));
     return nullptr;
   }
-  PlaceAsk ask;
+  SlotRequest ask;
   ask.number = ++next_ask_;
   ask.service = need.query.service;
   ask.goal_left = need.goal_left;
   ask.time_left = need.time_left;
-  ask.last_chance = need.last_chance;
+  ask.last_try = need.last_chance;
   ask.tried = not_there;
   auto search = std::make_shared<Search>(
       *this, need, SlotSearch(std::move(ask), std::move(keepers), now), std::move(done));
@@ -117,7 +117,7 @@
   return not_there;
 }
 
-void PlaceFinder::OnAnswer(const PlaceAnswer& answer) {
+void PlaceFinder::OnAnswer(const SlotResponse& answer) {
   const auto found = searches_.find(answer.number);
   if (found == searches_.end()) return;
   if (const auto search = found->second.lock()) search->OnAnswer(answer);
--- a/src/gateway/place_finder.h
+++ b/src/gateway/place_finder.h
@@ -40,7 +40,7 @@
   // destroyed. It is null when `done` was called already. Errors: kNoBackend,
   // kOverloaded (with the wait as retry_after); ran no.
   [[nodiscard]] std::shared_ptr<Search> Find(const Need& need, Done done);
-  void OnAnswer(const PlaceAnswer& answer);
+  void OnAnswer(const SlotResponse& answer);
 
  private:
   // Where the request may not go: where it was, and what fails or is silent to this entry. Its
--- a/src/gateway/team_access.cc
+++ b/src/gateway/team_access.cc
@@ -44,7 +44,7 @@
 
 bool TeamAccess::ready() const {
   const bool needs_keys = routes_ && routes_->teams() != nullptr;
-  return !needs_keys || lease_.Holds(Loop::SinceBoot());
+  return !needs_keys || lease_.IsValid(Loop::SinceBoot());
 }
 
 std::optional<Duration> TeamAccess::age() const {
@@ -64,7 +64,7 @@
   const TeamDirectory* teams = routes_ ? routes_->teams() : nullptr;
   if (teams == nullptr) return std::optional<TeamId>{};
   const Result<std::string_view> key = ParseBearer(request.headers);
-  const Team* team = IsOk(key) ? teams->HolderOf(std::get<std::string_view>(key)) : nullptr;
+  const Team* team = IsOk(key) ? teams->FindByKey(std::get<std::string_view>(key)) : nullptr;
   const bool open = route != nullptr && route->open;
   if (open && team == nullptr) return std::optional<TeamId>{};
   // An old configuration may lack the key, or still have one that was taken away.
@@ -97,14 +97,14 @@
   if (team == nullptr || !team->limited()) return done(quota::Admitted{Now()});
   const Owner& owner = OwnerOf(name);
   const std::uint64_t ticket = ++tickets_;
-  const quota::Verdict verdict =
+  const quota::AdmitResult verdict =
       client_.Admit(*team, {entries_, owner.free}, {ticket, time_left}, Now());
   std::visit(Overloaded{
                  [&](const quota::Admitted& admitted) {
                    Count("admitted");
                    done(admitted);
                  },
-                 [&](const quota::Waits&) { waiting_.emplace(ticket, std::move(done)); },
+                 [&](const quota::Pending&) { waiting_.emplace(ticket, std::move(done)); },
                  [&](const Error& error) {
                    Count(RowOf(error.kind).name);
                    done(error);
@@ -115,7 +115,7 @@
 }
 
 void TeamAccess::GiveBack(const TeamId& team, const quota::Admitted& admitted) {
-  client_.GiveBack(team, admitted.charged_at, Now());
+  client_.Refund(team, admitted.charged_at, Now());
 }
 
 void TeamAccess::OnGrant(const QuotaGrant& grant) {
@@ -127,14 +127,14 @@
 void TeamAccess::Flush() {
   if (std::exchange(flushing_, true)) return;
   for (bool more = true; more;) {
-    const std::vector<QuotaAsk> asks = client_.TakeAsks();
-    for (const QuotaAsk& ask : asks) Ask(ask);
+    const std::vector<QuotaRequest> asks = client_.TakeRequests();
+    for (const QuotaRequest& ask : asks) Ask(ask);
     std::vector<quota::Decision> decisions = client_.TakeDecisions();
     for (const quota::Decision& decision : decisions) {
       auto waiting = waiting_.extract(decision.ticket);
       if (waiting.empty()) continue;
-      Count(IsOk(decision.verdict) ? "admitted" : RowOf(ErrorOf(decision.verdict).kind).name);
-      waiting.mapped()(decision.verdict);
+      Count(IsOk(decision.result) ? "admitted" : RowOf(ErrorOf(decision.result).kind).name);
+      waiting.mapped()(decision.result);
     }
     more = !asks.empty() || !decisions.empty();
   }
@@ -142,7 +142,7 @@
   ArmTimer();
 }
 
-void TeamAccess::Ask(const QuotaAsk& ask) {
+void TeamAccess::Ask(const QuotaRequest& ask) {
   const Owner& owner = OwnerOf(ask.team);
   if (!owner.peer) return;
   if (owner.peer->node == peers_.self().node) return client_.OnGrant(GrantOf(ask), Now());
@@ -150,21 +150,21 @@
 }
 
 void TeamAccess::ArmTimer() {
-  if (!client_.waits() || std::exchange(timer_armed_, true)) return;
-  timer_ = loop_.After(QuotaClient::kAskAgain / 2, [this] {
+  if (!client_.has_waiting() || std::exchange(timer_armed_, true)) return;
+  timer_ = loop_.After(QuotaClient::kRetryInterval / 2, [this] {
     timer_armed_ = false;
-    client_.OnTime(Now());
+    client_.ApplyTimeouts(Now());
     Flush();
   });
 }
 
 // --- Quotas at their owner --------------------------------------------------------------
 
-void TeamAccess::OnAsk(const Peer& from, const QuotaAsk& ask) {
+void TeamAccess::OnAsk(const Peer& from, const QuotaRequest& ask) {
   link_.SendQuota(from, GrantOf(ask));
 }
 
-QuotaGrant TeamAccess::GrantOf(const QuotaAsk& ask) {
+QuotaGrant TeamAccess::GrantOf(const QuotaRequest& ask) {
   QuotaGrant grant{ask.number, ask.team, false, 0, Duration{0}, Duration{0}};
   // Before anything is kept for its name: anybody may send to the port of the peers.
   const Team* team = TeamOf(ask.team);
@@ -177,7 +177,7 @@
 
 bool TeamAccess::MayOwn() {
   const std::optional<Duration> age = lease_.Age(Loop::SinceBoot());
-  return (age && *age < kOwnerConfirm) || peers_.HearsMost(Loop::Now());
+  return (age && *age < kOwnerConfirm) || peers_.HearsMajority(Loop::Now());
 }
 
 const TeamAccess::Owner& TeamAccess::OwnerOf(const TeamId& team) {
@@ -193,12 +193,12 @@
     return peer.node == peers_.self().node;
   });
   const auto rank = static_cast<std::size_t>(self - ranked.begin());
-  return {ranked.front(), self != ranked.end() && rank < client_.bounds().FreeEntries()};
+  return {ranked.front(), self != ranked.end() && rank < client_.bounds().FallbackEntries()};
 }
 
 void TeamAccess::WatchEntries() {
   const Time last_watched = std::exchange(watched_at_, Now());
-  if (watched_at_ - last_watched > kStoodStill || !MayOwn()) owner_.Restart(Now());
+  if (watched_at_ - last_watched > kStoodStill || !MayOwn()) owner_.Reset(Now());
   CountEntries();
   const Time now = Loop::Now();
   const std::uint64_t generation = peers_.Generation(now);
--- a/src/gateway/team_access.h
+++ b/src/gateway/team_access.h
@@ -53,7 +53,7 @@
   void GiveBack(const TeamId& team, const quota::Admitted& admitted);
 
   // From other entries.
-  void OnAsk(const Peer& from, const QuotaAsk& ask);
+  void OnAsk(const Peer& from, const QuotaRequest& ask);
   void OnGrant(const QuotaGrant& grant);
 
  private:
@@ -68,12 +68,12 @@
   [[nodiscard]] const Owner& OwnerOf(const TeamId& team);
   [[nodiscard]] Owner FindOwner(const TeamId& team) const;
   [[nodiscard]] bool MayOwn();
-  [[nodiscard]] QuotaGrant GrantOf(const QuotaAsk& ask);
+  [[nodiscard]] QuotaGrant GrantOf(const QuotaRequest& ask);
   void WatchEntries();
   void CountEntries();
   // Sends what the client wants to ask, and tells what it has decided.
   void Flush();
-  void Ask(const QuotaAsk& ask);
+  void Ask(const QuotaRequest& ask);
   void ArmTimer();
   void Count(std::string_view outcome);
 
--- a/src/peer_messages/peer_codec.cc
+++ b/src/peer_messages/peer_codec.cc
@@ -36,25 +36,25 @@
   if (peer.joining) packer.pack(peer.joining);
 }
 
-void Pack(Packer& packer, const PlaceReport& report) {
+void Pack(Packer& packer, const SlotReport& report) {
   packer.pack_array(6);
   packer.pack(report.number);
-  packer.pack(report.grant);
-  packer.pack(report.asked);
+  packer.pack(report.acked_grant);
+  packer.pack(report.acked_requests);
   packer.pack_array(static_cast<std::uint32_t>(report.waiting.size()));
   for (const WaitingItems& waiting : report.waiting) {
     packer.pack_array(3);
     packer.pack(waiting.due.count());
     packer.pack(waiting.items);
-    packer.pack(waiting.begun);
+    packer.pack(waiting.started);
   }
   packer.pack_array(static_cast<std::uint32_t>(report.lines.size()));
-  for (const PlaceReport::Line& line : report.lines) {
+  for (const SlotReport::Line& line : report.lines) {
     packer.pack_array(7);
     packer.pack(line.backend.value);
     packer.pack(line.online);
     packer.pack(line.batch);
-    packer.pack(line.usual_run.count());
+    packer.pack(line.typical_run_time.count());
     packer.pack(line.answers);
     packer.pack(line.faults);
     packer.pack(line.incarnation.value);
@@ -62,11 +62,11 @@
   packer.pack(report.rest_unused);
 }
 
-void Pack(Packer& packer, const PlaceGrant& grant) {
+void Pack(Packer& packer, const SlotGrant& grant) {
   packer.pack_array(3);
   packer.pack(grant.number);
   packer.pack_array(static_cast<std::uint32_t>(grant.lines.size()));
-  for (const PlaceGrant::Line& line : grant.lines) {
+  for (const SlotGrant::Line& line : grant.lines) {
     packer.pack_array(6);
     packer.pack(line.backend.value);
     packer.pack(line.online_other);
@@ -76,36 +76,36 @@
     packer.pack(line.incarnation.value);
   }
   packer.pack_array(static_cast<std::uint32_t>(grant.services.size()));
-  for (const PlaceGrant::ServiceUse& use : grant.services) {
+  for (const SlotGrant::ServiceUsage& usage : grant.services) {
     packer.pack_array(3);
-    packer.pack(use.service.value);
-    packer.pack(use.places);
-    packer.pack(use.online);
+    packer.pack(usage.service.value);
+    packer.pack(usage.slots);
+    packer.pack(usage.online);
   }
 }
 
-void Pack(Packer& packer, const PlaceAsk& request) {
+void Pack(Packer& packer, const SlotRequest& request) {
   packer.pack_array(7);
   packer.pack(request.number);
   packer.pack(request.service.value);
   packer.pack(request.goal_left.count());
   packer.pack(request.time_left.count());
-  packer.pack(request.last_chance);
+  packer.pack(request.last_try);
   packer.pack(request.may_queue);
   packer.pack_array(static_cast<std::uint32_t>(request.tried.size()));
   for (const BackendId& id : request.tried) packer.pack(id.value);
 }
 
-void Pack(Packer& packer, const PlaceAnswer& answer) {
+void Pack(Packer& packer, const SlotResponse& answer) {
   packer.pack_array(5);
   packer.pack(answer.number);
   packer.pack(static_cast<int>(answer.kind));
   packer.pack(answer.backend.value);
   packer.pack(answer.wait.count());
-  packer.pack(answer.come_back.count());
+  packer.pack(answer.retry_after.count());
 }
 
-void Pack(Packer& packer, const QuotaAsk& request) {
+void Pack(Packer& packer, const QuotaRequest& request) {
   packer.pack_array(4);
   packer.pack(request.number);
   packer.pack(request.team.value);
@@ -135,18 +135,18 @@
 std::string Serialize(const PeerMessage& message) {
   msgpack::sbuffer buffer;
   Packer packer(buffer);
-  const bool quota = message.quota_ask || message.quota_grant;
+  const bool quota = message.quota_request || message.quota_grant;
   packer.pack_array(quota ? 9 : 7);
   Pack(packer, message.from);
   PackOptional(packer, message.report);
   PackOptional(packer, message.grant);
-  PackOptional(packer, message.ask);
-  PackOptional(packer, message.answer);
-  packer.pack_array(static_cast<std::uint32_t>(message.known.size()));
-  for (const Peer& peer : message.known) Pack(packer, peer);
-  packer.pack(static_cast<int>(message.wants));
+  PackOptional(packer, message.slot_request);
+  PackOptional(packer, message.slot_response);
+  packer.pack_array(static_cast<std::uint32_t>(message.known_peers.size()));
+  for (const Peer& peer : message.known_peers) Pack(packer, peer);
+  packer.pack(static_cast<int>(message.wanted_reply));
   if (quota) {
-    PackOptional(packer, message.quota_ask);
+    PackOptional(packer, message.quota_request);
     PackOptional(packer, message.quota_grant);
   }
   return {buffer.data(), buffer.size()};
@@ -245,17 +245,17 @@
   return peer;
 }
 
-PlaceReport ReadSlotReport(const Object& object) {
-  PlaceReport report;
+SlotReport ReadSlotReport(const Object& object) {
+  SlotReport report;
   report.number = Get<std::uint64_t>(object, 0);
-  report.grant = Get<std::uint64_t>(object, 1);
-  report.asked = Get<std::vector<std::uint64_t>>(object, 2);
+  report.acked_grant = Get<std::uint64_t>(object, 1);
+  report.acked_requests = Get<std::vector<std::uint64_t>>(object, 2);
   const Object& waiting = Element(object, 3);
   for (std::uint32_t i = 0; i < SizeOf(waiting); ++i) {
     const Object& group = Element(waiting, i);
     // Entries of an earlier version don't send `begun`.
-    const bool begun = SizeOf(group) > 2 && Get<bool>(group, 2);
-    report.waiting.push_back({StoreTime(Get<std::int64_t>(group, 0)), GetCount(group, 1), begun});
+    const bool started = SizeOf(group) > 2 && Get<bool>(group, 2);
+    report.waiting.push_back({StoreTime(Get<std::int64_t>(group, 0)), GetCount(group, 1), started});
   }
   const Object& lines = Element(object, 4);
   for (std::uint32_t i = 0; i < SizeOf(lines); ++i) {
@@ -269,8 +269,8 @@
   return report;
 }
 
-PlaceGrant ReadSlotGrant(const Object& object) {
-  PlaceGrant grant;
+SlotGrant ReadSlotGrant(const Object& object) {
+  SlotGrant grant;
   grant.number = Get<std::uint64_t>(object, 0);
   const Object& lines = Element(object, 1);
   for (std::uint32_t i = 0; i < SizeOf(lines); ++i) {
@@ -281,19 +281,20 @@
   if (SizeOf(object) <= 2) return grant;  // sent by an earlier version
   const Object& services = Element(object, 2);
   for (std::uint32_t i = 0; i < SizeOf(services); ++i) {
-    const Object& use = Element(services, i);
-    grant.services.push_back({ServiceName{GetName(use, 0)}, GetCount(use, 1), GetCount(use, 2)});
+    const Object& usage = Element(services, i);
+    grant.services.push_back(
+        {ServiceName{GetName(usage, 0)}, GetCount(usage, 1), GetCount(usage, 2)});
   }
   return grant;
 }
 
-PlaceAsk ReadSlotRequest(const Object& object) {
-  PlaceAsk request;
+SlotRequest ReadSlotRequest(const Object& object) {
+  SlotRequest request;
   request.number = Get<std::uint64_t>(object, 0);
   request.service.value = GetName(object, 1);
   request.goal_left = GetTimeLeft(object, 2);
   request.time_left = GetTimeLeft(object, 3);
-  request.last_chance = Get<bool>(object, 4);
+  request.last_try = Get<bool>(object, 4);
   request.may_queue = Get<bool>(object, 5);
   const Object& tried = Element(object, 6);
   for (std::uint32_t i = 0; i < SizeOf(tried); ++i) {
@@ -302,23 +303,23 @@
   return request;
 }
 
-PlaceAnswer ReadSlotResponse(const Object& object) {
-  PlaceAnswer answer;
+SlotResponse ReadSlotResponse(const Object& object) {
+  SlotResponse answer;
   answer.number = Get<std::uint64_t>(object, 0);
   const int kind = Get<int>(object, 1);
-  if (kind < 0 || kind > static_cast<int>(PlaceAnswer::Kind::kNotKept)) {
+  if (kind < 0 || kind > static_cast<int>(SlotResponse::Kind::kNotOwned)) {
     throw std::invalid_argument("unknown kind of answer");
   }
-  answer.kind = static_cast<PlaceAnswer::Kind>(kind);
+  answer.kind = static_cast<SlotResponse::Kind>(kind);
   answer.backend.value = GetName(object, 2);
   answer.wait = GetDuration(object, 3);
   // Entries of an earlier version, which run beside this one during a release, don't send it.
-  answer.come_back = SizeOf(object) > 4 ? GetDuration(object, 4) : answer.wait;
+  answer.retry_after = SizeOf(object) > 4 ? GetDuration(object, 4) : answer.wait;
   return answer;
 }
 
-QuotaAsk ReadQuotaRequest(const Object& object) {
-  QuotaAsk request;
+QuotaRequest ReadQuotaRequest(const Object& object) {
+  QuotaRequest request;
   request.number = Get<std::uint64_t>(object, 0);
   request.team.value = GetName(object, 1);
   request.wanted = static_cast<std::uint32_t>(GetCount(object, 2));
@@ -342,28 +343,28 @@
   message.from = ReadPeer(Element(object, 0));
   if (!Element(object, 1).is_nil()) message.report = ReadSlotReport(Element(object, 1));
   if (!Element(object, 2).is_nil()) message.grant = ReadSlotGrant(Element(object, 2));
-  if (!Element(object, 3).is_nil()) message.ask = ReadSlotRequest(Element(object, 3));
-  if (!Element(object, 4).is_nil()) message.answer = ReadSlotResponse(Element(object, 4));
+  if (!Element(object, 3).is_nil()) message.slot_request = ReadSlotRequest(Element(object, 3));
+  if (!Element(object, 4).is_nil()) message.slot_response = ReadSlotResponse(Element(object, 4));
   const Object& known = Element(object, 5);
   for (std::uint32_t i = 0; i < SizeOf(known); ++i) {
-    message.known.push_back(ReadPeer(Element(known, i)));
+    message.known_peers.push_back(ReadPeer(Element(known, i)));
   }
-  const int wants = Get<int>(object, 6);
-  if (wants < 0 || wants > static_cast<int>(PeerMessage::Wants::kKnown)) {
+  const int wanted_reply = Get<int>(object, 6);
+  if (wanted_reply < 0 || wanted_reply > static_cast<int>(PeerMessage::WantedReply::kKnownPeers)) {
     throw std::invalid_argument("unknown kind of wanted reply");
   }
-  message.wants = static_cast<PeerMessage::Wants>(wants);
+  message.wanted_reply = static_cast<PeerMessage::WantedReply>(wanted_reply);
   // Only messages about quotas have these elements.
   if (SizeOf(object) <= 8) return message;
-  if (!Element(object, 7).is_nil()) message.quota_ask = ReadQuotaRequest(Element(object, 7));
+  if (!Element(object, 7).is_nil()) message.quota_request = ReadQuotaRequest(Element(object, 7));
   if (!Element(object, 8).is_nil()) message.quota_grant = ReadQuotaGrant(Element(object, 8));
   return message;
 }
 
 // Halves one of the lists that may be truncated; returns false if all of them are empty.
 bool Truncate(PeerMessage& message) {
-  if (!message.known.empty()) {
-    message.known.resize(message.known.size() / 2);
+  if (!message.known_peers.empty()) {
+    message.known_peers.resize(message.known_peers.size() / 2);
     return true;
   }
   if (message.grant && !message.grant->lines.empty()) {
@@ -380,7 +381,7 @@
 
 }  // namespace
 
-int CountOf(std::span<const WaitingItems> waiting) {
+int CountItems(std::span<const WaitingItems> waiting) {
   int items = 0;
   for (const WaitingItems& each : waiting) items += each.items;
   return items;
--- a/src/peers/keeper_map.cc
+++ b/src/peers/allocator_map.cc
@@ -7,7 +7,7 @@
 namespace figmill {
 namespace {
 
-KeptBackend ToManagedBackend(const BackendInfo& info) {
+ManagedBackend ToManagedBackend(const BackendInfo& info) {
   const bool draining = info.state == BackendState::kDraining;
   return {info.service, draining ? 0 : info.slots, info.state == BackendState::kUnreadable,
           info.incarnation};
@@ -15,15 +15,15 @@
 
 }  // namespace
 
-void KeeperMap::SetBackends(std::vector<BackendInfo> backends) {
+void AllocatorMap::SetBackends(std::vector<BackendInfo> backends) {
   backends_ = std::move(backends);
   backends_changed_ = true;
 }
 
 // The allocators opposite to this entry when both the entries and the allocators of a data centre
 // are laid out evenly around a ring.
-std::vector<Peer> KeeperMap::ChooseAllocators(const std::vector<Peer>& allocators,
-                                              const PeerTable& peers, Time now) {
+std::vector<Peer> AllocatorMap::ChooseAllocators(const std::vector<Peer>& allocators,
+                                                 const PeerTable& peers, Time now) {
   if (allocators.size() <= kLocalAllocators + 1) return allocators;
   const Peer& self = peers.self();
   std::size_t rank = 0;
@@ -40,19 +40,19 @@
   return chosen;
 }
 
-void KeeperMap::AddUsed(const BackendInfo& info, const Peer& allocator) {
-  if (!used_.emplace(info.id, allocator).second) return;
-  used_infos_.push_back(info);
+void AllocatorMap::AddUsed(const BackendInfo& info, const Peer& allocator) {
+  if (!used_allocators_.emplace(info.id, allocator).second) return;
+  used_backends_.push_back(info);
 }
 
-bool KeeperMap::Update(PeerTable& peers, Time now) {
+bool AllocatorMap::Update(PeerTable& peers, Time now) {
   const std::uint64_t generation = peers.Generation(now);
   if (!backends_changed_ && generation == peers_generation_) return false;
   backends_changed_ = false;
   peers_generation_ = generation;
-  used_.clear();
-  used_infos_.clear();
-  kept_.clear();
+  used_allocators_.clear();
+  used_backends_.clear();
+  owned_backends_.clear();
 
   std::map<DataCentre, std::size_t> counts;
   for (const BackendInfo& info : backends_) ++counts[info.data_centre];
@@ -63,7 +63,7 @@
   const std::size_t per_remote_centre =
       std::max<std::size_t>(kRemoteAllocators / remote_centres, 1);
   for (const auto& [centre, count] : counts) {
-    allocators[centre] = peers.KeepersOf(centre, count, now);
+    allocators[centre] = peers.AllocatorsOf(centre, count, now);
     std::vector<Peer> chosen = ChooseAllocators(allocators[centre], peers, now);
     if (centre != self.data_centre && chosen.size() > per_remote_centre)
       chosen.resize(per_remote_centre);
@@ -73,9 +73,9 @@
   std::set<ServiceName> served_services;
   std::vector<std::pair<const BackendInfo*, const Peer*>> not_chosen;
   for (const BackendInfo& info : backends_) {
-    const Peer* allocator = KeeperAmong(allocators[info.data_centre], info.id);
+    const Peer* allocator = AllocatorFor(allocators[info.data_centre], info.id);
     if (allocator == nullptr) continue;
-    if (allocator->node == self.node) kept_[info.id] = ToManagedBackend(info);
+    if (allocator->node == self.node) owned_backends_[info.id] = ToManagedBackend(info);
     if (chosen_nodes.contains(allocator->node)) {
       AddUsed(info, *allocator);
       served_services.insert(info.service);
--- a/src/peers/peer_table.cc
+++ b/src/peers/peer_table.cc
@@ -6,7 +6,7 @@
 
 namespace figmill {
 
-bool PeerTable::Named(const Peer& peer) {
+bool PeerTable::AddListed(const Peer& peer) {
   if (peer.node == self_.node) return false;
   const auto [at, inserted] = others_.try_emplace(peer.node, PeerState{peer});
   // A later process under the same name: the state of the earlier one no longer holds.
@@ -17,7 +17,7 @@
   return inserted || later;
 }
 
-void PeerTable::Unlisted(const NodeId& node) {
+void PeerTable::MarkUnlisted(const NodeId& node) {
   const auto found = others_.find(node);
   if (found == others_.end()) return;
   found->second.listed = false;
@@ -26,7 +26,7 @@
   ++generation_;
 }
 
-bool PeerTable::Heard(const Peer& peer, Time now) {
+bool PeerTable::RecordMessage(const Peer& peer, Time now) {
   if (peer.node == self_.node) return false;
   const auto [at, inserted] = others_.try_emplace(peer.node, PeerState{peer});
   PeerState& state = at->second;
@@ -41,20 +41,20 @@
   return first;
 }
 
-bool PeerTable::Joined() {
+bool PeerTable::FinishJoining() {
   if (!std::exchange(self_.joining, false)) return false;
   ++generation_;
   return true;
 }
 
-bool PeerTable::Outlive(Incarnation known) {
+bool PeerTable::RaiseIncarnation(Incarnation known) {
   if (known <= self_.incarnation) return false;
   self_.incarnation = known + 1;
   ++generation_;
   return true;
 }
 
-const Peer* PeerTable::LaterThan(const Peer& peer) const {
+const Peer* PeerTable::FindLaterProcess(const Peer& peer) const {
   const Peer* known = Find(peer.node);
   return known != nullptr && known->incarnation > peer.incarnation ? known : nullptr;
 }
@@ -72,7 +72,7 @@
   if (found == others_.end() || found->second.suspected) return false;
   const PeerState& state = found->second;
   if (state.listed) return true;
-  return state.heard_at && now - *state.heard_at < kSilence;
+  return state.heard_at && now - *state.heard_at < kFailureTimeout;
 }
 
 std::uint64_t PeerTable::Generation(Time now) {
@@ -152,53 +152,53 @@
   return monitored;
 }
 
-void PeerTable::CheckPeer(PeerState& state, Watch& watch, Time now) {
-  if (state.heard_at && now - *state.heard_at < kPresence) return;
+void PeerTable::CheckPeer(PeerState& state, CheckResult& result, Time now) {
+  if (state.heard_at && now - *state.heard_at < kProbeInterval) return;
   if (!state.probed_at) state.probed_at = now;
-  watch.to_ask.push_back(state.peer);
+  result.to_probe.push_back(state.peer);
   const Time since =
-      std::max(state.heard_at.value_or(*state.probed_at), *state.probed_at - kPresence);
-  if (state.suspected || now - since < kSilence) return;
-  watch.silent.push_back(state.peer);
+      std::max(state.heard_at.value_or(*state.probed_at), *state.probed_at - kProbeInterval);
+  if (state.suspected || now - since < kFailureTimeout) return;
+  result.newly_suspected.push_back(state.peer);
 }
 
-PeerTable::Watch PeerTable::WatchOthers(Time now) {
+PeerTable::CheckResult PeerTable::CheckPeers(Time now) {
   EvictGone(now);
-  Watch watch;
+  CheckResult result;
   const std::vector<PeerState*> ring = HashRing();
-  for (PeerState* state : MonitoredPeers(ring)) CheckPeer(*state, watch, now);
-  for (const Peer& peer : watch.silent) Suspect(peer.node);
-  ProbeInTurn(ring, watch, now);
-  return watch;
+  for (PeerState* state : MonitoredPeers(ring)) CheckPeer(*state, result, now);
+  for (const Peer& peer : result.newly_suspected) Suspect(peer.node);
+  ProbeInTurn(ring, result, now);
+  return result;
 }
 
-bool PeerTable::HearsMost(Time now) {
+bool PeerTable::HearsMajority(Time now) {
   const std::vector<PeerState*> monitored = MonitoredPeers(HashRing());
   const auto heard =
       std::count_if(monitored.begin(), monitored.end(), [now](const PeerState* state) {
-        return state->heard_at && now - *state->heard_at < kSilence;
+        return state->heard_at && now - *state->heard_at < kFailureTimeout;
       });
   return monitored.empty() || 2 * static_cast<std::size_t>(heard) > monitored.size();
 }
 
 // A peer is also suspected when it fails to respond as an allocator, by entries that don't monitor
 // it. Without a probe it would stay suspected for ever.
-void PeerTable::ProbeInTurn(const std::vector<PeerState*>& ring, Watch& watch, Time now) {
+void PeerTable::ProbeInTurn(const std::vector<PeerState*>& ring, CheckResult& result, Time now) {
   std::vector<const PeerState*> candidates;
   for (const PeerState* state : ring) {
     const bool joining = state->peer.joining && IsLive(state->peer.node, now);
     const auto is_same = [state](const Peer& peer) { return peer.node == state->peer.node; };
     if (!state->suspected && !joining) continue;
-    if (std::any_of(watch.to_ask.begin(), watch.to_ask.end(), is_same)) continue;
+    if (std::any_of(result.to_probe.begin(), result.to_probe.end(), is_same)) continue;
     candidates.push_back(state);
   }
   const std::size_t count = std::min(kMaxExtraProbes, candidates.size());
   for (std::size_t i = 0; i < count; ++i) {
-    watch.to_ask.push_back(candidates[extra_probes_++ % candidates.size()]->peer);
+    result.to_probe.push_back(candidates[extra_probes_++ % candidates.size()]->peer);
   }
 }
 
-std::vector<Peer> PeerTable::Capable(Time now) const {
+std::vector<Peer> PeerTable::EligiblePeers(Time now) const {
   std::vector<Peer> peers = Live(now);
   std::erase_if(peers, [](const Peer& peer) { return peer.leaving || peer.joining; });
   double largest = 0;
@@ -226,7 +226,7 @@
 }  // namespace
 
 std::vector<Peer> PeerTable::RankedFor(std::string_view key, Time now) const {
-  std::vector<Peer> peers = Capable(now);
+  std::vector<Peer> peers = EligiblePeers(now);
   SortByWeight(peers, key);
   return peers;
 }
@@ -239,9 +239,9 @@
   return peers.front();
 }
 
-std::vector<Peer> PeerTable::KeepersOf(const DataCentre& data_centre, std::size_t backends,
-                                       Time now) const {
-  std::vector<Peer> peers = Capable(now);
+std::vector<Peer> PeerTable::AllocatorsOf(const DataCentre& data_centre, std::size_t backends,
+                                          Time now) const {
+  std::vector<Peer> peers = EligiblePeers(now);
   KeepDataCentre(peers, data_centre);
   SortByWeight(peers, data_centre.value);
   const std::size_t wanted = (backends + kBackendsPerAllocator - 1) / kBackendsPerAllocator;
@@ -251,7 +251,7 @@
   return peers;
 }
 
-const Peer* KeeperAmong(std::span<const Peer> allocators, const BackendId& backend) {
+const Peer* AllocatorFor(std::span<const Peer> allocators, const BackendId& backend) {
   const Peer* best = nullptr;
   std::uint64_t best_weight = 0;
   for (const Peer& peer : allocators) {
--- a/src/quarantine/crash_rows.cc
+++ b/src/quarantine/crash_rows.cc
@@ -32,12 +32,13 @@
 
 }  // namespace
 
-std::string RowKeyOf(const Crash& crash) {
+std::string CrashRowKey(const Crash& crash) {
   return crash.request.value + kSeparator + std::to_string(crash.incarnation.number) + kSeparator +
          crash.backend.value;
 }
 
-std::string RowValueOf(const CrashReport& report, const NodeId& seen_by, std::string_view attempt) {
+std::string CrashRowValue(const CrashReport& report, const NodeId& seen_by,
+                          std::string_view attempt) {
   return Json{{"chain", report.chain}, {"seen_by", seen_by.value}, {"attempt", attempt}}.dump(
       -1, ' ', false, Json::error_handler_t::replace);
 }
--- a/src/quarantine/quarantine.cc
+++ b/src/quarantine/quarantine.cc
@@ -40,7 +40,7 @@
   if (suspect.crashes.empty()) suspects_.erase(found);
 }
 
-int Quarantine::ChainOf(const RequestFingerprint& request, Time started_at) const {
+int Quarantine::NextChainLength(const RequestFingerprint& request, Time started_at) const {
   const auto found = suspects_.find(request);
   if (found == suspects_.end()) return 1;
   int before = 0;
@@ -50,7 +50,7 @@
   return std::min(before + 1, CrashReport::kMaxChain);
 }
 
-int Quarantine::ChainOf(const RequestFingerprint& request) const {
+int Quarantine::ChainLength(const RequestFingerprint& request) const {
   const auto found = suspects_.find(request);
   return found == suspects_.end() ? 0 : LongestChain(found->second).chain;
 }
@@ -80,13 +80,13 @@
   return until - now;
 }
 
-void Quarantine::Began(const RequestFingerprint& request, Time now) {
+void Quarantine::RecordStart(const RequestFingerprint& request, Time now) {
   const auto found = suspects_.find(request);
   if (found == suspects_.end() || !IsQuarantined(found->second)) return;
   found->second.probe_until = now + kProbeTimeout;
 }
 
-std::vector<Crash> Quarantine::Completed(const RequestFingerprint& request) {
+std::vector<Crash> Quarantine::RecordCompletion(const RequestFingerprint& request) {
   std::vector<Crash> withdrawn;
   const auto found = suspects_.find(request);
   if (found == suspects_.end()) return withdrawn;
@@ -95,7 +95,7 @@
   return withdrawn;
 }
 
-std::vector<Crash> Quarantine::Surplus() const {
+std::vector<Crash> Quarantine::ExcessReports() const {
   if (reports_ <= kMaxReports) return {};
   std::vector<std::pair<std::pair<int, Time>, const Crash*>> order;
   for (const auto& [request, suspect] : suspects_) {
--- a/src/quota/quota_client.cc
+++ b/src/quota/quota_client.cc
@@ -45,8 +45,8 @@
   team.last_arrival_at = now;
 }
 
-quota::Verdict QuotaClient::Admit(const Team& limits, const Entries& entries,
-                                  const Request& request, Time now) {
+quota::AdmitResult QuotaClient::Admit(const Team& limits, const Entries& entries,
+                                      const Request& request, Time now) {
   if (!limits.limited()) return quota::Admitted{now};
   TeamState* team = Track(limits, entries, now);
   if (team == nullptr) {
@@ -61,15 +61,15 @@
   if (now < team->refused_until) return RateLimitError(*team, request.time_left, now);
   if (team->unresponsive_since) {
     if (now - team->last_sent_at >= kOwnerProbeInterval) SendRequest(*team, now);
-    Result<quota::Admitted> verdict = ChargeFallbackShare(*team, now);
-    if (IsOk(verdict)) return ValueOf(verdict);
-    return ErrorOf(verdict);
+    Result<quota::Admitted> result = ChargeFallbackShare(*team, now);
+    if (IsOk(result)) return ValueOf(result);
+    return ErrorOf(result);
   }
   if (team->waiting.size() >= kMaxWaiting) return RateLimitError(*team, request.time_left, now);
   team->waiting.push_back({request, now});
   ++waiting_;
   if (!HasPendingRequest(*team, now)) SendRequest(*team, now);
-  return quota::Waits{};
+  return quota::Pending{};
 }
 
 void QuotaClient::SendRequest(TeamState& team, Time now) {
@@ -86,12 +86,13 @@
 
 bool QuotaClient::HasPendingRequest(TeamState& team, Time now) {
   std::erase_if(team.in_flight,
-                [now](const SentRequest& ask) { return now - ask.at >= kOwnerTimeout; });
-  return std::any_of(team.in_flight.begin(), team.in_flight.end(),
-                     [now](const SentRequest& ask) { return now - ask.at < kAskAgain; });
+                [now](const SentRequest& request) { return now - request.at >= kOwnerTimeout; });
+  return std::any_of(
+      team.in_flight.begin(), team.in_flight.end(),
+      [now](const SentRequest& request) { return now - request.at < kRetryInterval; });
 }
 
-void QuotaClient::GiveBack(const TeamId& name, Time charged_at, Time now) {
+void QuotaClient::Refund(const TeamId& name, Time charged_at, Time now) {
   const auto found = teams_.find(name);
   if (found == teams_.end()) return;
   // A request that waited longer is not refunded: so many may have waited that the next window
@@ -104,12 +105,12 @@
   const auto found = teams_.find(grant.team);
   if (found == teams_.end()) return;
   TeamState& team = found->second;
-  const auto ask =
+  const auto request =
       std::find_if(team.in_flight.begin(), team.in_flight.end(),
                    [&grant](const SentRequest& each) { return each.number == grant.number; });
-  if (ask == team.in_flight.end()) return;
-  const Time sent_at = ask->at;
-  team.in_flight.erase(ask);
+  if (request == team.in_flight.end()) return;
+  const Time sent_at = request->at;
+  team.in_flight.erase(request);
   if (!grant.owned) {
     if (!team.unresponsive_since) team.unresponsive_since = now;
     while (!team.waiting.empty()) DecideFirst(team, ChargeFallbackShare(team, now));
@@ -147,7 +148,7 @@
   found->second.last_sent_at = {};
 }
 
-void QuotaClient::OnTime(Time now) {
+void QuotaClient::ApplyTimeouts(Time now) {
   for (auto& [name, team] : teams_) {
     if (team.waiting.empty()) continue;
     if (now - team.waiting.front().since >= kOwnerTimeout) {
@@ -183,8 +184,8 @@
                Ran::kNo, team.retries.ScheduleRetry(refused, now)};
 }
 
-void QuotaClient::DecideFirst(TeamState& team, Result<quota::Admitted> verdict) {
-  decisions_.push_back({team.waiting.front().request.ticket, std::move(verdict)});
+void QuotaClient::DecideFirst(TeamState& team, Result<quota::Admitted> result) {
+  decisions_.push_back({team.waiting.front().request.ticket, std::move(result)});
   team.waiting.pop_front();
   --waiting_;
 }
--- a/src/quota/quota_owner.cc
+++ b/src/quota/quota_owner.cc
@@ -40,7 +40,7 @@
   return SecondsOf((1 - level_) / per_second);
 }
 
-void QuotaOwner::Restart(Time now) {
+void QuotaOwner::Reset(Time now) {
   buckets_.clear();
   may_own_since_ = now;
 }
@@ -50,21 +50,21 @@
   may_own_since_ = now;
 }
 
-QuotaGrant QuotaOwner::Grant(const QuotaAsk& ask, const Team& team, Time now) {
+QuotaGrant QuotaOwner::Grant(const QuotaRequest& request, const Team& team, Time now) {
   QuotaGrant grant;
-  grant.number = ask.number;
-  grant.team = ask.team;
-  auto found = buckets_.find(ask.team);
+  grant.number = request.number;
+  grant.team = request.team;
+  auto found = buckets_.find(request.team);
   if (found == buckets_.end()) {
     if (buckets_.size() >= kMaxTeams) return grant;
-    found = buckets_.emplace(ask.team, CreditBucket(kInitialCredits, may_own_since_)).first;
+    found = buckets_.emplace(request.team, CreditBucket(kInitialCredits, may_own_since_)).first;
   }
   grant.owned = true;
   CreditBucket& bucket = found->second;
-  bucket.Return(ask.returned);
+  bucket.Return(request.returned);
   bucket.Refill(team.requests_per_second, std::max(team.burst, kMinCapacity), now);
-  grant.credits = bucket.TakeUpTo(ask.wanted);
-  if (grant.credits < ask.wanted) {
+  grant.credits = bucket.TakeUpTo(request.wanted);
+  if (grant.credits < request.wanted) {
     grant.time_to_next = bucket.TimeToNextCredit(team.requests_per_second);
     grant.credit_interval = SecondsOf(1 / team.requests_per_second);
   }
--- a/src/sharing/backend_ejections.cc
+++ b/src/sharing/backend_ejections.cc
@@ -14,7 +14,7 @@
 }  // namespace
 
 void SlotAllocator::RecordOutcomes(OwnedBackend& owned, EntryShare& share,
-                                   const PlaceReport::Line& line, Time now) {
+                                   const SlotReport::Line& line, Time now) {
   // The totals of an entry that is new here include outcomes from before this allocator took over.
   const bool known = share.answers + share.faults > 0;
   const std::uint64_t answers = line.answers - std::min(line.answers, share.answers);
--- a/src/sharing/batch_slots.cc
+++ b/src/sharing/batch_slots.cc
@@ -90,7 +90,7 @@
 void SlotAllocator::DivideBatchSlots(OwnedBackend& owned, Time now) {
   if (owned.info.frozen) return LetRunsFinish(owned);
   std::vector<Candidate> candidates = CandidatesOf(owned);
-  const int slots = owned.ejected ? 0 : owned.info.places;
+  const int slots = owned.ejected ? 0 : owned.info.slots;
   int free = std::max(0, slots - reserve_ - OnlineOf(owned));
   for (const Candidate& each : candidates) free -= each.assigned;
   const auto fewer = [](const Candidate& a, const Candidate& b) { return a.assigned < b.assigned; };
--- a/src/sharing/slot_allocator.cc
+++ b/src/sharing/slot_allocator.cc
@@ -8,7 +8,7 @@
 
 // Whether more items wait, or some with a higher priority than any before.
 bool WantsMoreSlots(const std::vector<WaitingItems>& before, const std::vector<WaitingItems>& now) {
-  if (CountOf(now) > CountOf(before)) return true;
+  if (CountItems(now) > CountItems(before)) return true;
   return !now.empty() && !before.empty() && now.front().order() < before.front().order();
 }
 
@@ -26,7 +26,8 @@
   return batch;
 }
 
-void SlotAllocator::SetOwnedBackends(const std::map<BackendId, KeptBackend>& backends, Time now) {
+void SlotAllocator::SetOwnedBackends(const std::map<BackendId, ManagedBackend>& backends,
+                                     Time now) {
   std::erase_if(backends_,
                 [&backends](const auto& each) { return !backends.contains(each.first); });
   bool restarted = false;
@@ -48,7 +49,7 @@
   ServeQueue(now);
 }
 
-void SlotAllocator::OnReport(const Peer& from, bool local, const PlaceReport& report, Time now) {
+void SlotAllocator::OnReport(const Peer& from, bool local, const SlotReport& report, Time now) {
   const Incarnation known = entries_[from.node].incarnation;
   if (from.incarnation < known) return;
   // A restarted entry uses none of the slots of its earlier process. An entry that is new here may
@@ -58,11 +59,11 @@
   entry.incarnation = from.incarnation;
   if (report.number <= entry.number) return;  // reordered: a later one has arrived
   entry.number = report.number;
-  entry.acked_grant = std::max(entry.acked_grant, report.grant);
+  entry.acked_grant = std::max(entry.acked_grant, report.acked_grant);
   // An entry ignores grants with numbers that it has already seen. After it was removed here,
   // numbering continues from the last grant it reports: its clock may not have counted a
   // suspension, so it may not know that it was removed.
-  entry.last_grant = std::max(entry.last_grant, report.grant);
+  entry.last_grant = std::max(entry.last_grant, report.acked_grant);
   const bool wants_more = WantsMoreSlots(entry.waiting, report.waiting);
   entry.waiting = report.waiting;
   entry.reported_at = now;
@@ -71,16 +72,18 @@
   // The lines of this report include the slots that it used for these requests.
   for (auto& [id, owned] : backends_) {
     std::erase_if(owned.reserved, [&](const Reservation& each) {
-      return each.entry == from.node && std::find(report.asked.begin(), report.asked.end(),
-                                                  each.request) != report.asked.end();
+      return each.entry == from.node &&
+             std::find(report.acked_requests.begin(), report.acked_requests.end(), each.request) !=
+                 report.acked_requests.end();
     });
   }
-  for (const PlaceReport::Line& line : report.lines) {
+  for (const SlotReport::Line& line : report.lines) {
     const auto found = backends_.find(line.backend);
     if (found == backends_.end()) continue;
     if (!MayBeSame(line.incarnation, TagOf(found->second.info.incarnation))) continue;
     EntryShare& share = found->second.shares[from.node];
-    if (line.usual_run.count() > 0) UpdateRunTime(found->second.info.service, line.usual_run);
+    if (line.typical_run_time.count() > 0)
+      UpdateRunTime(found->second.info.service, line.typical_run_time);
     RecordOutcomes(found->second, share, line, now);
     const bool changed = share.online != line.online || share.batch != line.batch;
     if (!changed && !wants_more) continue;
@@ -99,13 +102,13 @@
 
 // Clears the usage of backend servers that the report has no line for: the report of their ends was
 // lost.
-void SlotAllocator::ClearUnreported(const NodeId& entry, const PlaceReport& report, Time now) {
+void SlotAllocator::ClearUnreported(const NodeId& entry, const SlotReport& report, Time now) {
   for (auto& [id, owned] : backends_) {
     const auto mine = owned.shares.find(entry);
     if (mine == owned.shares.end()) continue;
     EntryShare& share = mine->second;
     if (share.online == 0 && share.batch == 0) continue;
-    const auto is_this = [&id = id](const PlaceReport::Line& line) { return line.backend == id; };
+    const auto is_this = [&id = id](const SlotReport::Line& line) { return line.backend == id; };
     if (std::any_of(report.lines.begin(), report.lines.end(), is_this)) continue;
     share.online = 0;
     share.batch = 0;
@@ -151,25 +154,25 @@
   return used || share.sent_in_grant > entry.acked_grant;
 }
 
-std::vector<PlaceGrant::ServiceUse> SlotAllocator::ServiceUses() const {
-  std::map<ServiceName, PlaceGrant::ServiceUse> uses;
+std::vector<SlotGrant::ServiceUsage> SlotAllocator::ServiceUses() const {
+  std::map<ServiceName, SlotGrant::ServiceUsage> uses;
   for (const auto& [id, owned] : backends_) {
     if (owned.info.frozen || owned.ejected) continue;
-    PlaceGrant::ServiceUse& use = uses[owned.info.service];
-    use.places += owned.info.places;
-    use.online += std::min(OnlineOf(owned), owned.info.places);
+    SlotGrant::ServiceUsage& use = uses[owned.info.service];
+    use.slots += owned.info.slots;
+    use.online += std::min(OnlineOf(owned), owned.info.slots);
   }
-  std::vector<PlaceGrant::ServiceUse> list;
+  std::vector<SlotGrant::ServiceUsage> list;
   list.reserve(uses.size());
-  for (auto& [service, use] : uses) list.push_back({service, use.places, use.online});
+  for (auto& [service, use] : uses) list.push_back({service, use.slots, use.online});
   return list;
 }
 
 // Entries of other data centres use slots here only when their own are full. With a line for each
 // backend server ten times a second, as sent to local entries, these grants took 31% of all bytes
 // between data centres (figmill_traffic_bytes_total, 110 entries and 146 backend servers).
-PlaceGrant SlotAllocator::GrantFor(const NodeId& node, EntryState& entry, Time now) {
-  PlaceGrant grant;
+SlotGrant SlotAllocator::GrantFor(const NodeId& node, EntryState& entry, Time now) {
+  SlotGrant grant;
   grant.number = ++entry.last_grant;
   const bool all = entry.local || now - entry.full_grant_at >= kIdleHeartbeat;
   if (all) entry.full_grant_at = now;
@@ -179,7 +182,7 @@
     if (mine == owned.shares.end()) continue;
     const bool needs_line = NeedsLine(owned, mine->second, entry);
     if (!needs_line && !all) continue;
-    PlaceGrant::Line line{
+    SlotGrant::Line line{
         id, 0, 0, mine->second.allowed, owned.ejected, TagOf(owned.info.incarnation)};
     for (const auto& [other, share] : owned.shares) {
       if (other == node) continue;
@@ -226,7 +229,7 @@
     const bool has_changes = entry.allowed_changed || (entry.others_changed && coalesced);
     const bool is_due = since_grant >= kIdleHeartbeat || (since_grant >= kHeartbeat && !entry.idle);
     if (!has_changes && !is_due) continue;
-    PlaceGrant grant = GrantFor(node, entry, now);
+    SlotGrant grant = GrantFor(node, entry, now);
     entry.allowed_changed = false;
     entry.others_changed = false;
     entry.granted_at = now;
--- a/src/sharing/slot_requests.cc
+++ b/src/sharing/slot_requests.cc
@@ -33,7 +33,7 @@
   std::vector<Entry> expired;
   std::erase_if(entries_, [&](const Entry& entry) {
     const bool is_expired =
-        now >= entry.caller_deadline || (now >= entry.goal_deadline && !entry.request.last_chance);
+        now >= entry.caller_deadline || (now >= entry.goal_deadline && !entry.request.last_try);
     if (is_expired) expired.push_back(entry);
     return is_expired;
   });
@@ -58,10 +58,10 @@
       }));
 }
 
-void SlotAllocator::OnRequest(const NodeId& from, const PlaceAsk& request, Time now) {
+void SlotAllocator::OnRequest(const NodeId& from, const SlotRequest& request, Time now) {
   // A request on its last try that is served later would not finish before its caller gives up.
   const Duration timeout =
-      request.time_left - (request.last_chance ? TypicalRunTime(request.service) : Duration{0});
+      request.time_left - (request.last_try ? TypicalRunTime(request.service) : Duration{0});
   const SlotRequestQueue::Entry entry{from, request, now + request.goal_left - kFirstEventLatency,
                                       now + timeout};
   const std::size_t ahead = queue_.CountAhead(entry, now);
@@ -69,17 +69,17 @@
   const std::optional<Duration> wait = ExpectedWait(request, ahead + 1);
   if (!request.may_queue || !wait) return AnswerNoSlot(from, request, wait);
   if (!ShouldQueue(request, ahead, *wait, now)) return Refuse(from, request, *wait, now);
-  Answer(from, {request.number, PlaceAnswer::Kind::kQueued, {}, *wait});
+  Answer(from, {request.number, SlotResponse::Kind::kQueued, {}, *wait});
   queue_.Add(entry);
 }
 
-bool SlotAllocator::ShouldQueue(const PlaceAsk& request, std::size_t ahead, Duration wait,
+bool SlotAllocator::ShouldQueue(const SlotRequest& request, std::size_t ahead, Duration wait,
                                 Time now) {
   ServiceLoad& load = loads_[request.service];
   const Duration budget = request.goal_left - kFirstEventLatency;
   const bool in_time =
       budget > Duration{0} && load.admission.Admits(ahead, CompletionsWithin(request, budget, now));
-  if (in_time || !request.last_chance) return in_time;
+  if (in_time || !request.last_try) return in_time;
   const LastTryAdmission::Attempt attempt{request.time_left, wait, TypicalRunTime(request.service)};
   return load.last_try_admission.Admits(attempt, load.retries.tracker(), now);
 }
@@ -89,7 +89,7 @@
 void SlotAllocator::RecordQueueOutcome(const SlotRequestQueue::Entry& entry, bool served,
                                        Time now) {
   ServiceLoad& load = loads_[entry.request.service];
-  if (!entry.request.last_chance) {
+  if (!entry.request.last_try) {
     served ? load.admission.OnServed() : load.admission.OnExpired();
   } else if (now >= entry.goal_deadline) {
     served ? load.last_try_admission.OnServed() : load.last_try_admission.OnExpired();
@@ -97,12 +97,12 @@
 }
 
 bool SlotAllocator::IsEligible(const BackendId& id, const OwnedBackend& owned,
-                               const PlaceAsk& request) {
+                               const SlotRequest& request) {
   if (owned.info.service != request.service || Contains(request.tried, id)) return false;
   return !owned.ejected && !owned.info.frozen;
 }
 
-ExpectedCompletions SlotAllocator::CompletionsWithin(const PlaceAsk& request, Duration span,
+ExpectedCompletions SlotAllocator::CompletionsWithin(const SlotRequest& request, Duration span,
                                                      Time now) const {
   const Duration usual = TypicalRunTime(request.service);
   ExpectedCompletions all;
@@ -118,13 +118,13 @@
 // Prefers an unused slot, on the backend server with most of them. If all are in use, preempts
 // batch on the backend server with the fewest online requests. A preempted run must read its prompt
 // and its text again when it resumes, which slows down all that run there.
-bool SlotAllocator::TryAssignSlot(const NodeId& from, const PlaceAsk& request, Time now) {
+bool SlotAllocator::TryAssignSlot(const NodeId& from, const SlotRequest& request, Time now) {
   std::map<BackendId, OwnedBackend>::iterator best = backends_.end();
   std::pair<int, int> best_rank;
   for (auto at = backends_.begin(); at != backends_.end(); ++at) {
     const OwnedBackend& owned = at->second;
     if (!IsEligible(at->first, owned, request)) continue;
-    const int without_online = owned.info.places - OnlineOf(owned);
+    const int without_online = owned.info.slots - OnlineOf(owned);
     if (without_online <= 0) continue;
     const std::pair<int, int> rank{std::max(0, without_online - BatchOf(owned)), without_online};
     if (best != backends_.end() && rank <= best_rank) continue;
@@ -136,7 +136,7 @@
   best->second.run_starts.SetCount(static_cast<std::size_t>(OnlineOf(best->second)), now);
   MarkOthersChanged(best->second, from);
   DivideBatchSlots(best->second, now);
-  Answer(from, {request.number, PlaceAnswer::Kind::kPlaced, best->first, Duration{0}});
+  Answer(from, {request.number, SlotResponse::Kind::kAssigned, best->first, Duration{0}});
   return true;
 }
 
@@ -168,28 +168,28 @@
   }
 }
 
-void SlotAllocator::Answer(const NodeId& to, PlaceAnswer answer) {
+void SlotAllocator::Answer(const NodeId& to, SlotResponse answer) {
   answers_.push_back({to, std::nullopt, std::move(answer)});
 }
 
-void SlotAllocator::AnswerNoSlot(const NodeId& to, const PlaceAsk& request,
+void SlotAllocator::AnswerNoSlot(const NodeId& to, const SlotRequest& request,
                                  std::optional<Duration> wait) {
-  const auto kind = wait ? PlaceAnswer::Kind::kFull : PlaceAnswer::Kind::kNotKept;
+  const auto kind = wait ? SlotResponse::Kind::kFull : SlotResponse::Kind::kNotOwned;
   Answer(to, {request.number, kind, {}, wait.value_or(Duration{0})});
 }
 
-void SlotAllocator::Refuse(const NodeId& to, const PlaceAsk& request, Duration wait, Time now) {
+void SlotAllocator::Refuse(const NodeId& to, const SlotRequest& request, Duration wait, Time now) {
   const Duration slot_interval = TypicalRunTime(request.service) / std::max(1, SlotsFor(request));
   const Duration retry_after =
       loads_[request.service].retries.ScheduleRetry({request.time_left, wait, slot_interval}, now);
-  Answer(to, {request.number, PlaceAnswer::Kind::kFull, {}, wait, retry_after});
+  Answer(to, {request.number, SlotResponse::Kind::kFull, {}, wait, retry_after});
 }
 
 int SlotAllocator::SpareSlots(const ServiceName& service) const {
   int free = 0;
   for (const auto& [id, owned] : backends_) {
     if (owned.info.service != service || owned.info.frozen) continue;
-    free += std::max(0, owned.info.places - OnlineOf(owned) - BatchOf(owned));
+    free += std::max(0, owned.info.slots - OnlineOf(owned) - BatchOf(owned));
   }
   const auto load = loads_.find(service);
   if (load == loads_.end()) return free;
@@ -209,16 +209,16 @@
   return found->second.run_time.value_or(kDefaultRunTime);
 }
 
-int SlotAllocator::SlotsFor(const PlaceAsk& request) const {
+int SlotAllocator::SlotsFor(const SlotRequest& request) const {
   int slots = 0;
   for (const auto& [id, owned] : backends_) {
-    if (IsEligible(id, owned, request)) slots += owned.info.places;
+    if (IsEligible(id, owned, request)) slots += owned.info.slots;
   }
   return slots;
 }
 
 // All slots are taken: one becomes free every run time divided by their number.
-std::optional<Duration> SlotAllocator::ExpectedWait(const PlaceAsk& request,
+std::optional<Duration> SlotAllocator::ExpectedWait(const SlotRequest& request,
                                                     std::size_t position) const {
   const int slots = SlotsFor(request);
   if (slots == 0) return std::nullopt;
--- a/src/sharing/slot_search.cc
+++ b/src/sharing/slot_search.cc
@@ -5,7 +5,7 @@
 
 namespace figmill {
 
-SlotSearch::SlotSearch(PlaceAsk request, std::vector<NodeId> allocators, Time now)
+SlotSearch::SlotSearch(SlotRequest request, std::vector<NodeId> allocators, Time now)
     : request_(std::move(request)),
       allocators_(std::move(allocators)),
       goal_deadline_(now + request_.goal_left),
@@ -34,22 +34,22 @@
 
 search::Action SlotSearch::OnEvent(const search::Event& event, Time now) {
   if (std::holds_alternative<search::TimedOut>(event)) return AskNextAllocator(now);
-  const PlaceAnswer& answer = std::get<search::Answered>(event).answer;
+  const SlotResponse& answer = std::get<search::Answered>(event).answer;
   switch (answer.kind) {
-    case PlaceAnswer::Kind::kPlaced:
+    case SlotResponse::Kind::kAssigned:
       return search::UseSlot{answer.backend};
-    case PlaceAnswer::Kind::kQueued: {
-      const Time until = request_.last_chance ? caller_deadline_ : goal_deadline_;
+    case SlotResponse::Kind::kQueued: {
+      const Time until = request_.last_try ? caller_deadline_ : goal_deadline_;
       return search::Wait{std::max(until - now, kAnswerTimeout)};
     }
-    case PlaceAnswer::Kind::kFull:
-      if (request_.may_queue) retry_after_ = answer.come_back;
+    case SlotResponse::Kind::kFull:
+      if (request_.may_queue) retry_after_ = answer.retry_after;
       if (answer.wait < shortest_wait_ && next_ > 0) {
         shortest_wait_ = answer.wait;
         if (!request_.may_queue) shortest_queue_ = allocators_[next_ - 1];
       }
       return AskNextAllocator(now);
-    case PlaceAnswer::Kind::kNotKept:
+    case SlotResponse::Kind::kNotOwned:
       return AskNextAllocator(now);
   }
   return AskNextAllocator(now);
--- a/src/teams/key_lease.cc
+++ b/src/teams/key_lease.cc
@@ -8,7 +8,7 @@
   confirmed_at_ = std::max(confirmed_at_.value_or(requested_at), requested_at);
 }
 
-bool KeyLease::Holds(HostTime now) const {
+bool KeyLease::IsValid(HostTime now) const {
   if (!revoke_within_) return true;
   const std::optional<Duration> age = Age(now);
   return age && *age < *revoke_within_ - *revoke_within_ / kMarginDivisor;
--- a/src/teams/team_directory.cc
+++ b/src/teams/team_directory.cc
@@ -68,7 +68,7 @@
   return XXH3_64bits_withSeed(key.data(), key.size(), secret_);
 }
 
-const Team* TeamDirectory::HolderOf(std::string_view key) const {
+const Team* TeamDirectory::FindByKey(std::string_view key) const {
   const auto [first, last] = by_hash_.equal_range(HashOf(key));
   for (auto at = first; at != last; ++at) {
     if (KeysEqual(at->second.key, key)) return at->second.team;
--- a/test/fleet-health-test.cc
+++ b/test/fleet-health-test.cc
@@ -163,12 +163,12 @@
 
 struct Allocator {
   Allocator() {
-    std::map<BackendId, KeptBackend> owned;
+    std::map<BackendId, ManagedBackend> owned;
     for (int i = 0; i < 4; ++i) owned[Engine(i)] = {kLlm, 4};
     allocator.SetOwnedBackends(owned, kStart);
   }
   void Report(int entry, int engine, std::uint64_t answers, std::uint64_t faults, Time now) {
-    PlaceReport report;
+    SlotReport report;
     report.number = ++number;
     report.lines = {{Engine(engine), 0, 0, Duration{0}, answers, faults}};
     const Peer from{
@@ -179,14 +179,14 @@
   std::map<BackendId, int> Placed(Time now) {
     std::map<BackendId, int> placed;
     for (int i = 0; i < 8; ++i) {
-      PlaceAsk ask;
+      SlotRequest ask;
       ask.number = ++number;
       ask.service = kLlm;
       ask.goal_left = ask.time_left = Duration{1'000'000};
       allocator.OnRequest(NodeId{"e0"}, ask, now);
     }
     for (const auto& out : allocator.TakeOutgoing(now)) {
-      if (out.answer && out.answer->kind == PlaceAnswer::Kind::kPlaced)
+      if (out.answer && out.answer->kind == SlotResponse::Kind::kAssigned)
         ++placed[out.answer->backend];
     }
     return placed;
@@ -218,9 +218,9 @@
   Allocator k;
   for (int entry = 0; entry < 4; ++entry) k.Report(entry, 0, 0, 1, kStart);
   CHECK(k.Placed(kStart)[Engine(0)] == 0);
-  std::map<BackendId, KeptBackend> owned;
+  std::map<BackendId, ManagedBackend> owned;
   for (int i = 0; i < 4; ++i)
-    owned[Engine(i)] = {.service = kLlm, .places = 4, .incarnation = {i == 0 ? 2U : 1U}};
+    owned[Engine(i)] = {.service = kLlm, .slots = 4, .incarnation = {i == 0 ? 2U : 1U}};
   SUBCASE("not when its incarnation only becomes known") {
     k.allocator.SetOwnedBackends(owned, kStart);
     CHECK(k.Placed(kStart)[Engine(0)] == 0);
--- a/test/foreign-entries-test.cc
+++ b/test/foreign-entries-test.cc
@@ -316,13 +316,13 @@
   CHECK(keeper.AllowedBatch(kEngine, peer.node) == 2);
   report(3, 0, 1, 5);
   CHECK(keeper.AllowedBatch(kEngine, peer.node) == 1);
-  PlaceAsk ask;
+  SlotRequest ask;
   ask.number = 1;
   ask.service = llm;
   ask.goal_left = ask.time_left = std::chrono::seconds(5);
   keeper.OnRequest(peer.node, ask, settled);
   for (const SlotAllocator::Outgoing& out : keeper.TakeOutgoing(settled)) {
-    if (out.answer) CHECK(out.answer->kind == PlaceAnswer::Kind::kNotKept);
+    if (out.answer) CHECK(out.answer->kind == SlotResponse::Kind::kNotOwned);
   }
   keeper.SetOwnedBackends({{kEngine, {llm, 4}}}, settled);
   CHECK(keeper.AllowedBatch(kEngine, peer.node) > 1);
@@ -455,10 +455,10 @@
   CHECK_FALSE(refused([](PeerMessage&) {}));
   CHECK(refused([](PeerMessage& m) { m.report->lines[0].online = -1; }));
   CHECK(refused([](PeerMessage& m) { m.report->lines[0].batch = 2'000'000'000; }));
-  CHECK(refused([](PeerMessage& m) { m.report->lines[0].usual_run = Duration::max(); }));
+  CHECK(refused([](PeerMessage& m) { m.report->lines[0].typical_run_time = Duration::max(); }));
   CHECK(refused([](PeerMessage& m) { m.report->waiting[0].items = -5; }));
   CHECK(refused([](PeerMessage& m) { m.grant->lines[0].allowed = -1; }));
-  CHECK(refused([](PeerMessage& m) { m.answer->wait = Duration::min(); }));
+  CHECK(refused([](PeerMessage& m) { m.slot_response->wait = Duration::min(); }));
   CHECK(refused([](PeerMessage& m) { m.from.incarnation = ~Incarnation{0}; }));
   CHECK(refused([](PeerMessage& m) { m.from.capacity = -1; }));
   CHECK(
@@ -471,10 +471,10 @@
 // A caller's patience may be any time; what is added up with it must not overflow.
 TEST_CASE("an ask with a patience beyond all bounds is one with much patience") {
   PeerMessage message = foreign::GoodMessage();
-  message.ask->time_left = Duration::max();
+  message.slot_request->time_left = Duration::max();
   const auto back = DecodePeerMessage(Encode(message));
   REQUIRE(IsOk(back));
-  CHECK(ValueOf(back).ask->time_left == std::chrono::hours(24));
+  CHECK(ValueOf(back).slot_request->time_left == std::chrono::hours(24));
 }
 
 // Symptom: a process asks for 64 GB and ends.
--- a/test/foreign-entries.h
+++ b/test/foreign-entries.h
@@ -81,21 +81,22 @@
   PeerMessage message;
   message.from = {
       NodeId{"a"}, 1'700'000'000'000, Address{"10.0.0.1", 8082}, DataCentre{"north-a"}, 1.5, false};
-  message.report = PlaceReport{7,
-                               6,
-                               {3, 4},
-                               {{StoreTime{5'000'000}, 9}},
-                               {{BackendId{"i-1"}, 2, 3, Duration{700'000}, 5, 1}}};
-  message.grant = PlaceGrant{8, {{BackendId{"i-1"}, 1, 2, 3, false}}};
-  PlaceAsk ask;
+  message.report = SlotReport{7,
+                              6,
+                              {3, 4},
+                              {{StoreTime{5'000'000}, 9}},
+                              {{BackendId{"i-1"}, 2, 3, Duration{700'000}, 5, 1}}};
+  message.grant = SlotGrant{8, {{BackendId{"i-1"}, 1, 2, 3, false}}};
+  SlotRequest ask;
   ask.number = 9;
   ask.service = ServiceName{"llm"};
   ask.goal_left = Duration{300'000};
   ask.time_left = Duration{5'000'000};
   ask.tried = {BackendId{"i-2"}};
-  message.ask = ask;
-  message.answer = PlaceAnswer{10, PlaceAnswer::Kind::kPlaced, BackendId{"i-1"}, Duration{20'000}};
-  message.known = {message.from};
+  message.slot_request = ask;
+  message.slot_response =
+      SlotResponse{10, SlotResponse::Kind::kAssigned, BackendId{"i-1"}, Duration{20'000}};
+  message.known_peers = {message.from};
   return message;
 }
 
--- a/test/job-store-test.cc
+++ b/test/job-store-test.cc
@@ -150,8 +150,8 @@
   fake::TableData data;
   Entry small(loop, data, PeerNamed("small", 0.1));
   Entry large(loop, data, PeerNamed("large", 1));
-  small.peers.Heard(PeerNamed("large", 1), Loop::Now());
-  large.peers.Heard(PeerNamed("small", 0.1), Loop::Now());
+  small.peers.RecordMessage(PeerNamed("large", 1), Loop::Now());
+  large.peers.RecordMessage(PeerNamed("small", 0.1), Loop::Now());
   CHECK(small.Accept(Submission()) == "accepted");
   fake::RunUntil(loop, [&] { return large.owned.contains("job"); });
   CHECK(small.owned.empty());
@@ -178,8 +178,8 @@
   Fixture f;
   Entry b(f.loop, f.data, PeerNamed("b"));
   CHECK(b.Accept(Submission()) == "accepted");
-  const Timer heard =
-      f.loop.Every(10 * kMillisecond, [&] { f.a.peers.Heard(PeerNamed("b"), Loop::Now()); });
+  const Timer heard = f.loop.Every(10 * kMillisecond,
+                                   [&] { f.a.peers.RecordMessage(PeerNamed("b"), Loop::Now()); });
   fake::RunFor(f.loop, JobStore::kTakeOverAfter + 500 * kMillisecond);
   CHECK(f.a.owned.empty());
   CHECK(b.owned.contains("job"));
@@ -220,14 +220,14 @@
   Fixture f;
   Entry leaving(f.loop, f.data, PeerNamed("leaving"));
   CHECK(leaving.Accept(Submission()) == "accepted");
-  f.a.peers.Heard(PeerNamed("leaving"), Loop::Now());
+  f.a.peers.RecordMessage(PeerNamed("leaving"), Loop::Now());
   leaving.Finish("job", 0, "done");
   bool left = false;
   leaving.store.Leave([&left] { left = true; });
   fake::RunUntil(f.loop, [&] { return left; });
   Peer gone = PeerNamed("leaving");
   gone.leaving = true;
-  f.a.peers.Heard(gone, Loop::Now());
+  f.a.peers.RecordMessage(gone, Loop::Now());
   fake::RunUntil(f.loop, [&] { return f.a.owned.contains("job"); });
   CHECK(f.a.Listed("job") == 1);
   REQUIRE(f.a.progress.size() == 1);
@@ -292,10 +292,10 @@
   CHECK(leaving.Accept(job) == "accepted");
   // Two that stay. The one that is next in line is known by the list alone.
   PeerTable ranked(PeerNamed("b"));
-  ranked.Named(PeerNamed("c"));
+  ranked.AddListed(PeerNamed("c"));
   const std::string heir = ranked.OwnerOf(job.id.value, std::nullopt, Loop::Now())->node.value;
   Entry other(loop, data, PeerNamed(heir == "b" ? "c" : "b"));
-  other.peers.Named(PeerNamed(heir));
+  other.peers.AddListed(PeerNamed(heir));
   fake::RunUntil(loop, [&] { return other.store.Known(job.id) != nullptr; });
   leaving.store.Leave([] {});
   fake::RunUntil(loop, [&] { return other.owned.contains("job"); });
--- a/test/peers-test.cc
+++ b/test/peers-test.cc
@@ -24,35 +24,35 @@
 
 TEST_CASE("a peer that the store lists is live until its failure is detected") {
   PeerTable table(PeerNamed("self"));
-  CHECK(table.Named(PeerNamed("a")));
+  CHECK(table.AddListed(PeerNamed("a")));
   CHECK(table.IsLive(NodeId{"a"}, kStart));
-  const PeerTable::Watch first = table.WatchOthers(kStart);
-  CHECK(first.to_ask.size() == 1);
-  CHECK(first.silent.empty());
-  const Time later = kStart + PeerTable::kSilence;
-  CHECK(table.WatchOthers(later).silent.size() == 1);
+  const PeerTable::CheckResult first = table.CheckPeers(kStart);
+  CHECK(first.to_probe.size() == 1);
+  CHECK(first.newly_suspected.empty());
+  const Time later = kStart + PeerTable::kFailureTimeout;
+  CHECK(table.CheckPeers(later).newly_suspected.size() == 1);
   CHECK_FALSE(table.IsLive(NodeId{"a"}, later));
-  CHECK(table.WatchOthers(later).silent.empty());  // reported once
-  CHECK(table.Heard(PeerNamed("a"), later));
+  CHECK(table.CheckPeers(later).newly_suspected.empty());  // reported once
+  CHECK(table.RecordMessage(PeerNamed("a"), later));
   CHECK(table.IsLive(NodeId{"a"}, later));
 }
 
 TEST_CASE("a peer that sent a message is not probed, and one that is no longer listed times out") {
   PeerTable table(PeerNamed("self"));
-  table.Named(PeerNamed("a"));
-  table.Heard(PeerNamed("a"), kStart);
-  CHECK(table.WatchOthers(kStart).to_ask.empty());
-  table.Unlisted(NodeId{"a"});
+  table.AddListed(PeerNamed("a"));
+  table.RecordMessage(PeerNamed("a"), kStart);
+  CHECK(table.CheckPeers(kStart).to_probe.empty());
+  table.MarkUnlisted(NodeId{"a"});
   CHECK(table.IsLive(NodeId{"a"}, kStart));
-  CHECK_FALSE(table.IsLive(NodeId{"a"}, kStart + PeerTable::kSilence));
+  CHECK_FALSE(table.IsLive(NodeId{"a"}, kStart + PeerTable::kFailureTimeout));
 }
 
 TEST_CASE("a delayed datagram of an earlier process does not make it live again") {
   PeerTable table(PeerNamed("self"));
   Peer later = PeerNamed("a");
   later.incarnation = 5;
-  table.Heard(later, kStart);
-  CHECK_FALSE(table.Heard(PeerNamed("a"), kStart));
+  table.RecordMessage(later, kStart);
+  CHECK_FALSE(table.RecordMessage(PeerNamed("a"), kStart));
   CHECK(table.Find(NodeId{"a"})->incarnation == 5);
 }
 
@@ -63,15 +63,15 @@
   Peer earlier = PeerNamed("a");
   earlier.incarnation = 9;
   PeerTable other(PeerNamed("b"));
-  other.Heard(earlier, kStart);
+  other.RecordMessage(earlier, kStart);
   PeerTable table(PeerNamed("a"));
-  const Peer* later = other.LaterThan(table.self());
+  const Peer* later = other.FindLaterProcess(table.self());
   REQUIRE(later != nullptr);
-  CHECK(table.Outlive(later->incarnation));
-  CHECK(other.LaterThan(table.self()) == nullptr);
-  other.Heard(table.self(), kStart);
+  CHECK(table.RaiseIncarnation(later->incarnation));
+  CHECK(other.FindLaterProcess(table.self()) == nullptr);
+  other.RecordMessage(table.self(), kStart);
   CHECK(other.Find(NodeId{"a"})->incarnation == table.self().incarnation);
-  CHECK_FALSE(table.Outlive(later->incarnation));
+  CHECK_FALSE(table.RaiseIncarnation(later->incarnation));
 }
 
 namespace {
@@ -88,7 +88,7 @@
 
 PeerTable TableOf(const Peer& self, const std::vector<Peer>& peers) {
   PeerTable table(self);
-  for (const Peer& peer : peers) table.Named(peer);
+  for (const Peer& peer : peers) table.AddListed(peer);
   return table;
 }
 
@@ -99,9 +99,9 @@
   const std::vector<Peer> peers = FleetOf(1, 100);
   std::map<std::string, std::size_t> monitors;
   for (const Peer& self : peers) {
-    const PeerTable::Watch watch = TableOf(self, peers).WatchOthers(kStart);
-    CHECK(watch.to_ask.size() == kMonitored);
-    for (const Peer& peer : watch.to_ask) ++monitors[peer.node.value];
+    const PeerTable::CheckResult result = TableOf(self, peers).CheckPeers(kStart);
+    CHECK(result.to_probe.size() == kMonitored);
+    for (const Peer& peer : result.to_probe) ++monitors[peer.node.value];
   }
   for (const auto& [node, count] : monitors) CHECK(count == kMonitored);
 }
@@ -115,7 +115,7 @@
   std::map<std::string, std::set<DataCentre>> watchers;
   for (const Peer& self : peers) {
     std::size_t remote = 0;
-    for (const Peer& peer : TableOf(self, peers).WatchOthers(kStart).to_ask) {
+    for (const Peer& peer : TableOf(self, peers).CheckPeers(kStart).to_probe) {
       if (peer.data_centre != self.data_centre) ++remote;
       watchers[peer.node.value].insert(self.data_centre);
     }
@@ -136,11 +136,11 @@
     if (self.data_centre == lost) continue;
     PeerTable table = TableOf(self, peers);
     Time now = kStart;
-    for (int i = 0; i < 12; ++i, now += PeerTable::kPresence / 2) {
+    for (int i = 0; i < 12; ++i, now += PeerTable::kProbeInterval / 2) {
       for (const Peer& peer : peers) {
-        if (peer.data_centre != lost) table.Heard(peer, now);
+        if (peer.data_centre != lost) table.RecordMessage(peer, now);
       }
-      for (const Peer& peer : table.WatchOthers(now).silent) {
+      for (const Peer& peer : table.CheckPeers(now).newly_suspected) {
         REQUIRE(peer.data_centre == lost);
         suspected.insert(peer.node.value);
       }
@@ -157,16 +157,16 @@
   Time now = kStart;
   for (int i = 0; i < 200; ++i) {
     const Peer replaced = PeerNamed("old" + std::to_string(i));
-    table.Named(replaced);
-    table.Heard(replaced, now);
+    table.AddListed(replaced);
+    table.RecordMessage(replaced, now);
     table.Suspect(replaced.node);
-    table.Unlisted(replaced.node);
+    table.MarkUnlisted(replaced.node);
   }
-  for (int i = 0; i < 40; ++i) table.Named(PeerNamed("new" + std::to_string(i)));
-  const PeerTable::Watch watch = table.WatchOthers(now);
-  CHECK(watch.to_ask.size() == PeerTable::kMonitoredAnywhere + PeerTable::kMonitoredLocal);
-  for (const Peer& peer : watch.to_ask) CHECK(peer.node.value.starts_with("new"));
-  (void)table.WatchOthers(now + PeerTable::kEvictAfter);
+  for (int i = 0; i < 40; ++i) table.AddListed(PeerNamed("new" + std::to_string(i)));
+  const PeerTable::CheckResult result = table.CheckPeers(now);
+  CHECK(result.to_probe.size() == PeerTable::kMonitoredAnywhere + PeerTable::kMonitoredLocal);
+  for (const Peer& peer : result.to_probe) CHECK(peer.node.value.starts_with("new"));
+  (void)table.CheckPeers(now + PeerTable::kEvictAfter);
   CHECK(table.others().size() == 40);
 }
 
@@ -178,13 +178,13 @@
   const std::vector<Peer> peers = FleetOf(6, 50);
   for (const Peer& allocator : {peers[17], peers[140], peers[260]}) {
     PeerTable table = TableOf(peers[0], peers);
-    for (const Peer& peer : peers) table.Heard(peer, kStart);
+    for (const Peer& peer : peers) table.RecordMessage(peer, kStart);
     table.Suspect(allocator.node);
-    const PeerTable::Watch watch = table.WatchOthers(kStart);
-    REQUIRE(watch.to_ask.size() == 1);
-    CHECK(watch.to_ask[0].node == allocator.node);
-    table.Heard(allocator, kStart);
-    CHECK(table.WatchOthers(kStart).to_ask.empty());
+    const PeerTable::CheckResult result = table.CheckPeers(kStart);
+    REQUIRE(result.to_probe.size() == 1);
+    CHECK(result.to_probe[0].node == allocator.node);
+    table.RecordMessage(allocator, kStart);
+    CHECK(table.CheckPeers(kStart).to_probe.empty());
   }
 }
 
@@ -195,13 +195,13 @@
   PeerTable table(PeerNamed("self"));
   for (Peer peer : FleetOf(6, 50)) {
     peer.joining = true;
-    table.Heard(peer, kStart);
+    table.RecordMessage(peer, kStart);
   }
   std::set<std::string> asked;
   for (int i = 0; i < 300; ++i) {
-    const PeerTable::Watch watch = table.WatchOthers(kStart);
-    REQUIRE(watch.to_ask.size() <= PeerTable::kMaxExtraProbes);
-    for (const Peer& peer : watch.to_ask) asked.insert(peer.node.value);
+    const PeerTable::CheckResult result = table.CheckPeers(kStart);
+    REQUIRE(result.to_probe.size() <= PeerTable::kMaxExtraProbes);
+    for (const Peer& peer : result.to_probe) asked.insert(peer.node.value);
   }
   CHECK(asked.size() == 300);
 }
@@ -223,19 +223,19 @@
 
 TEST_CASE("allocators are in the data centre, are not leaving, and are not on small hosts") {
   PeerTable table(PeerNamed("self", "far"));
-  table.Heard(PeerNamed("small", "dc", 0.1), kStart);
+  table.RecordMessage(PeerNamed("small", "dc", 0.1), kStart);
   Peer leaving = PeerNamed("leaving");
   leaving.leaving = true;
-  table.Heard(leaving, kStart);
-  table.Heard(PeerNamed("a"), kStart);
-  table.Heard(PeerNamed("b"), kStart);
-  const auto allocators = table.KeepersOf(DataCentre{"dc"}, 30, kStart);
+  table.RecordMessage(leaving, kStart);
+  table.RecordMessage(PeerNamed("a"), kStart);
+  table.RecordMessage(PeerNamed("b"), kStart);
+  const auto allocators = table.AllocatorsOf(DataCentre{"dc"}, 30, kStart);
   REQUIRE(allocators.size() == 2);
   for (const Peer& allocator : allocators)
     CHECK((allocator.node.value == "a" || allocator.node.value == "b"));
-  CHECK(table.KeepersOf(DataCentre{"dc"}, 5, kStart).size() == 1);
+  CHECK(table.AllocatorsOf(DataCentre{"dc"}, 5, kStart).size() == 1);
   // The data centre has no entry: those of other data centres are used.
-  CHECK_FALSE(table.KeepersOf(DataCentre{"gone"}, 5, kStart).empty());
+  CHECK_FALSE(table.AllocatorsOf(DataCentre{"gone"}, 5, kStart).empty());
 }
 
 // Symptom: some of the backend servers get no batch items after an entry has started.
@@ -246,26 +246,27 @@
   Peer self = PeerNamed("new");
   self.joining = true;
   PeerTable mine(self);
-  mine.Heard(PeerNamed("old"), kStart);
+  mine.RecordMessage(PeerNamed("old"), kStart);
   PeerTable other(PeerNamed("old"));
-  for (int i = 0; i < 40; ++i) other.Heard(PeerNamed("p" + std::to_string(i), "far"), kStart);
-  other.Heard(mine.self(), kStart);
+  for (int i = 0; i < 40; ++i)
+    other.RecordMessage(PeerNamed("p" + std::to_string(i), "far"), kStart);
+  other.RecordMessage(mine.self(), kStart);
   for (PeerTable* table : {&mine, &other}) {
-    const auto allocators = table->KeepersOf(DataCentre{"dc"}, 30, kStart);
+    const auto allocators = table->AllocatorsOf(DataCentre{"dc"}, 30, kStart);
     REQUIRE(allocators.size() == 1);
     CHECK(allocators[0].node == NodeId{"old"});
   }
-  const PeerTable::Watch watch = other.WatchOthers(kStart + Duration{1});
-  REQUIRE(watch.to_ask.size() == 1);
-  CHECK(watch.to_ask[0].node == self.node);
+  const PeerTable::CheckResult result = other.CheckPeers(kStart + Duration{1});
+  REQUIRE(result.to_probe.size() == 1);
+  CHECK(result.to_probe[0].node == self.node);
 
-  CHECK(mine.Joined());
-  CHECK_FALSE(mine.Joined());
+  CHECK(mine.FinishJoining());
+  CHECK_FALSE(mine.FinishJoining());
   const std::uint64_t before = other.Generation(kStart);
-  other.Heard(mine.self(), kStart);
+  other.RecordMessage(mine.self(), kStart);
   CHECK(other.Generation(kStart) != before);
-  CHECK(other.WatchOthers(kStart + Duration{1}).to_ask.empty());
-  CHECK(other.KeepersOf(DataCentre{"dc"}, 30, kStart).size() == 2);
+  CHECK(other.CheckPeers(kStart + Duration{1}).to_probe.empty());
+  CHECK(other.AllocatorsOf(DataCentre{"dc"}, 30, kStart).size() == 2);
 }
 
 // Symptom: an entry's processor time grows with the fleet until it does nothing else.
@@ -288,15 +289,16 @@
   std::size_t owned = 0;
   for (const Peer& self : peers) {
     PeerTable table(self);
-    for (const Peer& peer : peers) table.Named(peer);
-    KeeperMap map;
+    for (const Peer& peer : peers) table.AddListed(peer);
+    AllocatorMap map;
     map.SetBackends(backends);
     REQUIRE(map.Update(table, kStart));
     CHECK_FALSE(map.Update(table, kStart));
-    CHECK(map.used().size() < 250);
-    owned += map.kept().size();
+    CHECK(map.used_allocators().size() < 250);
+    owned += map.owned_backends().size();
     std::set<std::string> allocators;
-    for (const auto& [id, allocator] : map.used()) allocators.insert(allocator.node.value);
+    for (const auto& [id, allocator] : map.used_allocators())
+      allocators.insert(allocator.node.value);
     for (const std::string& allocator : allocators) ++users[allocator];
   }
   CHECK(owned == kBackends);  // each has one allocator, the same at all entries
@@ -312,7 +314,7 @@
   PeerTable table(PeerNamed("self", "dc0"));
   for (int i = 0; i < 40; ++i) {
     const std::string data_centre = "dc" + std::to_string(i % 2);
-    table.Named(PeerNamed("e" + std::to_string(i), data_centre));
+    table.AddListed(PeerNamed("e" + std::to_string(i), data_centre));
     for (int j = 0; j < 6; ++j) {
       backends.push_back({BackendId{"b" + std::to_string(i) + "-" + std::to_string(j)}, kLlm,
                           Address{"10.0.0.1", 1}, DataCentre{data_centre}, 8,
@@ -321,25 +323,25 @@
   }
   backends.push_back({BackendId{"rare"}, ServiceName{"rare"}, Address{"10.0.0.1", 1},
                       DataCentre{"dc1"}, 8, BackendState::kReady});
-  KeeperMap map;
+  AllocatorMap map;
   map.SetBackends(backends);
   REQUIRE(map.Update(table, kStart));
-  CHECK(map.used().contains(BackendId{"rare"}));
+  CHECK(map.used_allocators().contains(BackendId{"rare"}));
 }
 
 // Guards against an entry that is cut off and believes to be the only one.
 TEST_CASE("an entry knows whether it hears from most of the peers that it monitors") {
   PeerTable table(PeerNamed("self"));
-  CHECK(table.HearsMost(kStart));  // no other entry
+  CHECK(table.HearsMajority(kStart));  // no other entry
   for (const char* name : {"a", "b", "c"}) {
-    table.Named(PeerNamed(name));
-    table.Heard(PeerNamed(name), kStart);
+    table.AddListed(PeerNamed(name));
+    table.RecordMessage(PeerNamed(name), kStart);
   }
-  CHECK(table.HearsMost(kStart));
-  const Time later = kStart + PeerTable::kSilence;
-  CHECK_FALSE(table.HearsMost(later));
-  table.Heard(PeerNamed("a"), later);
-  CHECK_FALSE(table.HearsMost(later));
-  table.Heard(PeerNamed("b"), later);
-  CHECK(table.HearsMost(later));
+  CHECK(table.HearsMajority(kStart));
+  const Time later = kStart + PeerTable::kFailureTimeout;
+  CHECK_FALSE(table.HearsMajority(later));
+  table.RecordMessage(PeerNamed("a"), later);
+  CHECK_FALSE(table.HearsMajority(later));
+  table.RecordMessage(PeerNamed("b"), later);
+  CHECK(table.HearsMajority(later));
 }
--- a/test/quarantine-test.cc
+++ b/test/quarantine-test.cc
@@ -28,7 +28,8 @@
   // A run of the request that started at `started_at` ends with a crash of its backend server.
   CrashReport AddCrash(int backend, Duration started_at, Duration ended_at,
                        const RequestFingerprint& request = kRequest) {
-    CrashReport report{CrashOf(request, backend), quarantine.ChainOf(request, At(started_at))};
+    CrashReport report{CrashOf(request, backend),
+                       quarantine.NextChainLength(request, At(started_at))};
     quarantine.Add(report, At(ended_at));
     return report;
   }
@@ -121,11 +122,11 @@
   Entry entry;
   entry.AddCrash(1, 0s, 100ms);
   entry.AddCrash(2, 200ms, 300ms);
-  CHECK(entry.quarantine.Completed(kRequest).size() == 2);
+  CHECK(entry.quarantine.RecordCompletion(kRequest).size() == 2);
   CHECK(entry.MayRun(400ms));
   CHECK(entry.quarantine.reports() == 0);
   CHECK(entry.quarantine.quarantined() == 0);
-  CHECK(entry.quarantine.Completed(kRequest).empty());
+  CHECK(entry.quarantine.RecordCompletion(kRequest).empty());
 }
 
 TEST_CASE("removed reports no longer count") {
@@ -147,7 +148,7 @@
     CHECK_FALSE(entry.MayRun(last + period - 1s));
     const Duration probe = last + 2 * period;
     CHECK(entry.MayRun(probe));
-    entry.quarantine.Began(kRequest, At(probe));
+    entry.quarantine.RecordStart(kRequest, At(probe));
     CHECK_FALSE(entry.MayRun(probe + 50ms));
     last = probe + 100ms;
     entry.AddCrash(chain, probe, last);
@@ -182,18 +183,19 @@
     const RequestFingerprint request{std::to_string(i)};
     entry.AddCrash(1, 0s, 10s + i * 1ms, request);
   }
-  const std::vector<Crash> surplus = entry.quarantine.Surplus();
+  const std::vector<Crash> surplus = entry.quarantine.ExcessReports();
   REQUIRE(surplus.size() == 2);
   CHECK(surplus[0].request == kRequest);  // the first of the chain
   CHECK(surplus[1].request.value == "0");
   for (const Crash& crash : surplus) entry.quarantine.Remove(crash);
-  CHECK(entry.quarantine.Surplus().empty());
+  CHECK(entry.quarantine.ExcessReports().empty());
   CHECK_FALSE(entry.MayRun(20s));
 }
 
 TEST_CASE("a report is decoded from its row as it was encoded") {
   const CrashReport report{CrashOf(kRequest, 3), 4};
-  const TableRow row = RowOf(RowKeyOf(report.crash), RowValueOf(report, NodeId{"a"}, "id-\xff"));
+  const TableRow row =
+      RowOf(CrashRowKey(report.crash), CrashRowValue(report, NodeId{"a"}, "id-\xff"));
   const Result<CrashReport> read = ParseCrashRow(row);
   REQUIRE(IsOk(read));
   CHECK(ValueOf(read).crash == report.crash);
@@ -201,7 +203,7 @@
 }
 
 TEST_CASE("invalid rows are refused, and quarantine no request") {
-  const std::string key = RowKeyOf(CrashOf(kRequest, 3));
+  const std::string key = CrashRowKey(CrashOf(kRequest, 3));
   const std::array<std::pair<std::string, std::string>, 10> rows{{
       {key, ""},
       {key, "\xff\xfe"},
--- a/test/quota-load-test.cc
+++ b/test/quota-load-test.cc
@@ -3,8 +3,8 @@
 
 #include <doctest/doctest.h>
 
+#include "test/quota-policies.h"
 #include "test/quota-sim.h"
-#include "test/quota-ways.h"
 
 using namespace figmill;       // NOLINT(google-build-using-namespace): tests read better
 using namespace figmill::sim;  // NOLINT(google-build-using-namespace): tests read better
@@ -17,7 +17,7 @@
     CAPTURE(load.entries);
     CAPTURE(load.rate);
     CAPTURE(seed);
-    CHECK(Play<Credits>(load).worst_window <= 1);
+    CHECK(SimulateQuota<Credits>(load).worst_window <= 1);
   }
 }
 
@@ -32,11 +32,11 @@
       load.offered = 0.6 * rate;
       CAPTURE(entries);
       CAPTURE(rate);
-      CHECK(Play<Credits>(load).admitted >= 0.95);
+      CHECK(SimulateQuota<Credits>(load).admitted >= 0.95);
       load.weights = Skewed(entries);
-      CHECK(Play<Credits>(load).admitted >= 0.85);
+      CHECK(SimulateQuota<Credits>(load).admitted >= 0.85);
       load.weights = AllAtOne(entries);
-      CHECK(Play<Credits>(load).admitted >= 0.85);
+      CHECK(SimulateQuota<Credits>(load).admitted >= 0.85);
     }
   }
 }
@@ -52,7 +52,7 @@
       CheckBound(load);
       CAPTURE(entries);
       CAPTURE(rate);
-      CHECK(Play<Credits>(load).admitted >= 0.95);
+      CHECK(SimulateQuota<Credits>(load).admitted >= 0.95);
     }
   }
 }
@@ -60,7 +60,7 @@
 // Guards against a limit that is enforced only while its owner is alive.
 TEST_CASE("a limit holds while its owner is killed, stopped or cut off") {
   using Fault = QuotaLoad::Fault;
-  for (const Fault fault : {Fault::kOwnerKilled, Fault::kOwnerFrozen, Fault::kOwnerCut,
+  for (const Fault fault : {Fault::kOwnerKilled, Fault::kOwnerStopped, Fault::kOwnerCut,
                             Fault::kSomeCut, Fault::kAllRestarted}) {
     for (const int entries : {30, 100, 300}) {
       for (const double rate : {2.0, 40.0, 400.0}) {
@@ -83,5 +83,5 @@
   load.rate = load.burst = 400;
   load.offered = 100;
   load.fault = QuotaLoad::Fault::kOwnerKilled;
-  CHECK(Play<Credits>(load).admitted >= 0.95);
+  CHECK(SimulateQuota<Credits>(load).admitted >= 0.95);
 }
--- a/test/quota-ways.h
+++ b/test/quota-policies.h
@@ -20,7 +20,7 @@
 // Each entry gets an equal share.
 class EqualShares {
  public:
-  explicit EqualShares(QuotaWorld& simulation)
+  explicit EqualShares(QuotaSimulation& simulation)
       : simulation_(simulation), buckets_(static_cast<std::size_t>(simulation.entries())) {
     const double part = 1.0 / simulation.entries();
     for (TokenBucket& bucket : buckets_) {
@@ -41,14 +41,14 @@
   }
 
  private:
-  QuotaWorld& simulation_;
+  QuotaSimulation& simulation_;
   std::vector<TokenBucket> buckets_;
 };
 
 // The owner divides the limit in proportion to the demand that the entries report.
 class DemandShares {
  public:
-  explicit DemandShares(QuotaWorld& simulation) : simulation_(simulation) {
+  explicit DemandShares(QuotaSimulation& simulation) : simulation_(simulation) {
     auto config = std::make_shared<Config>();
     config->limits[simulation.team().name] = {simulation.team().name, simulation.load().rate, 0,
                                               simulation.load().burst / simulation.load().rate};
@@ -81,10 +81,10 @@
  private:
   void Report(int entry) {
     if (!simulation_.IsRunning(entry)) return;
-    for (const ShareRequest& ask :
+    for (const ShareRequest& request :
          limits_[static_cast<std::size_t>(entry)].TakeDueReports(simulation_.now())) {
       const int owner = simulation_.OwnerSeenBy(entry);
-      simulation_.Send(entry, owner, [this, entry, owner, report = ask.report] {
+      simulation_.Send(entry, owner, [this, entry, owner, report = request.report] {
         const TeamRates share = owners_[owner].Allocate(
             simulation_.node(entry), report, snapshot_.config->limits.at(simulation_.team().name),
             simulation_.now());
@@ -96,7 +96,7 @@
     }
   }
 
-  QuotaWorld& simulation_;
+  QuotaSimulation& simulation_;
   Snapshot snapshot_;
   std::deque<TeamLimits> limits_;
   std::map<int, TeamShareAllocator> owners_;
@@ -105,16 +105,16 @@
 // The owner grants credits that expire after a short time.
 class Credits {
  public:
-  explicit Credits(QuotaWorld& simulation) : simulation_(simulation) {
+  explicit Credits(QuotaSimulation& simulation) : simulation_(simulation) {
     RestartAll();
-    simulation_.Every(QuotaClient::kAskAgain / 2, [this] {
+    simulation_.Every(QuotaClient::kRetryInterval / 2, [this] {
       for (int i = 0; i < simulation_.entries(); ++i) {
         if (!simulation_.IsRunning(i)) continue;
         CheckOwner(i);
         const Time before = std::exchange(At(i).checked_at, simulation_.now());
         const bool was_stopped = simulation_.now() - before > std::chrono::seconds(1);
-        if (was_stopped || !simulation_.MayOwn(i)) At(i).owner.Restart(simulation_.now());
-        At(i).client.OnTime(simulation_.now());
+        if (was_stopped || !simulation_.MayOwn(i)) At(i).owner.Reset(simulation_.now());
+        At(i).client.ApplyTimeouts(simulation_.now());
         Flush(i);
       }
     });
@@ -123,14 +123,14 @@
     Entry& at = At(entry);
     const std::uint64_t ticket = ++tickets_;
     const bool may_admit_alone =
-        simulation_.Rank(entry) < static_cast<int>(QuotaBounds{}.FreeEntries());
-    const quota::Verdict verdict = at.client.Admit(
+        simulation_.Rank(entry) < static_cast<int>(QuotaBounds{}.FallbackEntries());
+    const quota::AdmitResult result = at.client.Admit(
         simulation_.team(), {static_cast<std::size_t>(simulation_.entries()), may_admit_alone},
         {ticket, Duration{5'000'000}}, simulation_.now());
-    if (std::holds_alternative<quota::Waits>(verdict)) {
+    if (std::holds_alternative<quota::Pending>(result)) {
       at.waiting.emplace(ticket, decided);
     } else {
-      decided(std::holds_alternative<quota::Admitted>(verdict));
+      decided(std::holds_alternative<quota::Admitted>(result));
     }
     Flush(entry);
   }
@@ -161,21 +161,21 @@
     At(entry).owner.OnEntriesChanged([&](const TeamId&) { return now == entry; },
                                      simulation_.now());
   }
-  [[nodiscard]] QuotaGrant Grant(int owner, const QuotaAsk& ask) {
+  [[nodiscard]] QuotaGrant Grant(int owner, const QuotaRequest& request) {
     const bool owned = At(owner).owner_seen == owner && simulation_.MayOwn(owner);
-    if (!owned) return {ask.number, ask.team, false, 0, Duration{0}, Duration{0}};
-    return At(owner).owner.Grant(ask, simulation_.team(), simulation_.now());
+    if (!owned) return {request.number, request.team, false, 0, Duration{0}, Duration{0}};
+    return At(owner).owner.Grant(request, simulation_.team(), simulation_.now());
   }
   void Flush(int entry) {
     Entry& at = At(entry);
-    for (const QuotaAsk& ask : at.client.TakeAsks()) {
+    for (const QuotaRequest& request : at.client.TakeRequests()) {
       const int owner = at.owner_seen;
       if (owner == entry) {
-        at.client.OnGrant(Grant(entry, ask), simulation_.now());
+        at.client.OnGrant(Grant(entry, request), simulation_.now());
         continue;
       }
-      simulation_.Send(entry, owner, [this, entry, owner, ask] {
-        simulation_.Send(owner, entry, [this, entry, grant = Grant(owner, ask)] {
+      simulation_.Send(entry, owner, [this, entry, owner, request] {
+        simulation_.Send(owner, entry, [this, entry, grant = Grant(owner, request)] {
           At(entry).client.OnGrant(grant, simulation_.now());
           Flush(entry);
         });
@@ -183,11 +183,11 @@
     }
     for (const quota::Decision& decision : at.client.TakeDecisions()) {
       auto waiting = at.waiting.extract(decision.ticket);
-      if (!waiting.empty()) waiting.mapped()(IsOk(decision.verdict));
+      if (!waiting.empty()) waiting.mapped()(IsOk(decision.result));
     }
   }
 
-  QuotaWorld& simulation_;
+  QuotaSimulation& simulation_;
   std::uint64_t tickets_ = 0;
   std::vector<std::unique_ptr<Entry>> entries_;
 };
--- a/test/quota-sim.h
+++ b/test/quota-sim.h
@@ -1,7 +1,7 @@
 #pragma once
 
 // Simulation of entries that share the quota of one team, over datagrams with latency and loss. The
-// policies that divide the quota are in quota-ways.h.
+// policies that divide the quota are in quota-policies.h.
 
 #include <algorithm>
 #include <cmath>
@@ -25,7 +25,7 @@
   double loss = 0.01;  // probability, for each datagram
   Duration latency{1'000};
   // Fault that starts at `fault_at` and lasts for `fault_duration`.
-  enum class Fault { kNone, kOwnerKilled, kOwnerFrozen, kOwnerCut, kSomeCut, kAllRestarted };
+  enum class Fault { kNone, kOwnerKilled, kOwnerStopped, kOwnerCut, kSomeCut, kAllRestarted };
   Fault fault = Fault::kNone;
   Duration fault_at{10'000'000};
   Duration fault_duration{5'000'000};
@@ -61,9 +61,9 @@
 constexpr Duration kRejoinAfterCut = std::chrono::milliseconds(1000);
 constexpr Duration kRejoinAfterStop = std::chrono::milliseconds(100);
 
-class QuotaWorld {
+class QuotaSimulation {
  public:
-  explicit QuotaWorld(const QuotaLoad& load) : load_(load), random_(load.seed) {
+  explicit QuotaSimulation(const QuotaLoad& load) : load_(load), random_(load.seed) {
     team_.name.value = "harbour";
     team_.requests_per_second = load.rate;
     team_.burst = load.burst;
@@ -133,7 +133,7 @@
   }
   [[nodiscard]] bool IsOwnerFault() const {
     return load_.fault == QuotaLoad::Fault::kOwnerKilled ||
-           load_.fault == QuotaLoad::Fault::kOwnerFrozen;
+           load_.fault == QuotaLoad::Fault::kOwnerStopped;
   }
   [[nodiscard]] bool IsRunning(int entry) const {
     return !(IsOwnerFault() && IsFaultActive() && entry == FirstOwner());
@@ -201,8 +201,8 @@
 };
 
 template <typename Policy>
-QuotaResult Play(const QuotaLoad& load) {
-  QuotaWorld simulation(load);
+QuotaResult SimulateQuota(const QuotaLoad& load) {
+  QuotaSimulation simulation(load);
   Policy policy(simulation);
   // The owner has been live for a while when the first requests arrive.
   const Time first = simulation.now() + std::chrono::seconds(5);
@@ -237,7 +237,7 @@
   if (load.fault == QuotaLoad::Fault::kAllRestarted) {
     for (Duration at = load.fault_at; at < load.fault_at + load.fault_duration;
          at += Duration{1'000'000}) {
-      simulation.After(at - (first - QuotaWorld::Start()), [&] { policy.RestartAll(); });
+      simulation.After(at - (first - QuotaSimulation::Start()), [&] { policy.RestartAll(); });
     }
   }
   simulation.RunUntil(first + load.span + std::chrono::seconds(1));
--- a/test/quota-test.cc
+++ b/test/quota-test.cc
@@ -23,7 +23,7 @@
   return team;
 }
 
-QuotaAsk Ask(std::uint32_t wanted, std::uint32_t returned = 0) {
+QuotaRequest CreditRequest(std::uint32_t wanted, std::uint32_t returned = 0) {
   return {1, TeamId{"rye"}, wanted, returned};
 }
 
@@ -31,15 +31,16 @@
   return {ticket, Duration{5'000'000}};
 }
 
-bool IsAdmitted(const quota::Verdict& verdict) {
-  return std::holds_alternative<quota::Admitted>(verdict);
+bool IsAdmitted(const quota::AdmitResult& result) {
+  return std::holds_alternative<quota::Admitted>(result);
 }
-bool Waits(const quota::Verdict& verdict) {
-  return std::holds_alternative<quota::Waits>(verdict);
+bool Pending(const quota::AdmitResult& result) {
+  return std::holds_alternative<quota::Pending>(result);
 }
 
-QuotaGrant Answer(const QuotaAsk& ask, std::uint32_t credits, Duration time_to_next = Duration{0}) {
-  return {ask.number, ask.team, true, credits, time_to_next, time_to_next};
+QuotaGrant GrantFor(const QuotaRequest& request, std::uint32_t credits,
+                    Duration time_to_next = Duration{0}) {
+  return {request.number, request.team, true, credits, time_to_next, time_to_next};
 }
 
 }  // namespace
@@ -50,49 +51,49 @@
   QuotaOwner owner(kStart);
   const Team team = Limited(10, 20);
   const Time later = kStart + std::chrono::seconds(60);
-  CHECK(owner.Grant(Ask(30), team, later).credits == 20);
-  const QuotaGrant none = owner.Grant(Ask(1), team, later);
+  CHECK(owner.Grant(CreditRequest(30), team, later).credits == 20);
+  const QuotaGrant none = owner.Grant(CreditRequest(1), team, later);
   CHECK(none.credits == 0);
   CHECK(none.time_to_next == 100 * kMs);
   CHECK(none.credit_interval == 100 * kMs);
-  CHECK(owner.Grant(Ask(9), team, later + 500 * kMs).credits == 5);
+  CHECK(owner.Grant(CreditRequest(9), team, later + 500 * kMs).credits == 5);
 }
 
 // Guards against granting a whole burst from each entry that becomes the owner.
 TEST_CASE("a new owner grants no burst") {
   QuotaOwner owner(kStart);
   const Team team = Limited(10, 100);
-  CHECK(owner.Grant(Ask(100), team, kStart).credits == 2);
+  CHECK(owner.Grant(CreditRequest(100), team, kStart).credits == 2);
   owner.OnEntriesChanged([](const TeamId&) { return true; }, kStart + std::chrono::seconds(60));
-  CHECK(owner.Grant(Ask(500), team, kStart + std::chrono::seconds(60)).credits == 100);
+  CHECK(owner.Grant(CreditRequest(500), team, kStart + std::chrono::seconds(60)).credits == 100);
   owner.OnEntriesChanged([](const TeamId&) { return false; }, kStart + std::chrono::seconds(60));
-  CHECK(owner.Grant(Ask(100), team, kStart + std::chrono::seconds(60)).credits == 2);
-  owner.Restart(kStart + std::chrono::seconds(90));
-  CHECK(owner.Grant(Ask(100), team, kStart + std::chrono::seconds(90)).credits == 2);
+  CHECK(owner.Grant(CreditRequest(100), team, kStart + std::chrono::seconds(60)).credits == 2);
+  owner.Reset(kStart + std::chrono::seconds(90));
+  CHECK(owner.Grant(CreditRequest(100), team, kStart + std::chrono::seconds(90)).credits == 2);
 }
 
 TEST_CASE("credits that an entry returns are granted again, up to the burst") {
   QuotaOwner owner(kStart);
   const Team team = Limited(1, 10);
   const Time later = kStart + std::chrono::seconds(60);
-  CHECK(owner.Grant(Ask(10), team, later).credits == 10);
-  CHECK(owner.Grant(Ask(10, 4), team, later).credits == 4);
-  CHECK(owner.Grant(Ask(50, 40), team, later).credits == 10);
+  CHECK(owner.Grant(CreditRequest(10), team, later).credits == 10);
+  CHECK(owner.Grant(CreditRequest(10, 4), team, later).credits == 4);
+  CHECK(owner.Grant(CreditRequest(50, 40), team, later).credits == 10);
 }
 
 TEST_CASE("a lowered limit applies to all later grants") {
   QuotaOwner owner(kStart);
   const Time later = kStart + std::chrono::seconds(60);
-  CHECK(owner.Grant(Ask(1), Limited(100, 100), later).credits == 1);
-  CHECK(owner.Grant(Ask(90), Limited(1, 5), later).credits == 5);
+  CHECK(owner.Grant(CreditRequest(1), Limited(100, 100), later).credits == 1);
+  CHECK(owner.Grant(CreditRequest(90), Limited(1, 5), later).credits == 5);
 }
 
 TEST_CASE("a team with a rate below one request a second may make one from time to time") {
   QuotaOwner owner(kStart);
   const Team team = Limited(0.1, 0);
-  CHECK(owner.Grant(Ask(1), team, kStart + std::chrono::seconds(20)).credits == 1);
-  CHECK(owner.Grant(Ask(1), team, kStart + std::chrono::seconds(21)).credits == 0);
-  CHECK(owner.Grant(Ask(1), team, kStart + std::chrono::seconds(31)).credits == 1);
+  CHECK(owner.Grant(CreditRequest(1), team, kStart + std::chrono::seconds(20)).credits == 1);
+  CHECK(owner.Grant(CreditRequest(1), team, kStart + std::chrono::seconds(21)).credits == 0);
+  CHECK(owner.Grant(CreditRequest(1), team, kStart + std::chrono::seconds(31)).credits == 1);
 }
 
 // --- Entry -------------------------------------------------------------------------
@@ -100,22 +101,22 @@
 TEST_CASE("no credits are requested for a team without a limit") {
   QuotaClient client{QuotaBounds{}};
   CHECK(IsAdmitted(client.Admit(Limited(0, 0), kEntries, Request(1), kStart)));
-  CHECK(client.TakeAsks().empty());
+  CHECK(client.TakeRequests().empty());
   CHECK(client.tracked() == 0);
 }
 
 TEST_CASE("requests that arrive before a grant share the next request to the owner") {
   QuotaClient client{QuotaBounds{}};
   const Team team = Limited(10, 10);
-  CHECK(Waits(client.Admit(team, kEntries, Request(1), kStart)));
-  const std::vector<QuotaAsk> first = client.TakeAsks();
+  CHECK(Pending(client.Admit(team, kEntries, Request(1), kStart)));
+  const std::vector<QuotaRequest> first = client.TakeRequests();
   REQUIRE(first.size() == 1);
-  CHECK(Waits(client.Admit(team, kEntries, Request(2), kStart)));
-  CHECK(Waits(client.Admit(team, kEntries, Request(3), kStart)));
-  CHECK(client.TakeAsks().empty());
-  client.OnGrant(Answer(first[0], 1), kStart + 2 * kMs);
+  CHECK(Pending(client.Admit(team, kEntries, Request(2), kStart)));
+  CHECK(Pending(client.Admit(team, kEntries, Request(3), kStart)));
+  CHECK(client.TakeRequests().empty());
+  client.OnGrant(GrantFor(first[0], 1), kStart + 2 * kMs);
   REQUIRE(client.TakeDecisions().size() == 1);
-  const std::vector<QuotaAsk> second = client.TakeAsks();
+  const std::vector<QuotaRequest> second = client.TakeRequests();
   REQUIRE(second.size() == 1);
   CHECK(second[0].wanted >= 2);
 }
@@ -126,11 +127,11 @@
   QuotaClient client{bounds};
   const Team team = Limited(100, 100);
   (void)client.Admit(team, kEntries, Request(1), kStart);
-  client.OnGrant(Answer(client.TakeAsks()[0], 4), kStart + 2 * kMs);
+  client.OnGrant(GrantFor(client.TakeRequests()[0], 4), kStart + 2 * kMs);
   CHECK(client.TakeDecisions().size() == 1);
   CHECK(IsAdmitted(client.Admit(team, kEntries, Request(2), kStart + 3 * kMs)));
-  CHECK(Waits(client.Admit(team, kEntries, Request(3), kStart + bounds.CreditLifetime())));
-  CHECK(client.TakeAsks()[0].returned == 2);
+  CHECK(Pending(client.Admit(team, kEntries, Request(3), kStart + bounds.CreditLifetime())));
+  CHECK(client.TakeRequests()[0].returned == 2);
 }
 
 TEST_CASE("a request that was refused and has not run is refunded if it was charged recently") {
@@ -138,11 +139,11 @@
   QuotaClient client{bounds};
   const Team team = Limited(100, 100);
   (void)client.Admit(team, kEntries, Request(1), kStart);
-  client.OnGrant(Answer(client.TakeAsks()[0], 1), kStart);
-  client.GiveBack(team.name, kStart, kStart + 10 * kMs);
-  client.GiveBack(team.name, kStart, kStart + bounds.CreditLifetime());
+  client.OnGrant(GrantFor(client.TakeRequests()[0], 1), kStart);
+  client.Refund(team.name, kStart, kStart + 10 * kMs);
+  client.Refund(team.name, kStart, kStart + bounds.CreditLifetime());
   (void)client.Admit(team, kEntries, Request(2), kStart + std::chrono::seconds(1));
-  CHECK(client.TakeAsks()[0].returned == 1);
+  CHECK(client.TakeRequests()[0].returned == 1);
 }
 
 TEST_CASE("callers over the limit are told at once when to retry, at increasing times") {
@@ -151,21 +152,21 @@
   for (std::uint64_t ticket = 1; ticket <= 3; ++ticket) {
     (void)client.Admit(team, {1, true}, Request(ticket), kStart);
   }
-  client.OnGrant(Answer(client.TakeAsks()[0], 0, 100 * kMs), kStart + 2 * kMs);
+  client.OnGrant(GrantFor(client.TakeRequests()[0], 0, 100 * kMs), kStart + 2 * kMs);
   const std::vector<quota::Decision> refused = client.TakeDecisions();
   REQUIRE(refused.size() == 3);
   for (const quota::Decision& decision : refused) {
-    REQUIRE_FALSE(IsOk(decision.verdict));
-    const Error& error = ErrorOf(decision.verdict);
+    REQUIRE_FALSE(IsOk(decision.result));
+    const Error& error = ErrorOf(decision.result);
     CHECK(error.kind == ErrorKind::kTeamLimit);
     CHECK(error.ran == Ran::kNo);
     REQUIRE(error.retry_after);
     CHECK(*error.retry_after >= 100 * kMs);
   }
   // No credits are requested for the next one until a credit may be available.
-  const quota::Verdict next = client.Admit(team, {1, true}, Request(4), kStart + 10 * kMs);
+  const quota::AdmitResult next = client.Admit(team, {1, true}, Request(4), kStart + 10 * kMs);
   CHECK(std::holds_alternative<Error>(next));
-  CHECK(client.TakeAsks().empty());
+  CHECK(client.TakeRequests().empty());
 }
 
 // Guards against one lost datagram that delays all later requests until the next timeout.
@@ -173,14 +174,15 @@
   QuotaClient client{QuotaBounds{}};
   const Team team = Limited(100, 100);
   (void)client.Admit(team, kEntries, Request(1), kStart);
-  CHECK(client.TakeAsks().size() == 1);  // lost
-  client.OnTime(kStart + QuotaClient::kAskAgain);
-  const std::vector<QuotaAsk> again = client.TakeAsks();
+  CHECK(client.TakeRequests().size() == 1);  // lost
+  client.ApplyTimeouts(kStart + QuotaClient::kRetryInterval);
+  const std::vector<QuotaRequest> again = client.TakeRequests();
   REQUIRE(again.size() == 1);
-  client.OnGrant(Answer(again[0], 1), kStart + QuotaClient::kAskAgain + 2 * kMs);
+  client.OnGrant(GrantFor(again[0], 1), kStart + QuotaClient::kRetryInterval + 2 * kMs);
   CHECK(client.TakeDecisions().size() == 1);
-  CHECK(Waits(client.Admit(team, kEntries, Request(2), kStart + 2 * QuotaClient::kAskAgain)));
-  CHECK(client.TakeAsks().size() == 1);
+  CHECK(
+      Pending(client.Admit(team, kEntries, Request(2), kStart + 2 * QuotaClient::kRetryInterval)));
+  CHECK(client.TakeRequests().size() == 1);
 }
 
 TEST_CASE("while the owner doesn't respond, an entry admits its own share and probes the owner") {
@@ -188,21 +190,21 @@
   const Team team = Limited(2, 2);
   (void)client.Admit(team, kEntries, Request(1), kStart);
   (void)client.Admit(team, kEntries, Request(2), kStart);
-  CHECK(client.TakeAsks().size() == 1);
+  CHECK(client.TakeRequests().size() == 1);
   const Time late = kStart + QuotaClient::kOwnerTimeout;
-  client.OnTime(late);
+  client.ApplyTimeouts(late);
   const std::vector<quota::Decision> decisions = client.TakeDecisions();
   REQUIRE(decisions.size() == 2);
-  CHECK(IsOk(decisions[0].verdict));
-  REQUIRE_FALSE(IsOk(decisions[1].verdict));
-  CHECK(ErrorOf(decisions[1].verdict).kind == ErrorKind::kNoBackend);
-  CHECK(ErrorOf(decisions[1].verdict).ran == Ran::kNo);
-  const quota::Verdict at_once = client.Admit(team, kEntries, Request(3), late + kMs);
+  CHECK(IsOk(decisions[0].result));
+  REQUIRE_FALSE(IsOk(decisions[1].result));
+  CHECK(ErrorOf(decisions[1].result).kind == ErrorKind::kNoBackend);
+  CHECK(ErrorOf(decisions[1].result).ran == Ran::kNo);
+  const quota::AdmitResult at_once = client.Admit(team, kEntries, Request(3), late + kMs);
   CHECK(std::holds_alternative<Error>(at_once));
   (void)client.Admit(team, kEntries, Request(4), late + QuotaClient::kOwnerProbeInterval);
-  const std::vector<QuotaAsk> asks = client.TakeAsks();
-  REQUIRE(asks.size() == 1);
-  client.OnGrant(Answer(asks[0], 1), late + QuotaClient::kOwnerProbeInterval + 2 * kMs);
+  const std::vector<QuotaRequest> requests = client.TakeRequests();
+  REQUIRE(requests.size() == 1);
+  client.OnGrant(GrantFor(requests[0], 1), late + QuotaClient::kOwnerProbeInterval + 2 * kMs);
   CHECK(IsAdmitted(
       client.Admit(team, kEntries, Request(5), late + QuotaClient::kOwnerProbeInterval + 3 * kMs)));
 }
@@ -211,23 +213,23 @@
 TEST_CASE("only some entries may admit requests of a small team on their own") {
   QuotaClient client{QuotaBounds{}};
   (void)client.Admit(Limited(1, 1), {300, false}, Request(1), kStart);
-  client.OnTime(kStart + QuotaClient::kOwnerTimeout);
+  client.ApplyTimeouts(kStart + QuotaClient::kOwnerTimeout);
   const std::vector<quota::Decision> decisions = client.TakeDecisions();
   REQUIRE(decisions.size() == 1);
-  CHECK_FALSE(IsOk(decisions[0].verdict));
-  CHECK(QuotaBounds{}.FreeEntries() == 10);
+  CHECK_FALSE(IsOk(decisions[0].result));
+  CHECK(QuotaBounds{}.FallbackEntries() == 10);
 }
 
 TEST_CASE("a grant of an entry that is not the owner is not taken as a refusal") {
   QuotaClient client{QuotaBounds{}};
   const Team team = Limited(100, 100);
   (void)client.Admit(team, kEntries, Request(1), kStart);
-  QuotaGrant grant = Answer(client.TakeAsks()[0], 0);
+  QuotaGrant grant = GrantFor(client.TakeRequests()[0], 0);
   grant.owned = false;
   client.OnGrant(grant, kStart + 2 * kMs);
   REQUIRE(client.TakeDecisions().size() == 1);
   client.OnOwnerChanged(team.name);
-  CHECK(Waits(client.Admit(team, kEntries, Request(2), kStart + 3 * kMs)));
+  CHECK(Pending(client.Admit(team, kEntries, Request(2), kStart + 3 * kMs)));
 }
 
 // --- Messages ----------------------------------------------------------------------
@@ -235,11 +237,11 @@
 TEST_CASE("requests and grants of credits are decoded as they were encoded") {
   PeerMessage message;
   message.from = {NodeId{"a"}, 1, Address{"10.0.0.1", 1}, DataCentre{"dc"}, 1, false};
-  message.quota_ask = QuotaAsk{7, TeamId{"rye"}, 3, 2};
+  message.quota_request = QuotaRequest{7, TeamId{"rye"}, 3, 2};
   message.quota_grant = QuotaGrant{8, TeamId{"rye"}, true, 5, 20 * kMs, 10 * kMs};
   const Result<PeerMessage> back = DecodePeerMessage(Encode(message));
   REQUIRE(IsOk(back));
-  CHECK(std::get<PeerMessage>(back).quota_ask == message.quota_ask);
+  CHECK(std::get<PeerMessage>(back).quota_request == message.quota_request);
   CHECK(std::get<PeerMessage>(back).quota_grant == message.quota_grant);
   message.quota_grant.reset();
   CHECK_FALSE(std::get<PeerMessage>(DecodePeerMessage(Encode(message))).quota_grant);
--- a/test/sharing-test.cc
+++ b/test/sharing-test.cc
@@ -26,8 +26,8 @@
   return {NodeId{node}, 1, Address{"10.0.0.1", 1}, DataCentre{centre}, capacity, false};
 }
 
-PlaceAsk RequestOf(std::uint64_t number, bool may_queue = false) {
-  PlaceAsk ask;
+SlotRequest RequestOf(std::uint64_t number, bool may_queue = false) {
+  SlotRequest ask;
   ask.number = number;
   ask.service = kLlm;
   ask.goal_left = Duration{300'000};
@@ -39,7 +39,7 @@
 // An allocator that owns engines with four slots each.
 struct Fixture {
   explicit Fixture(std::vector<BackendId> engines = {kEngine}) {
-    std::map<BackendId, KeptBackend> owned;
+    std::map<BackendId, ManagedBackend> owned;
     for (const BackendId& engine : engines) owned[engine] = {kLlm, 4};
     allocator.SetOwnedBackends(owned, kStart);
   }
@@ -47,19 +47,19 @@
   // `waiting`: batch items, all due at kDue.
   void Report(const std::string& node, int online, int batch, int waiting = 0, Time now = kSettled,
               std::vector<std::uint64_t> asked = {}, const BackendId& engine = kEngine) {
-    PlaceReport report;
-    report.asked = std::move(asked);
+    SlotReport report;
+    report.acked_requests = std::move(asked);
     if (waiting > 0) report.waiting = {{kDue, waiting}};
     report.lines = {{engine, online, batch}};
     Report(node, std::move(report), now);
   }
-  void Report(const std::string& node, PlaceReport report, Time now) {
+  void Report(const std::string& node, SlotReport report, Time now) {
     report.number = ++numbers[node];
-    report.grant = acked_grant[node];
+    report.acked_grant = acked_grant[node];
     allocator.OnReport(PeerNamed(node), true, report, now);
     Collect(now);
   }
-  void RequestSlot(const std::string& node, const PlaceAsk& ask, Time now = kSettled) {
+  void RequestSlot(const std::string& node, const SlotRequest& ask, Time now = kSettled) {
     allocator.OnRequest(NodeId{node}, ask, now);
     Collect(now);
   }
@@ -77,7 +77,7 @@
 
   SlotAllocator allocator{0};
   std::map<std::string, std::uint64_t> numbers, acked_grant;
-  std::vector<PlaceAnswer> answers;
+  std::vector<SlotResponse> answers;
 };
 
 }  // namespace
@@ -106,7 +106,7 @@
 TEST_CASE("free slots go to the item that is due first, whichever entry owns it") {
   Fixture f;
   const auto waiting = [](std::vector<WaitingItems> items) {
-    return PlaceReport{0, 0, {}, std::move(items), {{kEngine, 0, 0}}};
+    return SlotReport{0, 0, {}, std::move(items), {{kEngine, 0, 0}}};
   };
   f.Report("a", waiting({{kDue + Duration{1}, 9}}), kStart);
   f.Report("b", waiting({{kDue, 3}, {WaitingItems::kLate, 9}}), kStart);
@@ -120,7 +120,7 @@
 // counted per engine.
 TEST_CASE("an entry is granted no more slots in total than it has items waiting") {
   Fixture f({kEngine, kOtherEngine});
-  const std::vector<PlaceReport::Line> both{{kEngine, 0, 0}, {kOtherEngine, 0, 0}};
+  const std::vector<SlotReport::Line> both{{kEngine, 0, 0}, {kOtherEngine, 0, 0}};
   f.Report("a", {0, 0, {}, {{kDue, 1}}, both}, kStart);
   f.Report("b", {0, 0, {}, {{kDue + Duration{1}, 8}}, both}, kStart);
   f.Tick(kSettled);
@@ -196,18 +196,18 @@
   constexpr BackendIncarnation kFirst{1'000};
   constexpr BackendIncarnation kSecond{2'000};
   Fixture f;
-  f.allocator.SetOwnedBackends({{kEngine, {.service = kLlm, .places = 4, .incarnation = kFirst}}},
+  f.allocator.SetOwnedBackends({{kEngine, {.service = kLlm, .slots = 4, .incarnation = kFirst}}},
                                kSettled);
   const auto report = [&f](const std::string& node, int online, int batch, int waiting,
                            BackendIncarnation incarnation) {
-    PlaceReport all;
+    SlotReport all;
     if (waiting > 0) all.waiting = {{kDue, waiting}};
     all.lines = {{kEngine, online, batch, Duration{0}, 0, 0, TagOf(incarnation)}};
     f.Report(node, std::move(all), kSettled);
   };
   report("a", 3, 1, 0, kFirst);
   f.RequestSlot("b", RequestOf(1));
-  f.allocator.SetOwnedBackends({{kEngine, {.service = kLlm, .places = 4, .incarnation = kSecond}}},
+  f.allocator.SetOwnedBackends({{kEngine, {.service = kLlm, .slots = 4, .incarnation = kSecond}}},
                                kSettled);
   SUBCASE("its slots are free at once") {
     report("b", 0, 0, 9, kSecond);
@@ -262,7 +262,7 @@
   f.Report("a", 3, 0, 0, kSettled, {}, kOtherEngine);
   f.RequestSlot("b", RequestOf(1));
   REQUIRE(f.answers.size() == 1);
-  CHECK(f.answers[0].kind == PlaceAnswer::Kind::kPlaced);
+  CHECK(f.answers[0].kind == SlotResponse::Kind::kAssigned);
   CHECK(f.answers[0].backend == kOtherEngine);
   // All are used now: batch is preempted.
   f.RequestSlot("b", RequestOf(2));
@@ -276,17 +276,17 @@
   f.RequestSlot("b", RequestOf(1));
   f.RequestSlot("c", RequestOf(2));
   REQUIRE(f.answers.size() == 2);
-  CHECK(f.answers[1].kind == PlaceAnswer::Kind::kFull);
+  CHECK(f.answers[1].kind == SlotResponse::Kind::kFull);
   SUBCASE("in use") {
     f.Report("b", 1, 0, 0, kSettled, {1});
     f.RequestSlot("c", RequestOf(3));
-    CHECK(f.answers[2].kind == PlaceAnswer::Kind::kFull);
+    CHECK(f.answers[2].kind == SlotResponse::Kind::kFull);
   }
   SUBCASE("expired") {
     const Time later = kSettled + SlotAllocator::kReservationTtl;
     f.Tick(later);
     f.RequestSlot("c", RequestOf(3), later);
-    CHECK(f.answers[2].kind == PlaceAnswer::Kind::kPlaced);
+    CHECK(f.answers[2].kind == SlotResponse::Kind::kAssigned);
   }
 }
 
@@ -295,14 +295,14 @@
   Fixture f;
   f.Report("a", 4, 0);
   const Time now = kSettled + kNearRunEnd;
-  PlaceAsk last_try = RequestOf(1, /*may_queue=*/true);
-  last_try.last_chance = true;
+  SlotRequest last_try = RequestOf(1, /*may_queue=*/true);
+  last_try.last_try = true;
   last_try.goal_left = Duration{0};
   f.RequestSlot("b", last_try, now);
   f.RequestSlot("b", RequestOf(2, /*may_queue=*/true), now);
   REQUIRE(f.answers.size() == 2);
-  CHECK(f.answers[0].kind == PlaceAnswer::Kind::kQueued);
-  CHECK(f.answers[1].kind == PlaceAnswer::Kind::kQueued);
+  CHECK(f.answers[0].kind == SlotResponse::Kind::kQueued);
+  CHECK(f.answers[1].kind == SlotResponse::Kind::kQueued);
   f.Report("a", 3, 0, 0, now);
   REQUIRE(f.answers.size() == 3);
   CHECK(f.answers[2].number == 2);
@@ -319,10 +319,10 @@
   f.Report("a", 4, 0);
   const Time now = kSettled + kNearRunEnd;
   for (std::uint64_t i = 1; i <= 20; ++i) f.RequestSlot("b", RequestOf(i, /*may_queue=*/true), now);
-  CHECK(f.answers.back().kind == PlaceAnswer::Kind::kFull);
+  CHECK(f.answers.back().kind == SlotResponse::Kind::kFull);
   CHECK(f.answers.back().wait > Duration{100'000});
   const auto queued = std::count_if(f.answers.begin(), f.answers.end(), [](const auto& answer) {
-    return answer.kind == PlaceAnswer::Kind::kQueued;
+    return answer.kind == SlotResponse::Kind::kQueued;
   });
   CHECK(queued > 0);
   CHECK(queued < 5);
@@ -336,7 +336,7 @@
   f.Report("a", 4, 0);
   f.RequestSlot("b", RequestOf(1, /*may_queue=*/true));
   REQUIRE(f.answers.size() == 1);
-  CHECK(f.answers[0].kind == PlaceAnswer::Kind::kFull);
+  CHECK(f.answers[0].kind == SlotResponse::Kind::kFull);
 }
 
 // Guards against refused callers that all retry at the same time within the same load peak. Each
@@ -349,7 +349,7 @@
     f.Report("a", 0, 0, 0, now);
     f.Report("a", 4, 0, 0, now);
     f.RequestSlot("b", RequestOf(++number, /*may_queue=*/true), now);
-    return f.answers.back().come_back;
+    return f.answers.back().retry_after;
   };
   for (int i = 0; i <= 16; ++i) {
     CHECK(refuse(kSettled + i * Duration{50'000}) == Duration{1'500'000});
@@ -367,16 +367,16 @@
                           : ask->allocator.value + (ask->request.may_queue ? "+" : "");
   };
   const auto full = [](Duration wait, Duration come_back = {}) {
-    return search::Answered{{7, PlaceAnswer::Kind::kFull, {}, wait, come_back}};
+    return search::Answered{{7, SlotResponse::Kind::kFull, {}, wait, come_back}};
   };
   CHECK(asked(search.Start(kStart)) == "a");
   CHECK(asked(search.OnEvent(full(Duration{50'000}), kStart)) == "b");
   CHECK(asked(search.OnEvent(full(Duration{90'000}), kStart)) == "a+");
   SUBCASE("queued, then assigned") {
     CHECK(std::holds_alternative<search::Wait>(
-        search.OnEvent(search::Answered{{7, PlaceAnswer::Kind::kQueued, {}, {}}}, kStart)));
+        search.OnEvent(search::Answered{{7, SlotResponse::Kind::kQueued, {}, {}}}, kStart)));
     const auto taken =
-        search.OnEvent(search::Answered{{7, PlaceAnswer::Kind::kPlaced, kEngine, {}}}, kStart);
+        search.OnEvent(search::Answered{{7, SlotResponse::Kind::kAssigned, kEngine, {}}}, kStart);
     REQUIRE(std::holds_alternative<search::UseSlot>(taken));
     CHECK(std::get<search::UseSlot>(taken).backend == kEngine);
   }
@@ -394,9 +394,9 @@
   Fixture f(std::vector<BackendId>{});
   f.RequestSlot("a", RequestOf(1));
   f.RequestSlot("a", RequestOf(2, /*may_queue=*/true));
-  for (const PlaceAnswer& answer : f.answers) {
-    CHECK(answer.kind != PlaceAnswer::Kind::kFull);
-    CHECK(answer.kind != PlaceAnswer::Kind::kQueued);
+  for (const SlotResponse& answer : f.answers) {
+    CHECK(answer.kind != SlotResponse::Kind::kFull);
+    CHECK(answer.kind != SlotResponse::Kind::kQueued);
   }
 }
 
@@ -407,20 +407,20 @@
   f.allocator.SetOwnedBackends({{kEngine, {kLlm, 0}}}, kStart);
   f.RequestSlot("a", RequestOf(1, /*may_queue=*/true));
   REQUIRE(f.answers.size() == 1);
-  CHECK(f.answers[0].kind == PlaceAnswer::Kind::kNotKept);
+  CHECK(f.answers[0].kind == SlotResponse::Kind::kNotOwned);
 }
 
 // Guards against a request refused by one allocator that owns no slots. Two allocators are asked,
 // and one has not read the list of backend servers yet; its answer was taken to mean that all slots
 // are taken.
 TEST_CASE("an allocator without slots is skipped, and does not decide alone") {
-  const PlaceAnswer not_kept{7, PlaceAnswer::Kind::kNotKept, {}, {}};
+  const SlotResponse not_kept{7, SlotResponse::Kind::kNotOwned, {}, {}};
   PeerMessage message;
-  message.answer = not_kept;
+  message.slot_response = not_kept;
   message.from = PeerNamed("a");
   const Result<PeerMessage> back = DecodePeerMessage(Encode(message));
   REQUIRE(IsOk(back));
-  CHECK(ValueOf(back).answer->kind == PlaceAnswer::Kind::kNotKept);
+  CHECK(ValueOf(back).slot_response->kind == SlotResponse::Kind::kNotOwned);
 
   SlotSearch search(RequestOf(7), {NodeId{"a"}, NodeId{"b"}}, kStart);
   (void)search.Start(kStart);
@@ -428,7 +428,7 @@
   REQUIRE(std::holds_alternative<search::AskAllocator>(second));
   CHECK(std::get<search::AskAllocator>(second).allocator == NodeId{"b"});
   SUBCASE("the other one is full") {
-    const PlaceAnswer full{7, PlaceAnswer::Kind::kFull, {}, Duration{50'000}};
+    const SlotResponse full{7, SlotResponse::Kind::kFull, {}, Duration{50'000}};
     const search::Action third = search.OnEvent(search::Answered{full}, kStart);
     REQUIRE(std::holds_alternative<search::AskAllocator>(third));
     CHECK(std::get<search::AskAllocator>(third).allocator == NodeId{"b"});
@@ -448,23 +448,24 @@
 TEST_CASE("a message round-trips, and an oversized one loses lines but keeps its sender") {
   PeerMessage message;
   message.from = PeerNamed("a");
-  message.report = PlaceReport{3, 2, {5, 6}, {{kDue, 7, true}}, {{kEngine, 1, 2}}};
+  message.report = SlotReport{3, 2, {5, 6}, {{kDue, 7, true}}, {{kEngine, 1, 2}}};
   message.report->lines[0].incarnation = {0xFFFF};
-  message.grant = PlaceGrant{4, {{kEngine, 1, 2, 3, false, {0xFFFF}}}};
-  message.ask = RequestOf(9, true);
-  message.answer = PlaceAnswer{9, PlaceAnswer::Kind::kQueued, kEngine, Duration{5}, Duration{6}};
+  message.grant = SlotGrant{4, {{kEngine, 1, 2, 3, false, {0xFFFF}}}};
+  message.slot_request = RequestOf(9, true);
+  message.slot_response =
+      SlotResponse{9, SlotResponse::Kind::kQueued, kEngine, Duration{5}, Duration{6}};
   auto back = DecodePeerMessage(Encode(message));
   REQUIRE(IsOk(back));
   CHECK(ValueOf(back).from == message.from);
-  CHECK(ValueOf(back).report->asked == std::vector<std::uint64_t>{5, 6});
+  CHECK(ValueOf(back).report->acked_requests == std::vector<std::uint64_t>{5, 6});
   CHECK(ValueOf(back).report->waiting == message.report->waiting);
   CHECK(ValueOf(back).report->lines[0].batch == 2);
   CHECK(ValueOf(back).report->lines[0].incarnation == IncarnationTag{0xFFFF});
   CHECK(ValueOf(back).grant->lines[0].incarnation == IncarnationTag{0xFFFF});
-  CHECK(ValueOf(back).ask->may_queue);
-  CHECK(ValueOf(back).answer->wait == Duration{5});
-  CHECK(ValueOf(back).answer->come_back == Duration{6});
-  for (int i = 0; i < 400; ++i) message.known.push_back(PeerNamed("p" + std::to_string(i)));
+  CHECK(ValueOf(back).slot_request->may_queue);
+  CHECK(ValueOf(back).slot_response->wait == Duration{5});
+  CHECK(ValueOf(back).slot_response->retry_after == Duration{6});
+  for (int i = 0; i < 400; ++i) message.known_peers.push_back(PeerNamed("p" + std::to_string(i)));
   const std::string text = Encode(message);
   CHECK(text.size() <= kMaxPeerMessageBytes);
   back = DecodePeerMessage(text);
@@ -506,7 +507,7 @@
 // An allocator of several engines and an entry of another data centre that receives its grants.
 struct RemoteEntry {
   RemoteEntry() {
-    std::map<BackendId, KeptBackend> owned;
+    std::map<BackendId, ManagedBackend> owned;
     for (int i = 0; i < 8; ++i) owned[Engine(i)] = {kLlm, 4};
     allocator.SetOwnedBackends(owned, kStart);
   }
@@ -515,9 +516,9 @@
   // Omits the lines of engines without use, unless `all`. `batch`: running items by engine.
   void Report(const std::string& node, bool local, std::map<int, int> batch, int waiting, Time now,
               bool all = false, int online = 0) {
-    PlaceReport report;
+    SlotReport report;
     report.number = ++number;
-    report.grant = node == "far" ? acked_grant : 1'000'000;
+    report.acked_grant = node == "far" ? acked_grant : 1'000'000;
     if (waiting > 0) report.waiting = {{kDue, waiting}};
     for (int i = 0; i < 8; ++i) {
       if (all || batch[i] > 0) report.lines.push_back({Engine(i), online, batch[i]});
@@ -526,7 +527,7 @@
     allocator.OnReport(PeerNamed(node, local ? "dc" : "elsewhere"), local, report, now);
   }
   // The grant to the remote entry, if one is due.
-  std::optional<PlaceGrant> Due(Time now) {
+  std::optional<SlotGrant> Due(Time now) {
     allocator.Tick(now);
     for (SlotAllocator::Outgoing& out : allocator.TakeOutgoing(now)) {
       if (out.to == NodeId{"far"} && out.grant) return std::move(out.grant);
@@ -553,7 +554,7 @@
   const auto grant = f.Due(later);
   REQUIRE(grant);
   CHECK(grant->lines.empty());
-  CHECK(grant->services == std::vector<PlaceGrant::ServiceUse>{{kLlm, 32, 8}});
+  CHECK(grant->services == std::vector<SlotGrant::ServiceUsage>{{kLlm, 32, 8}});
   f.acked_grant = grant->number;
   // Each line is repeated at kIdleHeartbeat.
   const auto all = f.Due(later + SlotAllocator::kIdleHeartbeat);
@@ -575,9 +576,9 @@
   const auto given = f.Due(kSettled);
   REQUIRE(given);
   f.acked_grant = given->number;
-  const auto allowed = [](const PlaceGrant& grant) {
+  const auto allowed = [](const SlotGrant& grant) {
     int sum = 0;
-    for (const PlaceGrant::Line& line : grant.lines) sum += line.allowed;
+    for (const SlotGrant::Line& line : grant.lines) sum += line.allowed;
     return sum;
   };
   REQUIRE(allowed(*given) == 4);
@@ -623,7 +624,7 @@
 TEST_CASE("a truncated report does not say that the rest is unused") {
   PeerMessage message;
   message.from = PeerNamed("a");
-  message.report = PlaceReport{3, 2, {}, {}, {}, /*rest_unused=*/true};
+  message.report = SlotReport{3, 2, {}, {}, {}, /*rest_unused=*/true};
   Result<PeerMessage> back = DecodePeerMessage(Encode(message));
   REQUIRE(IsOk(back));
   CHECK(ValueOf(back).report->rest_unused);
@@ -639,7 +640,7 @@
 TEST_CASE("the services of a grant round-trip, and are empty in one of an earlier version") {
   PeerMessage message;
   message.from = PeerNamed("a");
-  message.grant = PlaceGrant{4, {}, {{kLlm, 32, 7}}};
+  message.grant = SlotGrant{4, {}, {{kLlm, 32, 7}}};
   const Result<PeerMessage> back = DecodePeerMessage(Encode(message));
   REQUIRE(IsOk(back));
   CHECK(ValueOf(back).grant->services == message.grant->services);
--- a/test/slot-sim.h
+++ b/test/slot-sim.h
@@ -158,7 +158,7 @@
     SlotAllocator allocator{0};
     std::vector<Item> items;  // waiting
     std::map<int, std::uint64_t> acked_grants;
-    std::map<int, std::vector<PlaceGrant::ServiceUse>>
+    std::map<int, std::vector<SlotGrant::ServiceUsage>>
         service_uses;  // from allocators of other data centres
     std::map<int, std::vector<std::uint64_t>> answered;
     std::uint64_t reports = 0;
@@ -176,12 +176,12 @@
 
   void ChooseAllocators() {
     PeerTable table(entries_.front()->peer);
-    for (const auto& entry : entries_) table.Heard(entry->peer, now_);
-    std::map<int, std::map<BackendId, KeptBackend>> owned;
+    for (const auto& entry : entries_) table.RecordMessage(entry->peer, now_);
+    std::map<int, std::map<BackendId, ManagedBackend>> owned;
     for (const Engine& engine : engines_) {
       const auto allocators =
-          table.KeepersOf(engine.info.data_centre, engines_.size() / load_.data_centres, now_);
-      const int allocator = node_.at(KeeperAmong(allocators, engine.info.id)->node);
+          table.AllocatorsOf(engine.info.data_centre, engines_.size() / load_.data_centres, now_);
+      const int allocator = node_.at(AllocatorFor(allocators, engine.info.id)->node);
       allocator_of_[engine.info.id] = allocator;
       owned[allocator][engine.info.id] = {engine.info.service, engine.info.slots};
       for (const auto& entry : entries_) entry->pool.AddOrUpdate(engine.info);
@@ -287,12 +287,12 @@
       if (!IsOk(chosen)) return OnRefused(e, attempt, Duration{0});
       return SendOnline(e, ValueOf(chosen).id, attempt, tried);
     }
-    PlaceAsk ask;
+    SlotRequest ask;
     ask.number = ++requests_made_;
     ask.service = query.service;
     ask.goal_left = Duration{300'000};
     ask.time_left = attempt.time_left;
-    ask.last_chance = retry_detector_.IsRetry("", attempt.time_left, now_);
+    ask.last_try = retry_detector_.IsRetry("", attempt.time_left, now_);
     ask.tried = tried;
     if (load_.reports_dead_engines) {
       for (BackendId& id : entry.pool.ExcludedBackends(query, now_)) ask.tried.push_back(id);
@@ -328,8 +328,8 @@
     std::vector<std::pair<double, int>> order;
     order.reserve(shares.size());
     for (auto& [allocator, share] : shares) {
-      for (const PlaceGrant::ServiceUse& use : entries_[e]->service_uses[allocator]) {
-        share = {use.places - use.online, use.places};
+      for (const SlotGrant::ServiceUsage& use : entries_[e]->service_uses[allocator]) {
+        share = {use.slots - use.online, use.slots};
       }
       order.emplace_back(-static_cast<double>(share.first) / share.second, allocator);
     }
@@ -419,10 +419,10 @@
 
   void Report(int e, int allocator) {
     Entry& entry = *entries_[e];
-    PlaceReport report;
+    SlotReport report;
     report.number = ++entry.reports;
-    report.grant = entry.acked_grants[allocator];
-    report.asked = std::exchange(entry.answered[allocator], {});
+    report.acked_grant = entry.acked_grants[allocator];
+    report.acked_requests = std::exchange(entry.answered[allocator], {});
     report.waiting = Waiting(entry);
     entry.pool.ForEach([&](const BackendInfo& info, const SlotUsage& use) {
       if (allocator_of_.at(info.id) == allocator) {
@@ -447,19 +447,19 @@
     }
   }
 
-  void OnAnswer(int e, const PlaceAnswer& answer) {
+  void OnAnswer(int e, const SlotResponse& answer) {
     const auto found = entries_[e]->searches.find(answer.number);
     if (found == entries_[e]->searches.end()) return;
     const auto search = found->second;
     Perform(e, answer.number, search->OnEvent(search::Answered{answer}, now_));
   }
 
-  void OnGrant(int e, int allocator, const PlaceGrant& grant) {
+  void OnGrant(int e, int allocator, const SlotGrant& grant) {
     Entry& entry = *entries_[e];
     if (grant.number <= entry.acked_grants[allocator]) return;
     entry.acked_grants[allocator] = grant.number;
     entry.service_uses[allocator] = grant.services;
-    for (const PlaceGrant::Line& line : grant.lines) {
+    for (const SlotGrant::Line& line : grant.lines) {
       entry.pool.ApplyGrant(
           line.backend, {line.online_other, line.batch_other, line.allowed, line.ejected}, now_);
       const SlotUsage use = entry.pool.UsageOf(line.backend);
--- a/test/teams-test.cc
+++ b/test/teams-test.cc
@@ -77,12 +77,12 @@
 
 TEST_CASE("a team is found by its keys and by nothing else") {
   const TeamDirectory teams({TeamWith("rye", {"k1", "k2"}), TeamWith("shore", {"k3"})}, 42);
-  REQUIRE(teams.HolderOf("k2") != nullptr);
-  CHECK(teams.HolderOf("k2")->name.value == "rye");
-  CHECK(teams.HolderOf("k3")->name.value == "shore");
+  REQUIRE(teams.FindByKey("k2") != nullptr);
+  CHECK(teams.FindByKey("k2")->name.value == "rye");
+  CHECK(teams.FindByKey("k3")->name.value == "shore");
   for (const char* key : {"", "k", "k4", "K1", "k1 ", "k12", "rye"}) {
     CAPTURE(key);
-    CHECK(teams.HolderOf(key) == nullptr);
+    CHECK(teams.FindByKey(key) == nullptr);
   }
   CHECK(teams.Find(TeamId{"shore"}) != nullptr);
   CHECK(teams.Find(TeamId{"k1"}) == nullptr);
@@ -96,9 +96,9 @@
   first.front() = 'x';
   std::string last = key;
   last.back() = 'x';
-  CHECK(teams.HolderOf(first) == nullptr);
-  CHECK(teams.HolderOf(last) == nullptr);
-  CHECK(teams.HolderOf(key) != nullptr);
+  CHECK(teams.FindByKey(first) == nullptr);
+  CHECK(teams.FindByKey(last) == nullptr);
+  CHECK(teams.FindByKey(key) != nullptr);
 }
 
 TEST_CASE("the teams of a configuration are parsed") {
@@ -163,10 +163,10 @@
 
 TEST_CASE("a lease is valid from the time of the request, less its margin") {
   KeyLease lease(std::chrono::seconds(5));
-  CHECK_FALSE(lease.Holds(std::chrono::seconds(1)));
+  CHECK_FALSE(lease.IsValid(std::chrono::seconds(1)));
   lease.Confirm(std::chrono::seconds(1));
-  CHECK(lease.Holds(std::chrono::milliseconds(4999)));
-  CHECK_FALSE(lease.Holds(std::chrono::seconds(5)));
+  CHECK(lease.IsValid(std::chrono::milliseconds(4999)));
+  CHECK_FALSE(lease.IsValid(std::chrono::seconds(5)));
   // A response to an earlier request does not shorten the lease.
   lease.Confirm(std::chrono::seconds(3));
   lease.Confirm(std::chrono::seconds(2));
@@ -175,6 +175,6 @@
 
 TEST_CASE("without a bound a lease is always valid") {
   const KeyLease lease(std::nullopt);
-  CHECK(lease.Holds(std::chrono::hours(1)));
+  CHECK(lease.IsValid(std::chrono::hours(1)));
   CHECK_FALSE(lease.Age(std::chrono::hours(1)));
 }
