--- a/include/figmill/peer_messages.h
+++ b/include/figmill/peer_messages.h
@@ -51,7 +51,7 @@
   ServiceName service;
   Duration goal_left{0};  // until the first event would miss its goal
   Duration time_left{0};  // until the caller's deadline
-  // a retry of a refused request: serving it late is better than refusing it again
+  // It is a retry of a refused request: serving it late is better than refusing it again.
   bool last_try = false;
   bool may_queue = false;        // the allocator may queue it if no slot is free
   std::vector<BackendId> tried;  // backend servers to exclude
@@ -99,8 +99,7 @@
     BackendId backend;
     int online = 0;
     int batch = 0;
-    Duration typical_run_time{
-        0};  // typical run time of its online requests there; 0: none has ended yet
+    Duration typical_run_time{0};  // of its online requests there; 0: none has ended yet
     // Outcomes of its sends there since the entry started.
     std::uint64_t answers = 0;
     std::uint64_t faults = 0;
--- a/include/figmill/peers.h
+++ b/include/figmill/peers.h
@@ -35,7 +35,7 @@
 // A backend server as its allocator sees it.
 struct ManagedBackend {
   ServiceName service;
-  // 0 while it is draining: no new requests go there, and batch items are preempted
+  // 0 while it is draining: no new requests go there, and batch items are preempted.
   int slots = 0;
   // No new requests go there; running ones keep their slots until they end.
   bool frozen = false;
@@ -103,8 +103,7 @@
   [[nodiscard]] bool HearsMajority(Time now);
   [[nodiscard]] const Peer* Find(const NodeId& node) const;
   // All known peers, live or not, without this entry. The list is in the order of names, rotated to
-  // start after this entry, so that a truncated list continues with the
-  // list of its last peer.
+  // start after this entry, so that a truncated list continues with the list of its last peer.
   [[nodiscard]] std::vector<Peer> others() const;
   [[nodiscard]] std::vector<Peer> Live(Time now) const;  // including this entry
 
@@ -112,13 +111,14 @@
     // Monitored peers without a message for kProbeInterval; also some of the suspected and joining
     // ones, in turn, because the message that they are alive or have joined may have been lost.
     std::vector<Peer> to_probe;
-    std::vector<Peer>
-        newly_suspected;  // detected as failed by this call, and suspected from now on
+    // Detected as failed by this call, and suspected from now on.
+    std::vector<Peer> newly_suspected;
   };
   // Call it every kProbeInterval / 2.
   [[nodiscard]] CheckResult CheckPeers(Time now);
 
-  // Live peers that have joined, are not leaving, and whose hosts have capacity to spare.
+  // Live peers that have joined, are not leaving, and whose hosts have at least kMinCapacityShare
+  // of the capacity of the largest one.
   [[nodiscard]] std::vector<Peer> EligiblePeers(Time now) const;
   // The eligible peers in the order of the rendezvous hash for `key`, which is the same at all
   // entries.
--- a/include/figmill/quota.h
+++ b/include/figmill/quota.h
@@ -165,7 +165,7 @@
   void OnGrant(const QuotaGrant& grant, Time now);
   // The team's quota has a new owner, which has not missed a deadline yet.
   void OnOwnerChanged(const TeamId& team);
-  // Applies timeouts; call it every kRetryInterval / 2 while `waits` is true.
+  // Applies timeouts; call it every kRetryInterval / 2 while `has_waiting`.
   void ApplyTimeouts(Time now);
 
   // Requests to send now, each to its team's owner; call both functions after each of the above.
@@ -184,7 +184,7 @@
   };
   struct SentRequest {
     std::uint64_t number = 0;
-    Time at{};
+    Time sent_at{};
   };
   struct TeamState {
     TeamId name;
--- a/include/figmill/sharing.h
+++ b/include/figmill/sharing.h
@@ -2,12 +2,11 @@
 
 // Shares the slots of backend servers among entries without a round trip for each request. Each
 // backend server is owned by one allocator: the entry of its data centre that wins the rendezvous
-// hash (called its keeper in log lines). Entries report to the
-// allocator how many of its slots they use, in absolute numbers. The allocator replies with grants:
-// how many slots the other entries use, and how many batch items each entry may run on each backend
-// server. Any message may be lost or delayed, because the next one repeats the whole state. Online
-// requests don't wait for a grant; batch items are preempted as soon as the allocator learns of
-// them.
+// hash (called its keeper in log lines). Entries report to the allocator how many of its slots they
+// use, in absolute numbers. The allocator replies with grants: how many slots the other entries
+// use, and how many batch items each entry may run on each backend server. Any message may be lost
+// or delayed, because the next one repeats the whole state. Online requests don't wait for a grant;
+// batch items are preempted as soon as the allocator learns of them.
 // No I/O: the caller passes the time in and sends the messages that are returned.
 
 #include <cstdint>
--- a/src/peer_messages/peer_codec.cc
+++ b/src/peer_messages/peer_codec.cc
@@ -308,7 +308,7 @@
   answer.number = Get<std::uint64_t>(object, 0);
   const int kind = Get<int>(object, 1);
   if (kind < 0 || kind > static_cast<int>(SlotResponse::Kind::kNotOwned)) {
-    throw std::invalid_argument("unknown kind of answer");
+    throw std::invalid_argument("unknown kind of slot response");
   }
   answer.kind = static_cast<SlotResponse::Kind>(kind);
   answer.backend.value = GetName(object, 2);
--- a/src/peers/allocator_map.cc
+++ b/src/peers/allocator_map.cc
@@ -35,8 +35,9 @@
   }
   const std::size_t start = rank * allocators.size() / std::max<std::size_t>(entries, 1);
   std::vector<Peer> chosen;
-  for (std::size_t i = 0; i < kLocalAllocators; ++i)
+  for (std::size_t i = 0; i < kLocalAllocators; ++i) {
     chosen.push_back(allocators[(start + i) % allocators.size()]);
+  }
   return chosen;
 }
 
@@ -65,8 +66,9 @@
   for (const auto& [centre, count] : counts) {
     allocators[centre] = peers.AllocatorsOf(centre, count, now);
     std::vector<Peer> chosen = ChooseAllocators(allocators[centre], peers, now);
-    if (centre != self.data_centre && chosen.size() > per_remote_centre)
+    if (centre != self.data_centre && chosen.size() > per_remote_centre) {
       chosen.resize(per_remote_centre);
+    }
     for (const Peer& peer : chosen) chosen_nodes.insert(peer.node);
   }
 
--- a/src/peers/peer_table.cc
+++ b/src/peers/peer_table.cc
@@ -210,6 +210,7 @@
 
 namespace {
 
+// Removes the peers of other data centres, unless there are none in `data_centre`.
 void KeepDataCentre(std::vector<Peer>& peers, const DataCentre& data_centre) {
   const auto is_there = [&](const Peer& peer) { return peer.data_centre == data_centre; };
   if (std::none_of(peers.begin(), peers.end(), is_there)) return;
--- a/src/quota/quota_client.cc
+++ b/src/quota/quota_client.cc
@@ -85,11 +85,12 @@
 }
 
 bool QuotaClient::HasPendingRequest(TeamState& team, Time now) {
-  std::erase_if(team.in_flight,
-                [now](const SentRequest& request) { return now - request.at >= kOwnerTimeout; });
+  std::erase_if(team.in_flight, [now](const SentRequest& request) {
+    return now - request.sent_at >= kOwnerTimeout;
+  });
   return std::any_of(
       team.in_flight.begin(), team.in_flight.end(),
-      [now](const SentRequest& request) { return now - request.at < kRetryInterval; });
+      [now](const SentRequest& request) { return now - request.sent_at < kRetryInterval; });
 }
 
 void QuotaClient::Refund(const TeamId& name, Time charged_at, Time now) {
@@ -109,7 +110,7 @@
       std::find_if(team.in_flight.begin(), team.in_flight.end(),
                    [&grant](const SentRequest& each) { return each.number == grant.number; });
   if (request == team.in_flight.end()) return;
-  const Time sent_at = request->at;
+  const Time sent_at = request->sent_at;
   team.in_flight.erase(request);
   if (!grant.owned) {
     if (!team.unresponsive_since) team.unresponsive_since = now;
--- a/src/teams/team_directory.cc
+++ b/src/teams/team_directory.cc
@@ -42,8 +42,9 @@
   std::set<std::string_view> keys;
   for (const Team& team : teams) {
     if (team.name.empty()) return InvalidTeam(team, "has no name");
-    if (!IsPrintable(team.name.value))
+    if (!IsPrintable(team.name.value)) {
       return InvalidTeam(team, "has a name with control characters");
+    }
     if (!names.insert(team.name).second) return InvalidTeam(team, "is listed twice");
     if (!IsValidLimit(team.requests_per_second) || !IsValidLimit(team.burst)) {
       return InvalidTeam(team, "has a limit that is negative or not finite");
--- a/test/peers-test.cc
+++ b/test/peers-test.cc
@@ -197,26 +197,26 @@
     peer.joining = true;
     table.RecordMessage(peer, kStart);
   }
-  std::set<std::string> asked;
+  std::set<std::string> probed;
   for (int i = 0; i < 300; ++i) {
     const PeerTable::CheckResult result = table.CheckPeers(kStart);
     REQUIRE(result.to_probe.size() <= PeerTable::kMaxExtraProbes);
-    for (const Peer& peer : result.to_probe) asked.insert(peer.node.value);
+    for (const Peer& peer : result.to_probe) probed.insert(peer.node.value);
   }
-  CHECK(asked.size() == 300);
+  CHECK(probed.size() == 300);
 }
 
 TEST_CASE("peers are listed starting after the entry, so that truncated lists cover all of them") {
   const std::vector<Peer> peers = FleetOf(1, 30);
   constexpr std::size_t kCut = 7;
   std::set<NodeId> known;
-  const Peer* asked = &peers[20];
+  const Peer* probed = &peers[20];
   for (int i = 0; i < 5; ++i) {
-    std::vector<Peer> list = TableOf(*asked, peers).others();
+    std::vector<Peer> list = TableOf(*probed, peers).others();
     list.resize(kCut);
     for (const Peer& peer : list) known.insert(peer.node);
-    asked = &*std::find_if(peers.begin(), peers.end(),
-                           [&](const Peer& peer) { return peer.node == list.back().node; });
+    probed = &*std::find_if(peers.begin(), peers.end(),
+                            [&](const Peer& peer) { return peer.node == list.back().node; });
   }
   CHECK(known.size() == 30);
 }
--- a/test/quota-policies.h
+++ b/test/quota-policies.h
@@ -120,15 +120,15 @@
     });
   }
   void Admit(int entry, const AdmitCallback& decided) {
-    Entry& at = At(entry);
+    Entry& state = At(entry);
     const std::uint64_t ticket = ++tickets_;
     const bool may_admit_alone =
         simulation_.Rank(entry) < static_cast<int>(QuotaBounds{}.FallbackEntries());
-    const quota::AdmitResult result = at.client.Admit(
+    const quota::AdmitResult result = state.client.Admit(
         simulation_.team(), {static_cast<std::size_t>(simulation_.entries()), may_admit_alone},
         {ticket, Duration{5'000'000}}, simulation_.now());
     if (std::holds_alternative<quota::Pending>(result)) {
-      at.waiting.emplace(ticket, decided);
+      state.waiting.emplace(ticket, decided);
     } else {
       decided(std::holds_alternative<quota::Admitted>(result));
     }
@@ -155,10 +155,10 @@
   };
   Entry& At(int entry) { return *entries_[static_cast<std::size_t>(entry)]; }
   void CheckOwner(int entry) {
-    const int now = simulation_.OwnerSeenBy(entry);
-    if (std::exchange(At(entry).owner_seen, now) == now) return;
+    const int current = simulation_.OwnerSeenBy(entry);
+    if (std::exchange(At(entry).owner_seen, current) == current) return;
     At(entry).client.OnOwnerChanged(simulation_.team().name);
-    At(entry).owner.OnEntriesChanged([&](const TeamId&) { return now == entry; },
+    At(entry).owner.OnEntriesChanged([&](const TeamId&) { return current == entry; },
                                      simulation_.now());
   }
   [[nodiscard]] QuotaGrant Grant(int owner, const QuotaRequest& request) {
@@ -167,11 +167,11 @@
     return At(owner).owner.Grant(request, simulation_.team(), simulation_.now());
   }
   void Flush(int entry) {
-    Entry& at = At(entry);
-    for (const QuotaRequest& request : at.client.TakeRequests()) {
-      const int owner = at.owner_seen;
+    Entry& state = At(entry);
+    for (const QuotaRequest& request : state.client.TakeRequests()) {
+      const int owner = state.owner_seen;
       if (owner == entry) {
-        at.client.OnGrant(Grant(entry, request), simulation_.now());
+        state.client.OnGrant(Grant(entry, request), simulation_.now());
         continue;
       }
       simulation_.Send(entry, owner, [this, entry, owner, request] {
@@ -181,8 +181,8 @@
         });
       });
     }
-    for (const quota::Decision& decision : at.client.TakeDecisions()) {
-      auto waiting = at.waiting.extract(decision.ticket);
+    for (const quota::Decision& decision : state.client.TakeDecisions()) {
+      auto waiting = state.waiting.extract(decision.ticket);
       if (!waiting.empty()) waiting.mapped()(IsOk(decision.result));
     }
   }
--- a/test/quota-sim.h
+++ b/test/quota-sim.h
@@ -209,29 +209,30 @@
   simulation.RunUntil(first);
   std::vector<double> weights = load.weights;
   if (weights.empty()) weights.assign(static_cast<std::size_t>(load.entries), 1);
-  std::discrete_distribution<int> entry(weights.begin(), weights.end());
-  std::exponential_distribution<double> gap(load.offered);
+  std::discrete_distribution<int> random_entry(weights.begin(), weights.end());
+  std::exponential_distribution<double> arrival_gap(load.offered);
   std::vector<Time> admitted;
-  std::vector<double> waits;
+  std::vector<double> waits_ms;
   TokenBucket reference;
   reference.SetRate(load.rate, load.burst, first);
   double allowed = 0;
   int offered = 0;
   std::function<void()> arrive = [&] {
     if (simulation.now() >= first + load.span) return;
-    const int at = entry(simulation.random());
-    if (simulation.IsRunning(at)) {
+    const int entry = random_entry(simulation.random());
+    if (simulation.IsRunning(entry)) {
       ++offered;
       if (reference.Level(simulation.now()) >= 1) {
         reference.Take(1);
         ++allowed;
       }
-      policy.Admit(at, [&, since = simulation.now()](bool is_admitted) {
-        waits.push_back(static_cast<double>((simulation.now() - since).count()) / 1e3);
+      policy.Admit(entry, [&, since = simulation.now()](bool is_admitted) {
+        waits_ms.push_back(static_cast<double>((simulation.now() - since).count()) / 1e3);
         if (is_admitted) admitted.push_back(simulation.now());
       });
     }
-    simulation.After(Duration(static_cast<Duration::rep>(gap(simulation.random()) * 1e6)), arrive);
+    simulation.After(Duration(static_cast<Duration::rep>(arrival_gap(simulation.random()) * 1e6)),
+                     arrive);
   };
   simulation.After(Duration{0}, arrive);
   if (load.fault == QuotaLoad::Fault::kAllRestarted) {
@@ -245,17 +246,19 @@
   QuotaResult result;
   const QuotaBounds bounds;
   const double window = std::chrono::duration<double>(bounds.window).count();
-  const double most = (load.rate * window + load.burst) * (1 + bounds.excess) + bounds.slack;
+  const double max_requests =
+      (load.rate * window + load.burst) * (1 + bounds.excess) + bounds.slack;
   std::sort(admitted.begin(), admitted.end());
   for (std::size_t from = 0, to = 0; to < admitted.size(); ++to) {
     while (admitted[from] < admitted[to] - bounds.window) ++from;
-    result.worst_window = std::max(result.worst_window, static_cast<double>(to - from + 1) / most);
+    result.worst_window =
+        std::max(result.worst_window, static_cast<double>(to - from + 1) / max_requests);
   }
   result.admitted = static_cast<double>(admitted.size()) / std::max(allowed, 1.0);
-  std::sort(waits.begin(), waits.end());
-  if (!waits.empty()) {
-    result.median_ms = waits[waits.size() / 2];
-    result.p99_ms = waits[waits.size() * 99 / 100];
+  std::sort(waits_ms.begin(), waits_ms.end());
+  if (!waits_ms.empty()) {
+    result.median_ms = waits_ms[waits_ms.size() / 2];
+    result.p99_ms = waits_ms[waits_ms.size() * 99 / 100];
   }
   result.messages = static_cast<double>(simulation.messages()) / std::max(offered, 1);
   return result;
--- a/test/quota-test.cc
+++ b/test/quota-test.cc
@@ -34,7 +34,7 @@
 bool IsAdmitted(const quota::AdmitResult& result) {
   return std::holds_alternative<quota::Admitted>(result);
 }
-bool Pending(const quota::AdmitResult& result) {
+bool IsPending(const quota::AdmitResult& result) {
   return std::holds_alternative<quota::Pending>(result);
 }
 
@@ -108,11 +108,11 @@
 TEST_CASE("requests that arrive before a grant share the next request to the owner") {
   QuotaClient client{QuotaBounds{}};
   const Team team = Limited(10, 10);
-  CHECK(Pending(client.Admit(team, kEntries, Request(1), kStart)));
+  CHECK(IsPending(client.Admit(team, kEntries, Request(1), kStart)));
   const std::vector<QuotaRequest> first = client.TakeRequests();
   REQUIRE(first.size() == 1);
-  CHECK(Pending(client.Admit(team, kEntries, Request(2), kStart)));
-  CHECK(Pending(client.Admit(team, kEntries, Request(3), kStart)));
+  CHECK(IsPending(client.Admit(team, kEntries, Request(2), kStart)));
+  CHECK(IsPending(client.Admit(team, kEntries, Request(3), kStart)));
   CHECK(client.TakeRequests().empty());
   client.OnGrant(GrantFor(first[0], 1), kStart + 2 * kMs);
   REQUIRE(client.TakeDecisions().size() == 1);
@@ -130,7 +130,7 @@
   client.OnGrant(GrantFor(client.TakeRequests()[0], 4), kStart + 2 * kMs);
   CHECK(client.TakeDecisions().size() == 1);
   CHECK(IsAdmitted(client.Admit(team, kEntries, Request(2), kStart + 3 * kMs)));
-  CHECK(Pending(client.Admit(team, kEntries, Request(3), kStart + bounds.CreditLifetime())));
+  CHECK(IsPending(client.Admit(team, kEntries, Request(3), kStart + bounds.CreditLifetime())));
   CHECK(client.TakeRequests()[0].returned == 2);
 }
 
@@ -180,8 +180,8 @@
   REQUIRE(again.size() == 1);
   client.OnGrant(GrantFor(again[0], 1), kStart + QuotaClient::kRetryInterval + 2 * kMs);
   CHECK(client.TakeDecisions().size() == 1);
-  CHECK(
-      Pending(client.Admit(team, kEntries, Request(2), kStart + 2 * QuotaClient::kRetryInterval)));
+  CHECK(IsPending(
+      client.Admit(team, kEntries, Request(2), kStart + 2 * QuotaClient::kRetryInterval)));
   CHECK(client.TakeRequests().size() == 1);
 }
 
@@ -229,7 +229,7 @@
   client.OnGrant(grant, kStart + 2 * kMs);
   REQUIRE(client.TakeDecisions().size() == 1);
   client.OnOwnerChanged(team.name);
-  CHECK(Pending(client.Admit(team, kEntries, Request(2), kStart + 3 * kMs)));
+  CHECK(IsPending(client.Admit(team, kEntries, Request(2), kStart + 3 * kMs)));
 }
 
 // --- Messages ----------------------------------------------------------------------
