--- a/src/teams/team_directory.cc
+++ b/src/teams/team_directory.cc
@@ -11,7 +11,7 @@
 namespace figmill {
 namespace {
 
-Error InvalidTeam(const Team& team, std::string_view why) {
+Error TeamError(const Team& team, std::string_view why) {
   return Error{ErrorKind::kBadRequest, "team '" + team.name.value + "': " + std::string(why)};
 }
 
@@ -41,17 +41,15 @@
   std::set<TeamId> names;
   std::set<std::string_view> keys;
   for (const Team& team : teams) {
-    if (team.name.empty()) return InvalidTeam(team, "has no name");
-    if (!IsPrintable(team.name.value)) {
-      return InvalidTeam(team, "has a name with control characters");
-    }
-    if (!names.insert(team.name).second) return InvalidTeam(team, "is listed twice");
+    if (team.name.empty()) return TeamError(team, "has no name");
+    if (!IsPrintable(team.name.value)) return TeamError(team, "has a name with control characters");
+    if (!names.insert(team.name).second) return TeamError(team, "is listed twice");
     if (!IsValidLimit(team.requests_per_second) || !IsValidLimit(team.burst)) {
-      return InvalidTeam(team, "has a limit that is negative or not finite");
+      return TeamError(team, "has a limit that is negative or not finite");
     }
     for (const std::string& key : team.keys) {
-      if (key.empty()) return InvalidTeam(team, "has an empty key");
-      if (!keys.insert(key).second) return InvalidTeam(team, "has a key that is listed twice");
+      if (key.empty()) return TeamError(team, "has an empty key");
+      if (!keys.insert(key).second) return TeamError(team, "has a key that is listed twice");
     }
   }
   return Ok{};
