--- a/src/gateway/crash_tracker.cc
+++ b/src/gateway/crash_tracker.cc
@@ -59,13 +59,13 @@
 
 void CrashTracker::ReportCrash(const LostSend& lost, Time detected_at) {
   const Crash crash{lost.request, lost.backend.id, lost.backend.incarnation};
-  const CrashReport report{crash, quarantine_.ChainOf(lost.request, lost.started_at)};
+  const CrashReport report{crash, quarantine_.NextChainLength(lost.request, lost.started_at)};
   const std::size_t before = quarantine_.quarantined();
   quarantine_.Add(report, detected_at);
   reports_counter_.Add();
   LogChange(lost.request, before);
-  Write(crash, RowValueOf(report, self_, lost.id));
-  for (const Crash& surplus : quarantine_.Surplus()) {
+  Write(crash, CrashRowValue(report, self_, lost.id));
+  for (const Crash& surplus : quarantine_.ExcessReports()) {
     quarantine_.Remove(surplus);
     Write(surplus, std::nullopt);
   }
@@ -77,18 +77,18 @@
   const std::optional<Duration> left = quarantine_.TimeLeft(request, work, Loop::Now());
   if (!left) return std::nullopt;
   const std::string why = "in quarantine: fingerprint " + request.value + " crashed " +
-                          std::to_string(quarantine_.ChainOf(request)) +
+                          std::to_string(quarantine_.ChainLength(request)) +
                           " backend servers one after the other";
   return Error{ErrorKind::kQuarantined, why, Ran::kNo, left};
 }
 
 void CrashTracker::RecordStart(const RequestFingerprint& request) {
-  quarantine_.Began(request, Loop::Now());
+  quarantine_.RecordStart(request, Loop::Now());
 }
 
 void CrashTracker::RecordCompletion(const RequestFingerprint& request) {
   const std::size_t before = quarantine_.quarantined();
-  for (const Crash& crash : quarantine_.Completed(request)) Write(crash, std::nullopt);
+  for (const Crash& crash : quarantine_.RecordCompletion(request)) Write(crash, std::nullopt);
   LogChange(request, before);
 }
 
@@ -101,7 +101,7 @@
       quarantine_.TimeLeft(request, WorkClass::kOnline, Loop::Now());
   Log(LogLevel::kWarning, now > quarantined_before ? "request_quarantined" : "request_released",
       {{"fingerprint", request.value},
-       {"chain", std::to_string(quarantine_.ChainOf(request))},
+       {"chain", std::to_string(quarantine_.ChainLength(request))},
        {"for_ms", left ? Milliseconds(*left) : ""}});
 }
 
@@ -130,7 +130,7 @@
 }
 
 void CrashTracker::Write(const Crash& crash, std::optional<std::string> value) {
-  pending_rows_[RowKeyOf(crash)] = std::move(value);
+  pending_rows_[CrashRowKey(crash)] = std::move(value);
   // Reports caused by the end of one backend server are written together.
   loop_.Post([this] { Flush(); });
 }
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -104,10 +104,10 @@
         peers_(SelfOf(settings)),
         peer_messenger_(loop_, peers_, backend_pool_, metrics_, traffic_,
                         {[this] { return runner_.Waiting(); }, [this] { runner_.UpdateRuns(); },
-                         [this](const PlaceAnswer& answer) { slot_finder_.OnAnswer(answer); },
+                         [this](const SlotResponse& answer) { slot_finder_.OnAnswer(answer); },
                          [this](const Peer& peer) { control_thread_.RemoveMember(peer); },
                          [this](const Peer& self) { control_thread_.UpdateSelf(self); },
-                         [this](const Peer& from, const QuotaAsk& ask) {
+                         [this](const Peer& from, const QuotaRequest& ask) {
                            team_access_.OnQuotaRequest(from, ask);
                          },
                          [this](const QuotaGrant& grant) { team_access_.OnQuotaGrant(grant); }}),
@@ -158,7 +158,7 @@
     }
     jobs_.Start();
     crash_tracker_.Start();
-    store_proxies_timer_ = loop_.Every(PeerTable::kPresence, [this] { UpdateStoreProxies(); });
+    store_proxies_timer_ = loop_.Every(PeerTable::kProbeInterval, [this] { UpdateStoreProxies(); });
     Log(LogLevel::kInfo, "started",
         {{"node", settings_.node.value},
          {"incarnation", std::to_string(peers_.self().incarnation)}});
@@ -201,7 +201,7 @@
     set("figmill_requests_in_flight", "Requests without a final answer yet",
         static_cast<double>(request_dispatcher_.in_flight()));
     set("figmill_items_running", "Batch items that run", static_cast<double>(runner_.running()));
-    set("figmill_items_waiting", "Batch items that could run", CountOf(runner_.Waiting()));
+    set("figmill_items_waiting", "Batch items that could run", CountItems(runner_.Waiting()));
     set("figmill_jobs_owned", "Batch jobs that this entry owns",
         static_cast<double>(jobs_.owned()));
     set("figmill_peers_live", "Entries that are there, with this one",
@@ -229,7 +229,7 @@
   // Sets the entries that may forward calls to the store.
   void UpdateStoreProxies() {
     std::vector<Address> peers;
-    for (const Peer& peer : peers_.Capable(Loop::Now())) {
+    for (const Peer& peer : peers_.EligiblePeers(Loop::Now())) {
       if (peer.node != peers_.self().node) peers.push_back(peer.address);
       if (peers.size() == kMaxStoreProxies) break;
     }
--- a/src/gateway/peer_messenger.cc
+++ b/src/gateway/peer_messenger.cc
@@ -12,9 +12,9 @@
 TrafficKind TrafficKindOf(const PeerMessage& message) {
   if (message.report) return TrafficKind::kReport;
   if (message.grant) return TrafficKind::kGrant;
-  if (message.ask) return TrafficKind::kSlotRequest;
-  if (message.answer) return TrafficKind::kSlotResponse;
-  if (message.quota_ask || message.quota_grant) return TrafficKind::kQuota;
+  if (message.slot_request) return TrafficKind::kSlotRequest;
+  if (message.slot_response) return TrafficKind::kSlotResponse;
+  if (message.quota_request || message.quota_grant) return TrafficKind::kQuota;
   return TrafficKind::kPresence;
 }
 
@@ -41,12 +41,12 @@
       [this](std::string_view bytes, const Address& from) { OnDatagram(bytes, from); }, &metrics_);
   if (!IsOk(socket)) return ErrorOf(socket);
   socket_ = std::move(ValueOf(socket));
-  QuerySeeds(seeds, PeerMessage::Wants::kAnswer);
+  QuerySeeds(seeds, PeerMessage::WantedReply::kAny);
   seeds_timer_ = loop_.After(kSeedQueryDelay, [this, seeds] {
-    if (!peer_listed_) QuerySeeds(seeds, PeerMessage::Wants::kKnown);
+    if (!peer_listed_) QuerySeeds(seeds, PeerMessage::WantedReply::kKnownPeers);
   });
   heartbeat_ = loop_.Every(kHeartbeat, [this] { Heartbeat(); });
-  watch_timer_ = loop_.Every(PeerTable::kPresence / 2, [this] { WatchPeers(); });
+  watch_timer_ = loop_.Every(PeerTable::kProbeInterval / 2, [this] { WatchPeers(); });
   grant_timer_ = loop_.Every(SlotAllocator::kCoalesce, [this] {
     allocator_.Tick(Loop::Now());
     LogEjections();
@@ -57,17 +57,17 @@
 
 // The peers at these addresses are not known yet, so these messages aren't counted as traffic to a
 // peer.
-void PeerMessenger::QuerySeeds(const std::vector<Address>& seeds, PeerMessage::Wants wants) {
+void PeerMessenger::QuerySeeds(const std::vector<Address>& seeds, PeerMessage::WantedReply wants) {
   for (const Address& seed : seeds) {
     PeerMessage message;
     message.from = peers_.self();
-    message.wants = wants;
+    message.wanted_reply = wants;
     socket_->Send(Encode(message), seed);
   }
 }
 
 void PeerMessenger::Join() {
-  if (!peers_.Joined()) return;
+  if (!peers_.FinishJoining()) return;
   Log(LogLevel::kInfo, "joined", {{"node", peers_.self().node.value}});
   AnnounceToAll();
   UpdateAllocators();
@@ -86,12 +86,12 @@
 void PeerMessenger::OnPeerListed(const Peer& peer) {
   peer_listed_ = true;
   if (peer.node == peers_.self().node) return RaiseIncarnation(peer.incarnation);
-  if (peers_.Named(peer)) SendQuery(peer, PeerMessage::Wants::kAnswer);
+  if (peers_.AddListed(peer)) SendQuery(peer, PeerMessage::WantedReply::kAny);
 }
 
-void PeerMessenger::SendQuery(const Peer& to, PeerMessage::Wants wants) {
+void PeerMessenger::SendQuery(const Peer& to, PeerMessage::WantedReply wants) {
   PeerMessage message;
-  message.wants = wants;
+  message.wanted_reply = wants;
   Send(to, std::move(message));
 }
 
@@ -106,16 +106,16 @@
       RaiseIncarnation(peer.incarnation);
       continue;
     }
-    if (!peers_.Named(peer)) continue;
-    if (last) SendQuery(*last, PeerMessage::Wants::kAnswer);
+    if (!peers_.AddListed(peer)) continue;
+    if (last) SendQuery(*last, PeerMessage::WantedReply::kAny);
     last = peer;
   }
-  if (last) SendQuery(*last, PeerMessage::Wants::kKnown);
+  if (last) SendQuery(*last, PeerMessage::WantedReply::kKnownPeers);
 }
 
 void PeerMessenger::RaiseIncarnation(Incarnation known) {
   const Incarnation before = peers_.self().incarnation;
-  if (!peers_.Outlive(known)) return;
+  if (!peers_.RaiseIncarnation(known)) return;
   Log(LogLevel::kWarning, "incarnation_raised",
       {{"before", std::to_string(before)},
        {"known", std::to_string(known)},
@@ -126,7 +126,7 @@
 }
 
 void PeerMessenger::OnPeerUnlisted(const NodeId& node) {
-  peers_.Unlisted(node);
+  peers_.MarkUnlisted(node);
 }
 
 void PeerMessenger::Send(const Peer& to, PeerMessage message) {
@@ -139,9 +139,9 @@
   socket_->Send(bytes, to.address);
 }
 
-void PeerMessenger::SendQuota(const Peer& to, const QuotaAsk& ask) {
+void PeerMessenger::SendQuota(const Peer& to, const QuotaRequest& ask) {
   PeerMessage message;
-  message.quota_ask = ask;
+  message.quota_request = ask;
   Send(to, std::move(message));
 }
 
@@ -167,14 +167,14 @@
   const Result<PeerMessage> decoded = DecodePeerMessage(bytes);
   if (!IsOk(decoded)) return OnMalformedDatagram(from, ErrorOf(decoded).detail);
   const PeerMessage& message = ValueOf(decoded);
-  if (const Peer* later = peers_.LaterThan(message.from)) {
+  if (const Peer* later = peers_.FindLaterProcess(message.from)) {
     // The datagram is late, or its sender doesn't know that a later incarnation exists.
     PeerMessage answer;
-    answer.known = {*later};
+    answer.known_peers = {*later};
     return Send(message.from, std::move(answer));
   }
   const Time now = Loop::Now();
-  if (peers_.Heard(message.from, now)) {
+  if (peers_.RecordMessage(message.from, now)) {
     Log(LogLevel::kInfo, "peer_live",
         {{"peer", message.from.node.value},
          {"incarnation", std::to_string(message.from.incarnation)},
@@ -182,23 +182,24 @@
     allocator_states_.erase(message.from.node);
     UpdateAllocators();
   }
-  AddPeers(message.known);
-  if (message.wants != PeerMessage::Wants::kNothing) {
+  AddPeers(message.known_peers);
+  if (message.wanted_reply != PeerMessage::WantedReply::kNone) {
     PeerMessage answer;
-    if (message.wants == PeerMessage::Wants::kKnown) answer.known = peers_.others();
+    if (message.wanted_reply == PeerMessage::WantedReply::kKnownPeers)
+      answer.known_peers = peers_.others();
     Send(message.from, std::move(answer));
   }
   if (message.report) {
     allocator_.OnReport(message.from, IsLocal(message.from), *message.report, now);
     SendGrants();
   }
-  if (message.ask) {
-    allocator_.OnRequest(message.from.node, *message.ask, now);
+  if (message.slot_request) {
+    allocator_.OnRequest(message.from.node, *message.slot_request, now);
     SendGrants();
   }
   if (message.grant) OnGrant(message.from, *message.grant);
-  if (message.answer) hooks_.slot_answered(*message.answer);
-  if (message.quota_ask) hooks_.quota_requested(message.from, *message.quota_ask);
+  if (message.slot_response) hooks_.slot_answered(*message.slot_response);
+  if (message.quota_request) hooks_.quota_requested(message.from, *message.quota_request);
   if (message.quota_grant) hooks_.quota_granted(*message.quota_grant);
 }
 
@@ -207,9 +208,9 @@
 }
 
 void PeerMessenger::WatchPeers() {
-  const PeerTable::Watch watch = peers_.WatchOthers(Loop::Now());
-  for (const Peer& peer : watch.to_ask) SendQuery(peer, PeerMessage::Wants::kAnswer);
-  for (const Peer& peer : watch.silent) {
+  const PeerTable::CheckResult watch = peers_.CheckPeers(Loop::Now());
+  for (const Peer& peer : watch.to_probe) SendQuery(peer, PeerMessage::WantedReply::kAny);
+  for (const Peer& peer : watch.newly_suspected) {
     Log(LogLevel::kWarning, "peer_silent",
         {{"peer", peer.node.value}, {"incarnation", std::to_string(peer.incarnation)}});
     hooks_.peer_silent(peer);
--- a/src/gateway/peer_messenger.h
+++ b/src/gateway/peer_messenger.h
@@ -23,12 +23,12 @@
     // Returns the batch items that could start now.
     std::function<std::vector<WaitingItems>()> waiting_items;
     std::function<void()> grants_changed;
-    std::function<void(const PlaceAnswer&)> slot_answered;
+    std::function<void(const SlotResponse&)> slot_answered;
     // The peer stopped responding; its row is to be removed from the store.
     std::function<void(const Peer&)> peer_silent;
     // This entry has taken a new incarnation.
     std::function<void(const Peer& self)> self_updated;
-    std::function<void(const Peer& from, const QuotaAsk&)> quota_requested;
+    std::function<void(const Peer& from, const QuotaRequest&)> quota_requested;
     std::function<void(const QuotaGrant&)> quota_granted;
   };
   // Entries report to their allocators at least this often.
@@ -71,10 +71,10 @@
   // This entry's usage of a backend server has changed, or its set of waiting items.
   void OnUsageChanged(const BackendId& backend);
   void OnWaitingChanged();
-  void RequestSlot(const NodeId& allocator, const PlaceAsk& ask);
+  void RequestSlot(const NodeId& allocator, const SlotRequest& ask);
   // Tells the allocator that its answer was applied, or that the slot isn't needed any more.
   void AcknowledgeAnswer(const NodeId& allocator, std::uint64_t ask);
-  void SendQuota(const Peer& to, const QuotaAsk& ask);
+  void SendQuota(const Peer& to, const QuotaRequest& ask);
   void SendQuota(const Peer& to, const QuotaGrant& grant);
   // The allocators that own backend servers of the service, in the order in which to ask them for a
   // slot: by the share of their slots that is free, with kLocalPreference added for this data
@@ -86,10 +86,10 @@
   void OnDatagram(std::string_view bytes, const Address& from);
   void OnMalformedDatagram(const Address& from, const std::string& why);
   void AddPeers(std::span<const Peer> peers);
-  void QuerySeeds(const std::vector<Address>& seeds, PeerMessage::Wants wants);
+  void QuerySeeds(const std::vector<Address>& seeds, PeerMessage::WantedReply wants);
   void AnnounceToAll();
-  void SendQuery(const Peer& to, PeerMessage::Wants wants);
-  void OnGrant(const Peer& from, const PlaceGrant& grant);
+  void SendQuery(const Peer& to, PeerMessage::WantedReply wants);
+  void OnGrant(const Peer& from, const SlotGrant& grant);
   void RaiseIncarnation(Incarnation known);
   void Heartbeat();
   [[nodiscard]] bool IsLocal(const Peer& peer) const;
@@ -100,7 +100,7 @@
   void ScheduleFlush();
   void Flush();
   struct ReportLines {
-    std::vector<PlaceReport::Line> lines;
+    std::vector<SlotReport::Line> lines;
     bool rest_unused = false;
   };
   void SendReport(const Peer& allocator, ReportLines lines);
@@ -115,7 +115,7 @@
   };
   void ApplyServiceUsage(const NodeId& allocator, const ServiceName& service,
                          AllocatorShare& share) const;
-  [[nodiscard]] PlaceReport::Line ReportLineFor(const BackendId& backend) const;
+  [[nodiscard]] SlotReport::Line ReportLineFor(const BackendId& backend) const;
   [[nodiscard]] IncarnationTag TagOf(const BackendId& backend) const;
 
   Loop& loop_;
@@ -129,7 +129,7 @@
   Hooks hooks_;
   SlotAllocator allocator_{kReservedSlots};
   std::unique_ptr<UdpSocket> socket_;
-  KeeperMap allocator_map_;
+  AllocatorMap allocator_map_;
   std::map<BackendId, Peer> allocator_of_;  // of each backend server that this entry uses
   // State of the exchange with one allocator.
   struct AllocatorState {
@@ -140,7 +140,7 @@
     Time reported_at{};
     Time full_report_at{};  // when a report with a line for each backend server was sent
     // Usage of its services, if its grants have it.
-    std::vector<PlaceGrant::ServiceUse> service_usage;
+    std::vector<SlotGrant::ServiceUsage> service_usage;
     // When this entry began to use its slots or to wait for some; nullopt if it does neither.
     std::optional<Time> busy_since;
   };
--- a/src/gateway/peer_messenger_slots.cc
+++ b/src/gateway/peer_messenger_slots.cc
@@ -9,7 +9,7 @@
 namespace figmill {
 namespace {
 
-bool IsUnused(const PlaceReport::Line& line) {
+bool IsUnused(const SlotReport::Line& line) {
   return line.online == 0 && line.batch == 0;
 }
 
@@ -20,14 +20,14 @@
   UpdateAllocators();
 }
 
-void PeerMessenger::OnGrant(const Peer& from, const PlaceGrant& grant) {
+void PeerMessenger::OnGrant(const Peer& from, const SlotGrant& grant) {
   AllocatorState& allocator = allocator_states_[from.node];
   allocator.heard_at = Loop::Now();
   if (grant.number <= allocator.applied_grant) return;
   allocator.applied_grant = grant.number;
   allocator.service_usage = grant.services;
   bool changed = false;
-  for (const PlaceGrant::Line& line : grant.lines) {
+  for (const SlotGrant::Line& line : grant.lines) {
     const auto current = allocator_of_.find(line.backend);
     if (current == allocator_of_.end() || current->second.node != from.node) continue;
     if (!MayBeSame(line.incarnation, TagOf(line.backend))) {
@@ -51,7 +51,7 @@
   const Time now = Loop::Now();
   if (!allocator_map_.Update(peers_, now)) return;
   SyncBackendPool();
-  for (const auto& [id, allocator] : allocator_map_.used()) {
+  for (const auto& [id, allocator] : allocator_map_.used_allocators()) {
     const auto before = allocator_of_.find(id);
     const bool changed = before == allocator_of_.end() || before->second.node != allocator.node ||
                          before->second.incarnation != allocator.incarnation;
@@ -60,18 +60,18 @@
     changed_backends_.insert(id);
     allocator_states_.try_emplace(allocator.node, AllocatorState{0, now, {}, {}, {}, {}, {}});
   }
-  allocator_of_ = allocator_map_.used();
-  allocator_.SetOwnedBackends(allocator_map_.kept(), now);
+  allocator_of_ = allocator_map_.used_allocators();
+  allocator_.SetOwnedBackends(allocator_map_.owned_backends(), now);
   if (!changed_backends_.empty()) ScheduleFlush();
 }
 
 void PeerMessenger::SyncBackendPool() {
   std::vector<BackendId> gone;
   backend_pool_.ForEach([&](const BackendInfo& info, const SlotUsage& /*use*/) {
-    if (!allocator_map_.used().contains(info.id)) gone.push_back(info.id);
+    if (!allocator_map_.used_allocators().contains(info.id)) gone.push_back(info.id);
   });
   for (const BackendId& id : gone) backend_pool_.Remove(id);
-  for (const BackendInfo& info : allocator_map_.used_infos()) backend_pool_.AddOrUpdate(info);
+  for (const BackendInfo& info : allocator_map_.used_backends()) backend_pool_.AddOrUpdate(info);
 }
 
 void PeerMessenger::SuspectSilentAllocators() {
@@ -100,7 +100,7 @@
   UpdateAllocators();
   const Time now = Loop::Now();
   const bool has_waiting = !hooks_.waiting_items().empty();
-  std::map<NodeId, std::vector<PlaceReport::Line>> lines;
+  std::map<NodeId, std::vector<SlotReport::Line>> lines;
   for (const auto& [backend, allocator] : allocator_of_)
     lines[allocator.node].push_back(ReportLineFor(backend));
   for (auto& [node, each] : lines) {
@@ -118,7 +118,7 @@
   }
 }
 
-PlaceReport::Line PeerMessenger::ReportLineFor(const BackendId& backend) const {
+SlotReport::Line PeerMessenger::ReportLineFor(const BackendId& backend) const {
   const SlotUsage use = backend_pool_.UsageOf(backend);
   return {backend, use.online, use.batch, use.usual_run, use.answers, use.faults, TagOf(backend)};
 }
@@ -164,12 +164,12 @@
 }
 
 void PeerMessenger::SendReport(const Peer& allocator, ReportLines lines) {
-  PlaceReport report;
+  SlotReport report;
   report.number = ++report_number_;
   AllocatorState& state = allocator_states_[allocator.node];
-  report.grant = state.applied_grant;
+  report.acked_grant = state.applied_grant;
   state.reported_at = Loop::Now();
-  report.asked = std::exchange(state.unreported_acks, {});
+  report.acked_requests = std::exchange(state.unreported_acks, {});
   report.waiting = hooks_.waiting_items();
   report.lines = std::move(lines.lines);
   report.rest_unused = lines.rest_unused;
@@ -196,7 +196,7 @@
     }
     PeerMessage message;
     message.grant = std::move(outgoing.grant);
-    message.answer = std::move(outgoing.answer);
+    message.slot_response = std::move(outgoing.answer);
     Send(*peer, std::move(message));
   }
 }
@@ -211,7 +211,7 @@
   }
 }
 
-void PeerMessenger::RequestSlot(const NodeId& allocator, const PlaceAsk& ask) {
+void PeerMessenger::RequestSlot(const NodeId& allocator, const SlotRequest& ask) {
   if (allocator == peers_.self().node) {
     allocator_.OnRequest(allocator, ask, Loop::Now());
     return SendGrants();
@@ -219,7 +219,7 @@
   const Peer* peer = peers_.Find(allocator);
   if (peer == nullptr) return;
   PeerMessage message;
-  message.ask = ask;
+  message.slot_request = ask;
   Send(*peer, std::move(message));
 }
 
@@ -235,10 +235,10 @@
                                       AllocatorShare& share) const {
   const auto from = allocator_states_.find(allocator);
   if (from == allocator_states_.end()) return;
-  for (const PlaceGrant::ServiceUse& use : from->second.service_usage) {
-    if (use.service != service || use.places == 0) continue;
-    share.slots = use.places;
-    share.free = std::max(0, use.places - use.online);
+  for (const SlotGrant::ServiceUsage& use : from->second.service_usage) {
+    if (use.service != service || use.slots == 0) continue;
+    share.slots = use.slots;
+    share.free = std::max(0, use.slots - use.online);
   }
 }
 
--- a/src/gateway/slot_finder.cc
+++ b/src/gateway/slot_finder.cc
@@ -22,7 +22,7 @@
   Search& operator=(const Search&) = delete;
 
   void Start() { Execute(search_.Start(Loop::Now())); }
-  void OnAnswer(const PlaceAnswer& answer) {
+  void OnAnswer(const SlotResponse& answer) {
     if (done_) Execute(search_.OnEvent(search::Answered{answer}, Loop::Now()));
   }
 
@@ -99,12 +99,12 @@
     done(backend_pool_.Choose(request.query, now));
     return nullptr;
   }
-  PlaceAsk ask;
+  SlotRequest ask;
   ask.number = ++last_request_number_;
   ask.service = request.query.service;
   ask.goal_left = request.goal_left;
   ask.time_left = request.time_left;
-  ask.last_chance = request.last_try;
+  ask.last_try = request.last_try;
   ask.tried = excluded;
   auto search = std::make_shared<Search>(
       *this, request, SlotSearch(std::move(ask), std::move(allocators), now), std::move(done));
@@ -122,7 +122,7 @@
   return excluded;
 }
 
-void SlotFinder::OnAnswer(const PlaceAnswer& answer) {
+void SlotFinder::OnAnswer(const SlotResponse& answer) {
   const auto found = searches_.find(answer.number);
   if (found == searches_.end()) return;
   if (const auto search = found->second.lock()) search->OnAnswer(answer);
--- a/src/gateway/slot_finder.h
+++ b/src/gateway/slot_finder.h
@@ -40,7 +40,7 @@
   // destroyed. Returns null if `done` was already called. Errors: kNoBackend, kOverloaded (with the
   // wait as retry_after); ran no.
   [[nodiscard]] std::shared_ptr<Search> Find(const Request& request, Done done);
-  void OnAnswer(const PlaceAnswer& answer);
+  void OnAnswer(const SlotResponse& answer);
 
  private:
   // Backend servers that the request may not use: those that it was sent to before, and those that
--- a/src/gateway/team_access.cc
+++ b/src/gateway/team_access.cc
@@ -44,7 +44,7 @@
 
 bool TeamAccess::ready() const {
   const bool needs_keys = routes_ && routes_->teams() != nullptr;
-  return !needs_keys || key_lease_.Holds(Loop::SinceBoot());
+  return !needs_keys || key_lease_.IsValid(Loop::SinceBoot());
 }
 
 std::optional<Duration> TeamAccess::config_age() const {
@@ -64,7 +64,7 @@
   const TeamDirectory* teams = routes_ ? routes_->teams() : nullptr;
   if (teams == nullptr) return std::optional<TeamId>{};
   const Result<std::string_view> key = ParseBearer(request.headers);
-  const Team* team = IsOk(key) ? teams->HolderOf(std::get<std::string_view>(key)) : nullptr;
+  const Team* team = IsOk(key) ? teams->FindByKey(std::get<std::string_view>(key)) : nullptr;
   const bool open = route != nullptr && route->open;
   if (open && team == nullptr) return std::optional<TeamId>{};
   // An old configuration may lack a new key, or still contain a revoked one.
@@ -97,25 +97,26 @@
   if (team == nullptr || !team->limited()) return done(quota::Admitted{Now()});
   const Owner& owner = OwnerOf(name);
   const std::uint64_t ticket = ++last_ticket_;
-  const quota::Verdict verdict = quota_client_.Admit(*team, {entry_count_, owner.may_admit_locally},
-                                                     {ticket, time_left}, Now());
-  std::visit(Overloaded{
-                 [&](const quota::Admitted& admitted) {
-                   CountDecision("admitted");
-                   done(admitted);
-                 },
-                 [&](const quota::Waits&) { pending_admissions_.emplace(ticket, std::move(done)); },
-                 [&](const Error& error) {
-                   CountDecision(RowOf(error.kind).name);
-                   done(error);
-                 },
-             },
-             verdict);
+  const quota::AdmitResult verdict = quota_client_.Admit(
+      *team, {entry_count_, owner.may_admit_locally}, {ticket, time_left}, Now());
+  std::visit(
+      Overloaded{
+          [&](const quota::Admitted& admitted) {
+            CountDecision("admitted");
+            done(admitted);
+          },
+          [&](const quota::Pending&) { pending_admissions_.emplace(ticket, std::move(done)); },
+          [&](const Error& error) {
+            CountDecision(RowOf(error.kind).name);
+            done(error);
+          },
+      },
+      verdict);
   Flush();
 }
 
 void TeamAccess::Refund(const TeamId& team, const quota::Admitted& admitted) {
-  quota_client_.GiveBack(team, admitted.charged_at, Now());
+  quota_client_.Refund(team, admitted.charged_at, Now());
 }
 
 void TeamAccess::OnQuotaGrant(const QuotaGrant& grant) {
@@ -128,15 +129,14 @@
 void TeamAccess::Flush() {
   if (std::exchange(flushing_, true)) return;
   for (bool more = true; more;) {
-    const std::vector<QuotaAsk> asks = quota_client_.TakeAsks();
-    for (const QuotaAsk& ask : asks) RequestCredits(ask);
+    const std::vector<QuotaRequest> asks = quota_client_.TakeRequests();
+    for (const QuotaRequest& ask : asks) RequestCredits(ask);
     std::vector<quota::Decision> decisions = quota_client_.TakeDecisions();
     for (const quota::Decision& decision : decisions) {
       auto waiting = pending_admissions_.extract(decision.ticket);
       if (waiting.empty()) continue;
-      CountDecision(IsOk(decision.verdict) ? "admitted"
-                                           : RowOf(ErrorOf(decision.verdict).kind).name);
-      waiting.mapped()(decision.verdict);
+      CountDecision(IsOk(decision.result) ? "admitted" : RowOf(ErrorOf(decision.result).kind).name);
+      waiting.mapped()(decision.result);
     }
     more = !asks.empty() || !decisions.empty();
   }
@@ -144,7 +144,7 @@
   ArmTimer();
 }
 
-void TeamAccess::RequestCredits(const QuotaAsk& ask) {
+void TeamAccess::RequestCredits(const QuotaRequest& ask) {
   const Owner& owner = OwnerOf(ask.team);
   if (!owner.peer) return;
   if (owner.peer->node == peers_.self().node) return quota_client_.OnGrant(MakeGrant(ask), Now());
@@ -152,21 +152,21 @@
 }
 
 void TeamAccess::ArmTimer() {
-  if (!quota_client_.waits() || std::exchange(timer_armed_, true)) return;
-  quota_timer_ = loop_.After(QuotaClient::kAskAgain / 2, [this] {
+  if (!quota_client_.has_waiting() || std::exchange(timer_armed_, true)) return;
+  quota_timer_ = loop_.After(QuotaClient::kRetryInterval / 2, [this] {
     timer_armed_ = false;
-    quota_client_.OnTime(Now());
+    quota_client_.ApplyTimeouts(Now());
     Flush();
   });
 }
 
 // --- Quotas at their owner --------------------------------------------------------------
 
-void TeamAccess::OnQuotaRequest(const Peer& from, const QuotaAsk& ask) {
+void TeamAccess::OnQuotaRequest(const Peer& from, const QuotaRequest& ask) {
   messenger_.SendQuota(from, MakeGrant(ask));
 }
 
-QuotaGrant TeamAccess::MakeGrant(const QuotaAsk& ask) {
+QuotaGrant TeamAccess::MakeGrant(const QuotaRequest& ask) {
   QuotaGrant grant{ask.number, ask.team, false, 0, Duration{0}, Duration{0}};
   // Checked before any state is stored for the team's name, because any host can send to the peer
   // port.
@@ -180,7 +180,7 @@
 
 bool TeamAccess::MayOwn() {
   const std::optional<Duration> age = key_lease_.Age(Loop::SinceBoot());
-  return (age && *age < kOwnershipConfirmationTtl) || peers_.HearsMost(Loop::Now());
+  return (age && *age < kOwnershipConfirmationTtl) || peers_.HearsMajority(Loop::Now());
 }
 
 const TeamAccess::Owner& TeamAccess::OwnerOf(const TeamId& team) {
@@ -196,12 +196,12 @@
     return peer.node == peers_.self().node;
   });
   const auto rank = static_cast<std::size_t>(self - ranked.begin());
-  return {ranked.front(), self != ranked.end() && rank < quota_client_.bounds().FreeEntries()};
+  return {ranked.front(), self != ranked.end() && rank < quota_client_.bounds().FallbackEntries()};
 }
 
 void TeamAccess::CheckEntries() {
   const Time last_checked = std::exchange(checked_at_, Now());
-  if (checked_at_ - last_checked > kStallThreshold || !MayOwn()) quota_owner_.Restart(Now());
+  if (checked_at_ - last_checked > kStallThreshold || !MayOwn()) quota_owner_.Reset(Now());
   UpdateEntryCount();
   const Time now = Loop::Now();
   const std::uint64_t generation = peers_.Generation(now);
--- a/src/gateway/team_access.h
+++ b/src/gateway/team_access.h
@@ -54,7 +54,7 @@
   void Refund(const TeamId& team, const quota::Admitted& admitted);
 
   // Messages from other entries.
-  void OnQuotaRequest(const Peer& from, const QuotaAsk& ask);
+  void OnQuotaRequest(const Peer& from, const QuotaRequest& ask);
   void OnQuotaGrant(const QuotaGrant& grant);
 
  private:
@@ -69,12 +69,12 @@
   [[nodiscard]] const Owner& OwnerOf(const TeamId& team);
   [[nodiscard]] Owner FindOwner(const TeamId& team) const;
   [[nodiscard]] bool MayOwn();
-  [[nodiscard]] QuotaGrant MakeGrant(const QuotaAsk& ask);
+  [[nodiscard]] QuotaGrant MakeGrant(const QuotaRequest& ask);
   void CheckEntries();
   void UpdateEntryCount();
   // Sends the credit requests of the quota client and delivers its decisions.
   void Flush();
-  void RequestCredits(const QuotaAsk& ask);
+  void RequestCredits(const QuotaRequest& ask);
   void ArmTimer();
   void CountDecision(std::string_view outcome);
 
--- a/src/peer_messages/peer_codec.cc
+++ b/src/peer_messages/peer_codec.cc
@@ -7,24 +7,25 @@
 namespace figmill {
 namespace {
 
-// MessagePack arrays, not maps: the names would be most of a datagram. Messages
-// are packed and unpacked in place: a process handles some hundred of them a second.
+// Messages are MessagePack arrays, not maps: member names would take up most of a datagram. They
+// are packed and unpacked without intermediate copies, because a process handles some hundreds of
+// them a second.
 
-// Levels of arrays in a message: itself, its report, the report's lines, one line.
+// Array nesting in a message: the message, its report, the report's lines, one line.
 constexpr std::size_t kMaxDepth = 4;
-// Places, items or cores of one host or backend server; larger ones are mistakes.
+// Most slots, items or cores of one host or backend server; larger counts are invalid.
 constexpr int kMaxCount = 1'000'000;
-constexpr Duration kLongestDuration = std::chrono::hours(24);
-// Bytes of a key of the table service.
+constexpr Duration kMaxDuration = std::chrono::hours(24);
+// Limit of the table service for a key. Unit: bytes.
 constexpr std::size_t kMaxNameBytes = 200;
-// Incarnations are times of day in milliseconds, or follow one.
+// Incarnations are times of day in milliseconds, or one more than another incarnation.
 constexpr Incarnation kMaxIncarnation = Incarnation{1} << 53;
 
 using Packer = msgpack::packer<msgpack::sbuffer>;
 using Object = msgpack::object;
 
 void Pack(Packer& packer, const Peer& peer) {
-  // The last one costs nothing once the peer has joined.
+  // The last element is left out once the peer has joined, to save its byte.
   packer.pack_array(peer.joining ? 7 : 6);
   packer.pack(peer.node.value);
   packer.pack(peer.incarnation);
@@ -35,25 +36,25 @@
   if (peer.joining) packer.pack(peer.joining);
 }
 
-void Pack(Packer& packer, const PlaceReport& report) {
+void Pack(Packer& packer, const SlotReport& report) {
   packer.pack_array(6);
   packer.pack(report.number);
-  packer.pack(report.grant);
-  packer.pack(report.asked);
+  packer.pack(report.acked_grant);
+  packer.pack(report.acked_requests);
   packer.pack_array(static_cast<std::uint32_t>(report.waiting.size()));
   for (const WaitingItems& waiting : report.waiting) {
     packer.pack_array(3);
     packer.pack(waiting.due.count());
     packer.pack(waiting.items);
-    packer.pack(waiting.begun);
+    packer.pack(waiting.started);
   }
   packer.pack_array(static_cast<std::uint32_t>(report.lines.size()));
-  for (const PlaceReport::Line& line : report.lines) {
+  for (const SlotReport::Line& line : report.lines) {
     packer.pack_array(7);
     packer.pack(line.backend.value);
     packer.pack(line.online);
     packer.pack(line.batch);
-    packer.pack(line.usual_run.count());
+    packer.pack(line.typical_run_time.count());
     packer.pack(line.answers);
     packer.pack(line.faults);
     packer.pack(line.incarnation.value);
@@ -61,11 +62,11 @@
   packer.pack(report.rest_unused);
 }
 
-void Pack(Packer& packer, const PlaceGrant& grant) {
+void Pack(Packer& packer, const SlotGrant& grant) {
   packer.pack_array(3);
   packer.pack(grant.number);
   packer.pack_array(static_cast<std::uint32_t>(grant.lines.size()));
-  for (const PlaceGrant::Line& line : grant.lines) {
+  for (const SlotGrant::Line& line : grant.lines) {
     packer.pack_array(6);
     packer.pack(line.backend.value);
     packer.pack(line.online_other);
@@ -75,41 +76,41 @@
     packer.pack(line.incarnation.value);
   }
   packer.pack_array(static_cast<std::uint32_t>(grant.services.size()));
-  for (const PlaceGrant::ServiceUse& use : grant.services) {
+  for (const SlotGrant::ServiceUsage& usage : grant.services) {
     packer.pack_array(3);
-    packer.pack(use.service.value);
-    packer.pack(use.places);
-    packer.pack(use.online);
+    packer.pack(usage.service.value);
+    packer.pack(usage.slots);
+    packer.pack(usage.online);
   }
 }
 
-void Pack(Packer& packer, const PlaceAsk& ask) {
+void Pack(Packer& packer, const SlotRequest& request) {
   packer.pack_array(7);
-  packer.pack(ask.number);
-  packer.pack(ask.service.value);
-  packer.pack(ask.goal_left.count());
-  packer.pack(ask.time_left.count());
-  packer.pack(ask.last_chance);
-  packer.pack(ask.may_queue);
-  packer.pack_array(static_cast<std::uint32_t>(ask.tried.size()));
-  for (const BackendId& id : ask.tried) packer.pack(id.value);
+  packer.pack(request.number);
+  packer.pack(request.service.value);
+  packer.pack(request.goal_left.count());
+  packer.pack(request.time_left.count());
+  packer.pack(request.last_try);
+  packer.pack(request.may_queue);
+  packer.pack_array(static_cast<std::uint32_t>(request.tried.size()));
+  for (const BackendId& id : request.tried) packer.pack(id.value);
 }
 
-void Pack(Packer& packer, const PlaceAnswer& answer) {
+void Pack(Packer& packer, const SlotResponse& answer) {
   packer.pack_array(5);
   packer.pack(answer.number);
   packer.pack(static_cast<int>(answer.kind));
   packer.pack(answer.backend.value);
   packer.pack(answer.wait.count());
-  packer.pack(answer.come_back.count());
+  packer.pack(answer.retry_after.count());
 }
 
-void Pack(Packer& packer, const QuotaAsk& ask) {
+void Pack(Packer& packer, const QuotaRequest& request) {
   packer.pack_array(4);
-  packer.pack(ask.number);
-  packer.pack(ask.team.value);
-  packer.pack(ask.wanted);
-  packer.pack(ask.returned);
+  packer.pack(request.number);
+  packer.pack(request.team.value);
+  packer.pack(request.wanted);
+  packer.pack(request.returned);
 }
 
 void Pack(Packer& packer, const QuotaGrant& grant) {
@@ -118,8 +119,8 @@
   packer.pack(grant.team.value);
   packer.pack(grant.owned);
   packer.pack(grant.credits);
-  packer.pack(grant.next_after.count());
-  packer.pack(grant.every.count());
+  packer.pack(grant.time_to_next.count());
+  packer.pack(grant.credit_interval.count());
 }
 
 template <typename T>
@@ -131,28 +132,28 @@
   }
 }
 
-std::string Text(const PeerMessage& message) {
+std::string Serialize(const PeerMessage& message) {
   msgpack::sbuffer buffer;
   Packer packer(buffer);
-  const bool quota = message.quota_ask || message.quota_grant;
+  const bool quota = message.quota_request || message.quota_grant;
   packer.pack_array(quota ? 9 : 7);
   Pack(packer, message.from);
   PackOptional(packer, message.report);
   PackOptional(packer, message.grant);
-  PackOptional(packer, message.ask);
-  PackOptional(packer, message.answer);
-  packer.pack_array(static_cast<std::uint32_t>(message.known.size()));
-  for (const Peer& peer : message.known) Pack(packer, peer);
-  packer.pack(static_cast<int>(message.wants));
+  PackOptional(packer, message.slot_request);
+  PackOptional(packer, message.slot_response);
+  packer.pack_array(static_cast<std::uint32_t>(message.known_peers.size()));
+  for (const Peer& peer : message.known_peers) Pack(packer, peer);
+  packer.pack(static_cast<int>(message.wanted_reply));
   if (quota) {
-    PackOptional(packer, message.quota_ask);
+    PackOptional(packer, message.quota_request);
     PackOptional(packer, message.quota_grant);
   }
   return {buffer.data(), buffer.size()};
 }
 
-// The element of an array. Throws when there is none.
-const Object& At(const Object& array, std::uint32_t index) {
+// Returns an element of an array; throws if there is none.
+const Object& Element(const Object& array, std::uint32_t index) {
   if (array.type != msgpack::type::ARRAY || index >= array.via.array.size) {
     throw std::invalid_argument("element " + std::to_string(index) + " is missing");
   }
@@ -161,7 +162,7 @@
 
 template <typename T>
 T Get(const Object& array, std::uint32_t index) {
-  return At(array, index).as<T>();
+  return Element(array, index).as<T>();
 }
 
 std::uint32_t SizeOf(const Object& array) {
@@ -169,26 +170,26 @@
   return array.via.array.size;
 }
 
-// A negative count would free places that are in use, and sums of large ones overflow.
+// A negative count would release slots that are in use, and sums of large counts overflow.
 int GetCount(const Object& array, std::uint32_t index) {
   const auto count = Get<int>(array, index);
   if (count < 0 || count > kMaxCount) throw std::invalid_argument("a count is out of range");
   return count;
 }
 
-// Times are added to the time of their arrival, which overflows with the largest ones.
+// Durations are added to the time of arrival, which would overflow for the largest ones.
 Duration GetDuration(const Object& array, std::uint32_t index) {
   const Duration duration(Get<std::int64_t>(array, index));
-  if (duration < -kLongestDuration || duration > kLongestDuration) {
+  if (duration < -kMaxDuration || duration > kMaxDuration) {
     throw std::invalid_argument("a duration is out of range");
   }
   return duration;
 }
 
-// What a caller will wait, which may be any time; more than a day is as good as a day.
-Duration GetPatience(const Object& array, std::uint32_t index) {
-  const Duration patience(Get<std::int64_t>(array, index));
-  return std::clamp(patience, -kLongestDuration, kLongestDuration);
+// Time that is left until a deadline of the caller, which may be any time; limited to one day.
+Duration GetTimeLeft(const Object& array, std::uint32_t index) {
+  const Duration time_left(Get<std::int64_t>(array, index));
+  return std::clamp(time_left, -kMaxDuration, kMaxDuration);
 }
 
 std::string GetName(const Object& array, std::uint32_t index) {
@@ -203,7 +204,8 @@
   return NodeId{std::move(ValueOf(node))};
 }
 
-// The entry that has it goes on with the next one; after the largest number comes 0.
+// The entry that it belongs to takes the next higher one, which overflows to 0 after the largest
+// number.
 Incarnation GetIncarnation(const Object& array, std::uint32_t index) {
   const auto incarnation = Get<Incarnation>(array, index);
   if (incarnation > kMaxIncarnation) throw std::invalid_argument("an incarnation is out of range");
@@ -224,9 +226,9 @@
   return std::move(ValueOf(address));
 }
 
-// Not known when it is missing: entries of an earlier version, which run beside this one during
-// a release, don't send it.
-IncarnationTag IncarnationAt(const Object& line, std::uint32_t index) {
+// Entries of an earlier version, which run beside this one during a release, don't send the tag; it
+// is unknown then.
+IncarnationTag GetIncarnationTag(const Object& line, std::uint32_t index) {
   if (index >= SizeOf(line)) return {};
   return IncarnationTag{Get<std::uint16_t>(line, index)};
 }
@@ -243,85 +245,86 @@
   return peer;
 }
 
-PlaceReport ReadReport(const Object& object) {
-  PlaceReport report;
+SlotReport ReadSlotReport(const Object& object) {
+  SlotReport report;
   report.number = Get<std::uint64_t>(object, 0);
-  report.grant = Get<std::uint64_t>(object, 1);
-  report.asked = Get<std::vector<std::uint64_t>>(object, 2);
-  const Object& waiting = At(object, 3);
+  report.acked_grant = Get<std::uint64_t>(object, 1);
+  report.acked_requests = Get<std::vector<std::uint64_t>>(object, 2);
+  const Object& waiting = Element(object, 3);
   for (std::uint32_t i = 0; i < SizeOf(waiting); ++i) {
-    const Object& group = At(waiting, i);
-    // Entries of an earlier version don't tell them apart.
-    const bool begun = SizeOf(group) > 2 && Get<bool>(group, 2);
-    report.waiting.push_back({StoreTime(Get<std::int64_t>(group, 0)), GetCount(group, 1), begun});
+    const Object& group = Element(waiting, i);
+    // Entries of an earlier version don't send `begun`.
+    const bool started = SizeOf(group) > 2 && Get<bool>(group, 2);
+    report.waiting.push_back({StoreTime(Get<std::int64_t>(group, 0)), GetCount(group, 1), started});
   }
-  const Object& lines = At(object, 4);
+  const Object& lines = Element(object, 4);
   for (std::uint32_t i = 0; i < SizeOf(lines); ++i) {
-    const Object& line = At(lines, i);
+    const Object& line = Element(lines, i);
     report.lines.push_back({BackendId{GetName(line, 0)}, GetCount(line, 1), GetCount(line, 2),
                             GetDuration(line, 3), Get<std::uint64_t>(line, 4),
-                            Get<std::uint64_t>(line, 5), IncarnationAt(line, 6)});
+                            Get<std::uint64_t>(line, 5), GetIncarnationTag(line, 6)});
   }
   // Entries of an earlier version don't send it.
   report.rest_unused = SizeOf(object) > 5 && Get<bool>(object, 5);
   return report;
 }
 
-PlaceGrant ReadGrant(const Object& object) {
-  PlaceGrant grant;
+SlotGrant ReadSlotGrant(const Object& object) {
+  SlotGrant grant;
   grant.number = Get<std::uint64_t>(object, 0);
-  const Object& lines = At(object, 1);
+  const Object& lines = Element(object, 1);
   for (std::uint32_t i = 0; i < SizeOf(lines); ++i) {
-    const Object& line = At(lines, i);
+    const Object& line = Element(lines, i);
     grant.lines.push_back({BackendId{GetName(line, 0)}, GetCount(line, 1), GetCount(line, 2),
-                           GetCount(line, 3), Get<bool>(line, 4), IncarnationAt(line, 5)});
+                           GetCount(line, 3), Get<bool>(line, 4), GetIncarnationTag(line, 5)});
   }
-  if (SizeOf(object) <= 2) return grant;  // of an earlier version
-  const Object& services = At(object, 2);
+  if (SizeOf(object) <= 2) return grant;  // sent by an earlier version
+  const Object& services = Element(object, 2);
   for (std::uint32_t i = 0; i < SizeOf(services); ++i) {
-    const Object& use = At(services, i);
-    grant.services.push_back({ServiceName{GetName(use, 0)}, GetCount(use, 1), GetCount(use, 2)});
+    const Object& usage = Element(services, i);
+    grant.services.push_back(
+        {ServiceName{GetName(usage, 0)}, GetCount(usage, 1), GetCount(usage, 2)});
   }
   return grant;
 }
 
-PlaceAsk ReadAsk(const Object& object) {
-  PlaceAsk ask;
-  ask.number = Get<std::uint64_t>(object, 0);
-  ask.service.value = GetName(object, 1);
-  ask.goal_left = GetPatience(object, 2);
-  ask.time_left = GetPatience(object, 3);
-  ask.last_chance = Get<bool>(object, 4);
-  ask.may_queue = Get<bool>(object, 5);
-  const Object& tried = At(object, 6);
+SlotRequest ReadSlotRequest(const Object& object) {
+  SlotRequest request;
+  request.number = Get<std::uint64_t>(object, 0);
+  request.service.value = GetName(object, 1);
+  request.goal_left = GetTimeLeft(object, 2);
+  request.time_left = GetTimeLeft(object, 3);
+  request.last_try = Get<bool>(object, 4);
+  request.may_queue = Get<bool>(object, 5);
+  const Object& tried = Element(object, 6);
   for (std::uint32_t i = 0; i < SizeOf(tried); ++i) {
-    ask.tried.push_back(BackendId{GetName(tried, i)});
+    request.tried.push_back(BackendId{GetName(tried, i)});
   }
-  return ask;
+  return request;
 }
 
-PlaceAnswer ReadAnswer(const Object& object) {
-  PlaceAnswer answer;
+SlotResponse ReadSlotResponse(const Object& object) {
+  SlotResponse answer;
   answer.number = Get<std::uint64_t>(object, 0);
   const int kind = Get<int>(object, 1);
-  if (kind < 0 || kind > static_cast<int>(PlaceAnswer::Kind::kNotKept)) {
-    throw std::invalid_argument("unknown kind of answer");
+  if (kind < 0 || kind > static_cast<int>(SlotResponse::Kind::kNotOwned)) {
+    throw std::invalid_argument("unknown kind of slot response");
   }
-  answer.kind = static_cast<PlaceAnswer::Kind>(kind);
+  answer.kind = static_cast<SlotResponse::Kind>(kind);
   answer.backend.value = GetName(object, 2);
   answer.wait = GetDuration(object, 3);
   // Entries of an earlier version, which run beside this one during a release, don't send it.
-  answer.come_back = SizeOf(object) > 4 ? GetDuration(object, 4) : answer.wait;
+  answer.retry_after = SizeOf(object) > 4 ? GetDuration(object, 4) : answer.wait;
   return answer;
 }
 
-QuotaAsk ReadQuotaAsk(const Object& object) {
-  QuotaAsk ask;
-  ask.number = Get<std::uint64_t>(object, 0);
-  ask.team.value = GetName(object, 1);
-  ask.wanted = static_cast<std::uint32_t>(GetCount(object, 2));
-  ask.returned = static_cast<std::uint32_t>(GetCount(object, 3));
-  return ask;
+QuotaRequest ReadQuotaRequest(const Object& object) {
+  QuotaRequest request;
+  request.number = Get<std::uint64_t>(object, 0);
+  request.team.value = GetName(object, 1);
+  request.wanted = static_cast<std::uint32_t>(GetCount(object, 2));
+  request.returned = static_cast<std::uint32_t>(GetCount(object, 3));
+  return request;
 }
 
 QuotaGrant ReadQuotaGrant(const Object& object) {
@@ -330,38 +333,38 @@
   grant.team.value = GetName(object, 1);
   grant.owned = Get<bool>(object, 2);
   grant.credits = static_cast<std::uint32_t>(GetCount(object, 3));
-  grant.next_after = GetDuration(object, 4);
-  grant.every = GetDuration(object, 5);
+  grant.time_to_next = GetDuration(object, 4);
+  grant.credit_interval = GetDuration(object, 5);
   return grant;
 }
 
 PeerMessage ReadMessage(const Object& object) {
   PeerMessage message;
-  message.from = ReadPeer(At(object, 0));
-  if (!At(object, 1).is_nil()) message.report = ReadReport(At(object, 1));
-  if (!At(object, 2).is_nil()) message.grant = ReadGrant(At(object, 2));
-  if (!At(object, 3).is_nil()) message.ask = ReadAsk(At(object, 3));
-  if (!At(object, 4).is_nil()) message.answer = ReadAnswer(At(object, 4));
-  const Object& known = At(object, 5);
+  message.from = ReadPeer(Element(object, 0));
+  if (!Element(object, 1).is_nil()) message.report = ReadSlotReport(Element(object, 1));
+  if (!Element(object, 2).is_nil()) message.grant = ReadSlotGrant(Element(object, 2));
+  if (!Element(object, 3).is_nil()) message.slot_request = ReadSlotRequest(Element(object, 3));
+  if (!Element(object, 4).is_nil()) message.slot_response = ReadSlotResponse(Element(object, 4));
+  const Object& known = Element(object, 5);
   for (std::uint32_t i = 0; i < SizeOf(known); ++i) {
-    message.known.push_back(ReadPeer(At(known, i)));
+    message.known_peers.push_back(ReadPeer(Element(known, i)));
   }
-  const int wants = Get<int>(object, 6);
-  if (wants < 0 || wants > static_cast<int>(PeerMessage::Wants::kKnown)) {
-    throw std::invalid_argument("unknown wish");
+  const int wanted_reply = Get<int>(object, 6);
+  if (wanted_reply < 0 || wanted_reply > static_cast<int>(PeerMessage::WantedReply::kKnownPeers)) {
+    throw std::invalid_argument("unknown kind of wanted reply");
   }
-  message.wants = static_cast<PeerMessage::Wants>(wants);
-  // Only messages about quotas have these.
+  message.wanted_reply = static_cast<PeerMessage::WantedReply>(wanted_reply);
+  // Only messages about quotas have these elements.
   if (SizeOf(object) <= 8) return message;
-  if (!At(object, 7).is_nil()) message.quota_ask = ReadQuotaAsk(At(object, 7));
-  if (!At(object, 8).is_nil()) message.quota_grant = ReadQuotaGrant(At(object, 8));
+  if (!Element(object, 7).is_nil()) message.quota_request = ReadQuotaRequest(Element(object, 7));
+  if (!Element(object, 8).is_nil()) message.quota_grant = ReadQuotaGrant(Element(object, 8));
   return message;
 }
 
-// Halves what may be cut; false when nothing is left to cut.
-bool Shorten(PeerMessage& message) {
-  if (!message.known.empty()) {
-    message.known.resize(message.known.size() / 2);
+// Halves one of the lists that may be truncated; returns false if all of them are empty.
+bool Truncate(PeerMessage& message) {
+  if (!message.known_peers.empty()) {
+    message.known_peers.resize(message.known_peers.size() / 2);
     return true;
   }
   if (message.grant && !message.grant->lines.empty()) {
@@ -378,7 +381,7 @@
 
 }  // namespace
 
-int CountOf(std::span<const WaitingItems> waiting) {
+int CountItems(std::span<const WaitingItems> waiting) {
   int items = 0;
   for (const WaitingItems& each : waiting) items += each.items;
   return items;
@@ -391,26 +394,27 @@
 }
 
 std::string Encode(const PeerMessage& message) {
-  std::string text = Text(message);
+  std::string text = Serialize(message);
   if (text.size() <= kMaxPeerMessageBytes) return text;
-  PeerMessage shorter = message;
-  while (text.size() > kMaxPeerMessageBytes && Shorten(shorter)) text = Text(shorter);
+  PeerMessage truncated = message;
+  while (text.size() > kMaxPeerMessageBytes && Truncate(truncated)) text = Serialize(truncated);
   return text;
 }
 
 Result<PeerMessage> DecodePeerMessage(std::string_view bytes) {
   try {
-    // Each element takes a byte at least. Without the limit five bytes that announce four
-    // thousand million elements have the parser ask for the memory of them all.
-    const std::size_t most = bytes.size();
-    const msgpack::unpack_limit limit(most, most, most, most, most, kMaxDepth);
+    // Each element takes at least one byte. Without this limit five bytes that announce four
+    // billion elements would make the parser allocate memory for all of them.
+    const std::size_t max_elements = bytes.size();
+    const msgpack::unpack_limit limit(max_elements, max_elements, max_elements, max_elements,
+                                      max_elements, kMaxDepth);
     std::size_t end = 0;
     const msgpack::object_handle handle =
         msgpack::unpack(bytes.data(), bytes.size(), end, nullptr, nullptr, limit);
     if (end != bytes.size()) throw std::invalid_argument("bytes follow the message");
     return ReadMessage(handle.get());
-  } catch (const std::exception& mistake) {
-    return Error{ErrorKind::kBadRequest, std::string("peer message: ") + mistake.what()};
+  } catch (const std::exception& error) {
+    return Error{ErrorKind::kBadRequest, std::string("peer message: ") + error.what()};
   }
 }
 
--- /dev/null
+++ b/src/peers/allocator_map.cc
@@ -0,0 +1,95 @@
+#include <algorithm>
+#include <set>
+#include <utility>
+
+#include "figmill/peers.h"
+
+namespace figmill {
+namespace {
+
+ManagedBackend ToManagedBackend(const BackendInfo& info) {
+  const bool draining = info.state == BackendState::kDraining;
+  return {info.service, draining ? 0 : info.slots, info.state == BackendState::kUnreadable,
+          info.incarnation};
+}
+
+}  // namespace
+
+void AllocatorMap::SetBackends(std::vector<BackendInfo> backends) {
+  backends_ = std::move(backends);
+  backends_changed_ = true;
+}
+
+// The allocators opposite to this entry when both the entries and the allocators of a data centre
+// are laid out evenly around a ring.
+std::vector<Peer> AllocatorMap::ChooseAllocators(const std::vector<Peer>& allocators,
+                                                 const PeerTable& peers, Time now) {
+  if (allocators.size() <= kLocalAllocators + 1) return allocators;
+  const Peer& self = peers.self();
+  std::size_t rank = 0;
+  std::size_t entries = 0;
+  for (const Peer& peer : peers.Live(now)) {
+    if (peer.data_centre != self.data_centre) continue;
+    ++entries;
+    if (peer.node < self.node) ++rank;
+  }
+  const std::size_t start = rank * allocators.size() / std::max<std::size_t>(entries, 1);
+  std::vector<Peer> chosen;
+  for (std::size_t i = 0; i < kLocalAllocators; ++i) {
+    chosen.push_back(allocators[(start + i) % allocators.size()]);
+  }
+  return chosen;
+}
+
+void AllocatorMap::AddUsed(const BackendInfo& info, const Peer& allocator) {
+  if (!used_allocators_.emplace(info.id, allocator).second) return;
+  used_backends_.push_back(info);
+}
+
+bool AllocatorMap::Update(PeerTable& peers, Time now) {
+  const std::uint64_t generation = peers.Generation(now);
+  if (!backends_changed_ && generation == peers_generation_) return false;
+  backends_changed_ = false;
+  peers_generation_ = generation;
+  used_allocators_.clear();
+  used_backends_.clear();
+  owned_backends_.clear();
+
+  std::map<DataCentre, std::size_t> counts;
+  for (const BackendInfo& info : backends_) ++counts[info.data_centre];
+  const Peer& self = peers.self();
+  std::map<DataCentre, std::vector<Peer>> allocators;
+  std::set<NodeId> chosen_nodes;
+  const std::size_t remote_centres = std::max<std::size_t>(counts.size(), 2) - 1;
+  const std::size_t per_remote_centre =
+      std::max<std::size_t>(kRemoteAllocators / remote_centres, 1);
+  for (const auto& [centre, count] : counts) {
+    allocators[centre] = peers.AllocatorsOf(centre, count, now);
+    std::vector<Peer> chosen = ChooseAllocators(allocators[centre], peers, now);
+    if (centre != self.data_centre && chosen.size() > per_remote_centre) {
+      chosen.resize(per_remote_centre);
+    }
+    for (const Peer& peer : chosen) chosen_nodes.insert(peer.node);
+  }
+
+  std::set<ServiceName> served_services;
+  std::vector<std::pair<const BackendInfo*, const Peer*>> not_chosen;
+  for (const BackendInfo& info : backends_) {
+    const Peer* allocator = AllocatorFor(allocators[info.data_centre], info.id);
+    if (allocator == nullptr) continue;
+    if (allocator->node == self.node) owned_backends_[info.id] = ToManagedBackend(info);
+    if (chosen_nodes.contains(allocator->node)) {
+      AddUsed(info, *allocator);
+      served_services.insert(info.service);
+    } else {
+      not_chosen.emplace_back(&info, allocator);
+    }
+  }
+  // A service with few backend servers may have none among those chosen so far.
+  for (const auto& [info, allocator] : not_chosen) {
+    if (!served_services.contains(info->service)) AddUsed(*info, *allocator);
+  }
+  return true;
+}
+
+}  // namespace figmill
--- a/test/foreign-entries-test.cc
+++ b/test/foreign-entries-test.cc
@@ -314,13 +314,13 @@
   CHECK(allocator.AllowedBatch(kEngine, peer.node) == 2);
   report(3, 0, 1, 5);
   CHECK(allocator.AllowedBatch(kEngine, peer.node) == 1);
-  PlaceAsk ask;
+  SlotRequest ask;
   ask.number = 1;
   ask.service = llm;
   ask.goal_left = ask.time_left = std::chrono::seconds(5);
   allocator.OnRequest(peer.node, ask, takeover_done);
   for (const SlotAllocator::Outgoing& out : allocator.TakeOutgoing(takeover_done)) {
-    if (out.answer) CHECK(out.answer->kind == PlaceAnswer::Kind::kNotKept);
+    if (out.answer) CHECK(out.answer->kind == SlotResponse::Kind::kNotOwned);
   }
   allocator.SetOwnedBackends({{kEngine, {llm, 4}}}, takeover_done);
   CHECK(allocator.AllowedBatch(kEngine, peer.node) > 1);
@@ -453,10 +453,10 @@
   CHECK_FALSE(refused([](PeerMessage&) {}));
   CHECK(refused([](PeerMessage& m) { m.report->lines[0].online = -1; }));
   CHECK(refused([](PeerMessage& m) { m.report->lines[0].batch = 2'000'000'000; }));
-  CHECK(refused([](PeerMessage& m) { m.report->lines[0].usual_run = Duration::max(); }));
+  CHECK(refused([](PeerMessage& m) { m.report->lines[0].typical_run_time = Duration::max(); }));
   CHECK(refused([](PeerMessage& m) { m.report->waiting[0].items = -5; }));
   CHECK(refused([](PeerMessage& m) { m.grant->lines[0].allowed = -1; }));
-  CHECK(refused([](PeerMessage& m) { m.answer->wait = Duration::min(); }));
+  CHECK(refused([](PeerMessage& m) { m.slot_response->wait = Duration::min(); }));
   CHECK(refused([](PeerMessage& m) { m.from.incarnation = ~Incarnation{0}; }));
   CHECK(refused([](PeerMessage& m) { m.from.capacity = -1; }));
   CHECK(
@@ -469,10 +469,10 @@
 // A caller's deadline may be any time; sums with it must not overflow.
 TEST_CASE("the time left in a slot request is capped") {
   PeerMessage message = foreign::GoodMessage();
-  message.ask->time_left = Duration::max();
+  message.slot_request->time_left = Duration::max();
   const auto back = DecodePeerMessage(Encode(message));
   REQUIRE(IsOk(back));
-  CHECK(ValueOf(back).ask->time_left == std::chrono::hours(24));
+  CHECK(ValueOf(back).slot_request->time_left == std::chrono::hours(24));
 }
 
 // Guards against a process that allocates 64 GB and ends: it receives five bytes that announce an
--- a/test/job-store-test.cc
+++ b/test/job-store-test.cc
@@ -148,8 +148,8 @@
   fake::TableData data;
   Entry small(loop, data, PeerNamed("small", 0.1));
   Entry large(loop, data, PeerNamed("large", 1));
-  small.peers.Heard(PeerNamed("large", 1), Loop::Now());
-  large.peers.Heard(PeerNamed("small", 0.1), Loop::Now());
+  small.peers.RecordMessage(PeerNamed("large", 1), Loop::Now());
+  large.peers.RecordMessage(PeerNamed("small", 0.1), Loop::Now());
   CHECK(small.Accept(Submission()) == "accepted");
   fake::RunUntil(loop, [&] { return large.owned.contains("job"); });
   CHECK(small.owned.empty());
@@ -176,8 +176,8 @@
   Fixture f;
   Entry b(f.loop, f.data, PeerNamed("b"));
   CHECK(b.Accept(Submission()) == "accepted");
-  const Timer heard =
-      f.loop.Every(10 * kMillisecond, [&] { f.a.peers.Heard(PeerNamed("b"), Loop::Now()); });
+  const Timer heard = f.loop.Every(10 * kMillisecond,
+                                   [&] { f.a.peers.RecordMessage(PeerNamed("b"), Loop::Now()); });
   fake::RunFor(f.loop, JobStore::kTakeoverDelay + 500 * kMillisecond);
   CHECK(f.a.owned.empty());
   CHECK(b.owned.contains("job"));
@@ -217,14 +217,14 @@
   Fixture f;
   Entry leaving(f.loop, f.data, PeerNamed("leaving"));
   CHECK(leaving.Accept(Submission()) == "accepted");
-  f.a.peers.Heard(PeerNamed("leaving"), Loop::Now());
+  f.a.peers.RecordMessage(PeerNamed("leaving"), Loop::Now());
   leaving.Finish("job", 0, "done");
   bool left = false;
   leaving.store.Leave([&left] { left = true; });
   fake::RunUntil(f.loop, [&] { return left; });
   Peer gone = PeerNamed("leaving");
   gone.leaving = true;
-  f.a.peers.Heard(gone, Loop::Now());
+  f.a.peers.RecordMessage(gone, Loop::Now());
   fake::RunUntil(f.loop, [&] { return f.a.owned.contains("job"); });
   CHECK(f.a.Listed("job") == 1);
   REQUIRE(f.a.progress.size() == 1);
@@ -285,11 +285,11 @@
   CHECK(leaving.Accept(job) == "accepted");
   // Two entries remain. The one that ranks first is known from the list only and never runs.
   PeerTable ranked(PeerNamed("b"));
-  ranked.Named(PeerNamed("c"));
+  ranked.AddListed(PeerNamed("c"));
   const std::string first_ranked =
       ranked.OwnerOf(job.id.value, std::nullopt, Loop::Now())->node.value;
   Entry other(loop, data, PeerNamed(first_ranked == "b" ? "c" : "b"));
-  other.peers.Named(PeerNamed(first_ranked));
+  other.peers.AddListed(PeerNamed(first_ranked));
   fake::RunUntil(loop, [&] { return other.store.KnownHead(job.id) != nullptr; });
   leaving.store.Leave([] {});
   fake::RunUntil(loop, [&] { return other.owned.contains("job"); });
--- a/test/placement-engine-test.cc
+++ b/test/placement-engine-test.cc
@@ -111,7 +111,7 @@
 };
 
 ControlState FoldWithPlacement(Sequence sequence, const char* version, const char* role,
-                       bool checks_fencing) {
+                               bool checks_fencing) {
   ControlState fold;
   fold.config.backends[NodeId{"a-1"}] = {NodeId{"a-1"}, {}, checks_fencing};
   ControlState::PlacementOrder& order = fold.placements[NodeId{"a-1"}];
--- a/test/quota-load-test.cc
+++ b/test/quota-load-test.cc
@@ -1,10 +1,10 @@
-// The load that quotas have to answer: one team before many entries, evenly, skewed, through one
-// entry, from nothing to ten times its limit, while the owner of its quota fails.
+// Load tests of quotas: one team's requests arrive at many entries, evenly, skewed or at a single
+// one, at rates from below the limit to ten times the limit, while the owner of its quota fails.
 
 #include <doctest/doctest.h>
 
+#include "test/quota-policies.h"
 #include "test/quota-sim.h"
-#include "test/quota-ways.h"
 
 using namespace figmill;       // NOLINT(google-build-using-namespace): tests read better
 using namespace figmill::sim;  // NOLINT(google-build-using-namespace): tests read better
@@ -17,13 +17,13 @@
     CAPTURE(load.entries);
     CAPTURE(load.rate);
     CAPTURE(seed);
-    CHECK(Play<Credits>(load).worst_window <= 1);
+    CHECK(SimulateQuota<Credits>(load).worst_window <= 1);
   }
 }
 
 }  // namespace
 
-TEST_CASE("below its limit a team is served, wherever its requests come in") {
+TEST_CASE("below its limit a team is served, wherever its requests arrive") {
   for (const int entries : {30, 100, 300}) {
     for (const double rate : {2.0, 40.0, 400.0}) {
       QuotaLoad load;
@@ -32,16 +32,16 @@
       load.offered = 0.6 * rate;
       CAPTURE(entries);
       CAPTURE(rate);
-      CHECK(Play<Credits>(load).admitted >= 0.95);
+      CHECK(SimulateQuota<Credits>(load).admitted >= 0.95);
       load.weights = Skewed(entries);
-      CHECK(Play<Credits>(load).admitted >= 0.85);
+      CHECK(SimulateQuota<Credits>(load).admitted >= 0.85);
       load.weights = AllAtOne(entries);
-      CHECK(Play<Credits>(load).admitted >= 0.85);
+      CHECK(SimulateQuota<Credits>(load).admitted >= 0.85);
     }
   }
 }
 
-TEST_CASE("a team that sends ten times its limit gets all of it, and no more") {
+TEST_CASE("a team that sends ten times its limit gets its limit and no more") {
   for (const int entries : {30, 100, 300}) {
     for (const double rate : {2.0, 40.0, 400.0}) {
       QuotaLoad load;
@@ -52,15 +52,15 @@
       CheckBound(load);
       CAPTURE(entries);
       CAPTURE(rate);
-      CHECK(Play<Credits>(load).admitted >= 0.95);
+      CHECK(SimulateQuota<Credits>(load).admitted >= 0.95);
     }
   }
 }
 
-// Guards against a limit that holds only while its owner is there.
-TEST_CASE("a limit holds while its owner is killed, stands still or is cut off") {
+// Guards against a limit that is enforced only while its owner is alive.
+TEST_CASE("a limit holds while its owner is killed, stopped or cut off") {
   using Fault = QuotaLoad::Fault;
-  for (const Fault fault : {Fault::kOwnerKilled, Fault::kOwnerFrozen, Fault::kOwnerCut,
+  for (const Fault fault : {Fault::kOwnerKilled, Fault::kOwnerStopped, Fault::kOwnerCut,
                             Fault::kSomeCut, Fault::kAllRestarted}) {
     for (const int entries : {30, 100, 300}) {
       for (const double rate : {2.0, 40.0, 400.0}) {
@@ -77,11 +77,11 @@
   }
 }
 
-// Guards against a team that is refused for as long as the owner of its quota is gone.
+// Guards against refusing a team until the owner of its quota is replaced.
 TEST_CASE("a team below its limit is served while the owner of its quota is replaced") {
   QuotaLoad load;
   load.rate = load.burst = 400;
   load.offered = 100;
   load.fault = QuotaLoad::Fault::kOwnerKilled;
-  CHECK(Play<Credits>(load).admitted >= 0.95);
+  CHECK(SimulateQuota<Credits>(load).admitted >= 0.95);
 }
