--- a/src/figmilld/agent/agent.cc
+++ b/src/figmilld/agent/agent.cc
@@ -1,4 +1,4 @@
-// The process beside a backend server: every call to it passes here.
+// The agent process, which runs next to a backend server and proxies every call to it.
 
 #include <memory>
 #include <nlohmann/json.hpp>
@@ -16,32 +16,35 @@
 namespace figmill {
 namespace {
 
-constexpr Duration kServesCheck{200'000};
-// After the platform's list was last said to name this host as leaving.
-constexpr Duration kListedLeaving{10'000'000};
+constexpr Duration kServedModelsCheckPeriod{200'000};
+// How long the agent counts as leaving after the last "leave" call, which reports that
+// the platform lists this host as leaving.
+constexpr Duration kListedLeavingDuration{10'000'000};
 
 class Agent {
  public:
   explicit Agent(const Settings& settings)
       : daemon_(settings, "agent"),
         models_(daemon_.loop(), daemon_.client(), settings.agent),
-        gate_({daemon_.loop(), daemon_.client(), daemon_.metrics(), &daemon_.tracer()},
-              settings.agent, daemon_.self().incarnation),
+        dispatch_handler_({daemon_.loop(), daemon_.client(), daemon_.metrics(), &daemon_.tracer()},
+                          settings.agent, daemon_.self().incarnation),
         engine_(daemon_.client(), settings.agent.backend, settings.agent.backend_kind),
-        placement_({daemon_.loop(), daemon_.platform(), daemon_.platform(), engine_, SystemRandom(),
-                    daemon_.self().node, daemon_.self().incarnation,
-                    [this](std::function<void()> drained) { BeginPlacing(std::move(drained)); },
-                    [this] { EndPlacing(); }},
-                   ReconcilerSettings{}) {
+        placement_executor_(
+            {daemon_.loop(), daemon_.platform(), daemon_.platform(), engine_, SystemRandom(),
+             daemon_.self().node, daemon_.self().incarnation,
+             [this](std::function<void()> drained) { BeginReconfiguration(std::move(drained)); },
+             [this] { EndReconfiguration(); }},
+            ReconcilerSettings{}) {
     RpcServer& rpc = daemon_.rpc();
-    BindAgentOrders(rpc, gate_);
+    BindAgentOrders(rpc, dispatch_handler_);
     rpc.Bind("status", [this](std::string_view) -> Result<std::string> { return Status(); });
     rpc.Bind("leave", [this](std::string_view) -> Result<std::string> {
-      listed_leaving_until_ = Loop::Now() + kListedLeaving;
-      SetLeaving();
+      listed_leaving_until_ = Loop::Now() + kListedLeavingDuration;
+      UpdateLeaving();
       return std::string("{}");
     });
-    serves_timer_ = daemon_.loop().Every(kServesCheck, [this] { TellServes(); });
+    served_models_timer_ =
+        daemon_.loop().Every(kServedModelsCheckPeriod, [this] { PublishServedModels(); });
   }
 
   int Run() {
@@ -50,7 +53,7 @@
           return Route(request, reply);
         },
         [this](std::function<void()> finished) { Leave(std::move(finished)); },
-        [this] { return gate_.leaving(); },
+        [this] { return dispatch_handler_.leaving(); },
         [this](const std::shared_ptr<const Snapshot>& snapshot) { OnSnapshot(*snapshot); },
     });
   }
@@ -58,50 +61,52 @@
  private:
   void Leave(std::function<void()> finished) {
     terminating_ = true;
-    SetLeaving();
-    gate_.OnDrained(std::move(finished));
+    UpdateLeaving();
+    dispatch_handler_.NotifyWhenDrained(std::move(finished));
   }
 
   void OnSnapshot(const Snapshot& snapshot) {
-    gate_.OnMembers(snapshot);
-    gate_.SetOrders(snapshot.sequence);
+    dispatch_handler_.UpdateEntries(snapshot);
+    dispatch_handler_.SetControlSequence(snapshot.sequence);
     drained_ = snapshot.fold && snapshot.fold->drained.contains(daemon_.self().node);
-    SetLeaving();
-    if (snapshot.fold) placement_.OnFold(*snapshot.fold);
+    UpdateLeaving();
+    if (snapshot.fold) placement_executor_.OnFold(*snapshot.fold);
     for (const ServiceName& service : models_.services()) {
       const auto found = snapshot.config->services.find(service);
-      if (found != snapshot.config->services.end()) gate_.SetTarget(found->second.target);
+      if (found != snapshot.config->services.end()) {
+        dispatch_handler_.SetTarget(found->second.target);
+      }
     }
   }
 
-  // Whatever holds new work off; each reason ends on its own.
-  void SetLeaving() {
+  // Refuses new work while at least one reason holds; the reasons are independent.
+  void UpdateLeaving() {
     const bool listed = Loop::Now() < listed_leaving_until_;
-    gate_.SetLeaving(terminating_ || drained_ || placing_ || listed);
+    dispatch_handler_.SetLeaving(terminating_ || drained_ || reconfiguring_ || listed);
   }
 
-  // The engine is about to change its models or role.
-  void BeginPlacing(std::function<void()> drained) {
-    placing_ = true;
-    SetLeaving();
-    if (!terminating_) gate_.OnDrained(std::move(drained));
+  // Called before the engine changes its models or role.
+  void BeginReconfiguration(std::function<void()> drained) {
+    reconfiguring_ = true;
+    UpdateLeaving();
+    if (!terminating_) dispatch_handler_.NotifyWhenDrained(std::move(drained));
   }
-  void EndPlacing() {
-    placing_ = false;
-    SetLeaving();
-    if (!terminating_) gate_.OnDrained(nullptr);
+  void EndReconfiguration() {
+    reconfiguring_ = false;
+    UpdateLeaving();
+    if (!terminating_) dispatch_handler_.NotifyWhenDrained(nullptr);
   }
 
-  void TellServes() {
-    SetLeaving();
-    if (models_.services() == told_serves_) return;
-    told_serves_ = models_.services();
-    daemon_.control().SetServes(told_serves_);
+  void PublishServedModels() {
+    UpdateLeaving();
+    if (models_.services() == published_services_) return;
+    published_services_ = models_.services();
+    daemon_.control().SetServes(published_services_);
   }
 
   bool Route(HttpRequest& request, const std::shared_ptr<HttpReply>& reply) {
     if (request.path == "/agent/run") {
-      gate_.OnDispatch(std::move(request), reply);
+      dispatch_handler_.OnDispatch(std::move(request), reply);
     } else if (request.path == "/agent/status") {
       reply->Send({200, "application/json", {}, Status()});
     } else {
@@ -115,7 +120,7 @@
     for (const ServiceName& service : models_.services()) serves.push_back(service.value);
     return nlohmann::json{{"node", daemon_.self().node.value},
                           {"incarnation", daemon_.self().incarnation},
-                          {"leaving", gate_.leaving()},
+                          {"leaving", dispatch_handler_.leaving()},
                           {"orders", daemon_.control().current()->sequence},
                           {"serves", serves},
                           {"stamp", Loop::Now().time_since_epoch().count()}}
@@ -124,15 +129,15 @@
 
   Daemon daemon_;
   ServedModels models_;
-  AgentGate gate_;
+  AgentGate dispatch_handler_;
   EngineClient engine_;
-  PlacementShell placement_;
-  std::vector<ServiceName> told_serves_;
+  PlacementShell placement_executor_;
+  std::vector<ServiceName> published_services_;
   bool terminating_ = false;
   bool drained_ = false;
-  bool placing_ = false;
+  bool reconfiguring_ = false;
   Time listed_leaving_until_{};
-  Timer serves_timer_;
+  Timer served_models_timer_;
 };
 
 }  // namespace
--- a/src/figmilld/agent/agent_answer.cc
+++ b/src/figmilld/agent/agent_answer.cc
@@ -9,11 +9,11 @@
   return true;
 }
 
-void AgentAnswer::Data(std::string_view bytes) {
-  constexpr std::size_t kLargest = 1U << 20;  // well under what a frame may hold
+void AgentAnswer::WriteData(std::string_view bytes) {
+  constexpr std::size_t kMaxDataBytes = 1U << 20;  // well below kMaxFrameBytes
   bytes_ += bytes.size();
-  for (std::size_t at = 0; at < bytes.size(); at += kLargest) {
-    reply_->Write(Encode(FrameData{std::string(bytes.substr(at, kLargest))}));
+  for (std::size_t at = 0; at < bytes.size(); at += kMaxDataBytes) {
+    reply_->Write(Encode(FrameData{std::string(bytes.substr(at, kMaxDataBytes))}));
   }
 }
 
--- a/src/figmilld/agent/agent_answer.h
+++ b/src/figmilld/agent/agent_answer.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// The agent's answer to one dispatch, as frames: nothing, then a refusal, or a
-// head, data, and an end or a failure.
+// Writes the agent's answer to one dispatch: either a plain error response, or frames
+// (a head, data, and an end or a failure).
 
 #include <memory>
 #include <string>
@@ -14,10 +14,11 @@
 class AgentAnswer {
  public:
   explicit AgentAnswer(std::shared_ptr<HttpReply> reply) : reply_(std::move(reply)) {}
-  // False if it has begun with another status: that answer can't be taken back.
+  // False if the answer has already begun with another status, which can't be changed
+  // once sent.
   [[nodiscard]] bool Begin(const FrameHead& head);
-  void Data(std::string_view bytes);
-  // An empty frame, so that a long silence isn't taken for a lost host.
+  void WriteData(std::string_view bytes);
+  // Writes an empty frame, so that the sender doesn't take a long pause for a lost host.
   void KeepAlive();
   void End(std::uint64_t tokens, std::uint64_t cached_tokens);
   void Fail(const Error& error);
--- a/src/figmilld/agent/agent_gate.cc
+++ b/src/figmilld/agent/agent_gate.cc
@@ -6,17 +6,17 @@
 namespace figmill {
 namespace {
 
-constexpr Duration kTick{50'000};
+constexpr Duration kTickPeriod{50'000};
 constexpr Duration kLoadPeriod{200'000};
 constexpr Duration kKeepAlivePeriod{10'000'000};
-// Exported KV that is kept here for a stopped stream. An engine whose exports
-// are larger has its streams run again, as this process has little memory.
-constexpr std::size_t kMaxExport = 64 << 10;
-// How much earlier than it says a revoked dispatch may have been sent: the
-// revoke itself was on its way too, and its sender waits no longer than this.
-constexpr Duration kRevokeSlack{10'000'000};
-
-SchedulerConfig ConfigOf(const AgentSettings& settings, Incarnation incarnation) {
+// Largest exported KV cache that is kept in memory for a stopped stream. Streams with
+// larger exports are run again, as this process has little memory.
+constexpr std::size_t kMaxExportBytes = 64 << 10;
+// Upper bound of a revoke's time in transit: the dispatch may have been sent earlier than
+// the age in the revoke says by this much. The sender of a revoke waits no longer for it.
+constexpr Duration kMaxRevokeTransit{10'000'000};
+
+SchedulerConfig MakeSchedulerConfig(const AgentSettings& settings, Incarnation incarnation) {
   SchedulerConfig config;
   config.incarnation = incarnation;
   config.token_streams = settings.backend_kind == BackendKind::kModel;
@@ -33,15 +33,15 @@
       incarnation_(incarnation),
       engine_(parts.client, settings.backend, settings.backend_kind),
       metrics_(parts.metrics),
-      gate_(ConfigOf(settings, incarnation)) {
-  tick_timer_ = loop_.Every(kTick, [this] { Tick(); });
+      scheduler_(MakeSchedulerConfig(settings, incarnation)) {
+  tick_timer_ = loop_.Every(kTickPeriod, [this] { Tick(); });
   keep_alive_timer_ = loop_.Every(kKeepAlivePeriod, [this] { KeepAnswersAlive(); });
   if (settings_.backend_kind == BackendKind::kModel) {
     load_timer_ = loop_.Every(kLoadPeriod, [this] { PollLoad(); });
   }
 }
 
-// --- In ------------------------------------------------------------------------------
+// --- Events from senders and the backend server --------------------------------------
 
 void AgentGate::OnDispatch(HttpRequest request, std::shared_ptr<HttpReply> reply) {
   Result<DispatchHeaders> parsed = ParseDispatch(request);
@@ -49,232 +49,244 @@
     reply->Send(ProblemOf(ErrorOf(parsed)));
     return;
   }
-  AgentWork work(std::move(ValueOf(parsed)), std::move(request.body), settings_.backend_kind);
-  const RequestId id = work.headers().request;
+  AgentWork dispatched(std::move(ValueOf(parsed)), std::move(request.body), settings_.backend_kind);
+  const RequestId id = dispatched.headers().request;
   const ArrivalId arrival = ++last_arrival_;
-  work.arrival = arrival;
-  work.ResetAnswer();
-  reply->OnClosed([this, arrival] { OnPeerGone(arrival); });
+  dispatched.arrival = arrival;
+  dispatched.ResetAnswer();
+  reply->OnClosed([this, arrival] { OnSenderDisconnected(arrival); });
   answers_.emplace(arrival, AgentAnswer(std::move(reply)));
-  requests_[arrival] = id;
+  request_by_arrival_[arrival] = id;
   const Time now = Loop::Now();
   const std::vector<SchedulerAction> actions =
-      gate_.Step(now, DispatchArrived{arrival, work.ToDispatch()});
+      scheduler_.Step(now, DispatchArrived{arrival, dispatched.ToDispatch()});
   const bool refused =
       std::any_of(actions.begin(), actions.end(), [&](const SchedulerAction& action) {
         const auto* refuse = std::get_if<FailRequest>(&action);
         return refuse != nullptr && refuse->arrival == arrival;
       });
   if (refused) {
-    metrics_.CountRefusal(std::get<FailRequest>(actions.front()).error, work.headers().work);
-  } else if (AgentWork* known = Find(id); known && settings_.backend_kind == BackendKind::kPlain) {
-    known->arrival = arrival;  // the running call goes on, its answer is held
-  } else if (known != nullptr) {
-    // Taken up: the new sender's wishes count, the running call is replaced.
-    work.call = std::move(known->call);
-    work.kv = std::move(known->kv);
-    work.paused = known->paused;
-    work.span = std::move(known->span);
-    *known = std::move(work);
+    metrics_.CountRefusal(std::get<FailRequest>(actions.front()).error, dispatched.headers().work);
+  } else if (AgentWork* existing = FindRequest(id);
+             existing && settings_.backend_kind == BackendKind::kPlain) {
+    existing->arrival = arrival;  // the running call continues; its answer is buffered
+  } else if (existing != nullptr) {
+    // Reattached: the new sender's parameters apply, and the running call is replaced.
+    dispatched.cancel_call = std::move(existing->cancel_call);
+    dispatched.exported_kv = std::move(existing->exported_kv);
+    dispatched.paused = existing->paused;
+    dispatched.span = std::move(existing->span);
+    *existing = std::move(dispatched);
   } else {
-    works_.emplace(id, std::move(work));
+    active_requests_.emplace(id, std::move(dispatched));
   }
-  stop_clock_ = std::make_shared<StopClock>(StopClock{now});
-  CarryOut(actions);
-  stop_clock_.reset();
+  batch_stop_timer_ = std::make_shared<StopClock>(StopClock{now});
+  ExecuteAll(actions);
+  batch_stop_timer_.reset();
 }
 
-void AgentGate::OnPeerGone(ArrivalId arrival) {
-  const auto found = requests_.find(arrival);
-  if (found == requests_.end()) return;
-  AgentWork* work = Find(found->second);
-  if (work != nullptr && work->arrival == arrival) work->arrival = 0;
-  requests_.erase(found);
+void AgentGate::OnSenderDisconnected(ArrivalId arrival) {
+  const auto found = request_by_arrival_.find(arrival);
+  if (found == request_by_arrival_.end()) return;
+  AgentWork* dispatched = FindRequest(found->second);
+  if (dispatched != nullptr && dispatched->arrival == arrival) dispatched->arrival = 0;
+  request_by_arrival_.erase(found);
   answers_.erase(arrival);
-  Do(SenderDisconnected{arrival});
+  HandleEvent(SenderDisconnected{arrival});
 }
 
-std::function<void(AnswerEvent)> AgentGate::Receiver(const RequestId& request) {
-  return [this, request](AnswerEvent event) { Receive(request, std::move(event)); };
+std::function<void(AnswerEvent)> AgentGate::MakeAnswerCallback(const RequestId& request) {
+  return [this, request](AnswerEvent event) { OnAnswerEvent(request, std::move(event)); };
 }
 
-void AgentGate::Receive(const RequestId& request, AnswerEvent event) {
-  AgentWork* work = Find(request);
-  if (work == nullptr) return;
+void AgentGate::OnAnswerEvent(const RequestId& request, AnswerEvent event) {
+  AgentWork* dispatched = FindRequest(request);
+  if (dispatched == nullptr) return;
   std::visit(Overloaded{
-                 [&](AnswerHead& head) { ReceiveHead(*work, std::move(head)); },
-                 [&](const AnswerBytes& bytes) { ReceiveBytes(*work, bytes); },
-                 [&](const AnswerEnd&) { Do(StreamFinished{request}); },
+                 [&](AnswerHead& head) { OnAnswerHead(*dispatched, std::move(head)); },
+                 [&](const AnswerBytes& bytes) { OnAnswerBytes(*dispatched, bytes); },
+                 [&](const AnswerEnd&) { HandleEvent(StreamFinished{request}); },
                  [&](AnswerFailed& failed) {
-                   Do(StreamFailed{request, std::move(failed.error)});
+                   HandleEvent(StreamFailed{request, std::move(failed.error)});
                  },
              },
              event);
 }
 
-void AgentGate::ReceiveHead(AgentWork& work, AnswerHead head) {
-  work.head = std::move(head);
-  AgentAnswer* answer = AnswerOf(work);
-  if (answer == nullptr || answer->Begin(HeadFor(work))) return;
-  if (work.call) std::exchange(work.call, nullptr)();
-  FailLater(work.headers().request,
-            Error{ErrorKind::kBackendFailed, "a second run was answered otherwise", Ran::kYes});
+void AgentGate::OnAnswerHead(AgentWork& dispatched, AnswerHead head) {
+  dispatched.answer_head = std::move(head);
+  AgentAnswer* answer = FindAnswer(dispatched);
+  if (answer == nullptr || answer->Begin(MakeFrameHead(dispatched))) return;
+  if (dispatched.cancel_call) std::exchange(dispatched.cancel_call, nullptr)();
+  PostFailure(dispatched.headers().request,
+              Error{ErrorKind::kBackendFailed,
+                    "the backend server answered a rerun with another status", Ran::kYes});
 }
 
-void AgentGate::ReceiveBytes(AgentWork& work, const AnswerBytes& bytes) {
+void AgentGate::OnAnswerBytes(AgentWork& dispatched, const AnswerBytes& bytes) {
   std::uint32_t tokens = 0;
-  const std::string ready = work.Take(bytes, tokens);
-  if (AgentAnswer* answer = AnswerOf(work)) answer->Data(ready);
+  const std::string ready = dispatched.AddAnswerBytes(bytes, tokens);
+  if (AgentAnswer* answer = FindAnswer(dispatched)) answer->WriteData(ready);
   if (tokens == 0) return;
-  metrics_.Tokens(work.headers().work, tokens);
-  Do(StreamTokens{work.headers().request, tokens});
+  metrics_.CountTokens(dispatched.headers().work, tokens);
+  HandleEvent(StreamTokens{dispatched.headers().request, tokens});
 }
 
-FrameHead AgentGate::HeadFor(const AgentWork& work) const {
-  const SchedulerStats counts = gate_.counts();
+FrameHead AgentGate::MakeFrameHead(const AgentWork& dispatched) const {
+  const SchedulerStats counts = scheduler_.counts();
   FrameHead head;
-  head.status = work.head.status;
-  head.content_type = work.content_type();
+  head.status = dispatched.answer_head.status;
+  head.content_type = dispatched.content_type();
   head.incarnation = incarnation_;
-  head.orders = orders_;
+  head.orders = control_sequence_;
   head.online_running = static_cast<std::uint32_t>(counts.online_running + counts.online_queued);
   head.batch_running = static_cast<std::uint32_t>(counts.batch_running);
   head.room = static_cast<std::uint32_t>(counts.room);
   head.online_mark = static_cast<std::uint32_t>(counts.online_mark);
-  head.request = work.headers().request;
+  head.request = dispatched.headers().request;
   return head;
 }
 
-// --- Out -----------------------------------------------------------------------------
+// --- Actions of the scheduler --------------------------------------------------------
 
-void AgentGate::Do(const SchedulerEvent& event) {
-  CarryOut(gate_.Step(Loop::Now(), event));
+void AgentGate::HandleEvent(const SchedulerEvent& event) {
+  ExecuteAll(scheduler_.Step(Loop::Now(), event));
 }
 
-void AgentGate::CarryOut(const std::vector<SchedulerAction>& actions) {
+void AgentGate::ExecuteAll(const std::vector<SchedulerAction>& actions) {
   for (const SchedulerAction& action : actions) {
-    std::visit([this](const auto& each) { Carry(each); }, action);
+    std::visit([this](const auto& each) { Execute(each); }, action);
   }
-  if (drained_ && works_.empty() && answers_.empty()) std::exchange(drained_, nullptr)();
-}
-
-void AgentGate::Carry(const StartStream& action) {
-  AgentWork* work = Find(action.request);
-  if (work == nullptr) return;
-  if (action.rerun) metrics_.TokensRerun(work->tokens());
-  work->ResetAnswer();
-  work->kv.clear();
-  work->paused = false;
-  const std::string traceparent = StartSpan(*work);
-  work->call = engine_.Call(work->ToBackend(traceparent), Receiver(action.request));
-}
-
-void AgentGate::Carry(const ResumeStream& action) {
-  AgentWork* work = Find(action.request);
-  if (work == nullptr) return;
-  if (action.reattached_arrival == 0 && work->paused) {
-    ResumeExported(*work);
+  if (drained_ && active_requests_.empty() && answers_.empty()) std::exchange(drained_, nullptr)();
+}
+
+void AgentGate::Execute(const StartStream& action) {
+  AgentWork* dispatched = FindRequest(action.request);
+  if (dispatched == nullptr) return;
+  if (action.rerun) metrics_.CountTokensRerun(dispatched->tokens());
+  dispatched->ResetAnswer();
+  dispatched->exported_kv.clear();
+  dispatched->paused = false;
+  const std::string traceparent = StartSpan(*dispatched);
+  dispatched->cancel_call =
+      engine_.Call(dispatched->ToBackendRequest(traceparent), MakeAnswerCallback(action.request));
+}
+
+void AgentGate::Execute(const ResumeStream& action) {
+  AgentWork* dispatched = FindRequest(action.request);
+  if (dispatched == nullptr) return;
+  if (action.reattached_arrival == 0 && dispatched->paused) {
+    ResumeExported(*dispatched);
     return;
   }
-  if (work->call) work->call();
-  work->paused = false;
-  work->call = engine_.Resume(action.request, action.from, Receiver(action.request));
-}
-
-// A stopped stream is gone at the engine; only its export can go on.
-void AgentGate::ResumeExported(AgentWork& work) {
-  const RequestId request = work.headers().request;
-  work.paused = false;
-  if (work.kv.empty()) {
-    FailLater(request, Error{ErrorKind::kNotFound, "the stream was stopped", Ran::kUnknown});
+  if (dispatched->cancel_call) dispatched->cancel_call();
+  dispatched->paused = false;
+  dispatched->cancel_call =
+      engine_.Resume(action.request, action.from, MakeAnswerCallback(action.request));
+}
+
+// The engine has dropped a stopped stream; it can only be resumed from its exported KV
+// cache.
+void AgentGate::ResumeExported(AgentWork& dispatched) {
+  const RequestId request = dispatched.headers().request;
+  dispatched.paused = false;
+  if (dispatched.exported_kv.empty()) {
+    PostFailure(request,
+                Error{ErrorKind::kNotFound, "the stream was stopped and has no exported KV cache",
+                      Ran::kUnknown});
     return;
   }
-  engine_.Import(request, std::exchange(work.kv, {}), [this, request](const Result<Ok>& done) {
-    AgentWork* imported = Find(request);
-    if (imported == nullptr || imported->paused) return;
-    if (!IsOk(done)) {
-      Do(StreamFailed{request, Error{ErrorKind::kNotFound, ErrorOf(done).detail, Ran::kUnknown}});
-      return;
-    }
-    metrics_.TokensKept(imported->tokens());
-    imported->call = engine_.Resume(request, imported->tokens(), Receiver(request));
-  });
+  engine_.Import(
+      request, std::exchange(dispatched.exported_kv, {}), [this, request](const Result<Ok>& done) {
+        AgentWork* imported = FindRequest(request);
+        if (imported == nullptr || imported->paused) return;
+        if (!IsOk(done)) {
+          HandleEvent(StreamFailed{
+              request, Error{ErrorKind::kNotFound, ErrorOf(done).detail, Ran::kUnknown}});
+          return;
+        }
+        metrics_.CountTokensKept(imported->tokens());
+        imported->cancel_call =
+            engine_.Resume(request, imported->tokens(), MakeAnswerCallback(request));
+      });
 }
 
-void AgentGate::FailLater(const RequestId& request, Error error) {
+void AgentGate::PostFailure(const RequestId& request, Error error) {
   loop_.Post([this, alive = std::weak_ptr(alive_), request, error = std::move(error)] {
-    if (alive.lock()) Do(StreamFailed{request, error});
+    if (alive.lock()) HandleEvent(StreamFailed{request, error});
   });
 }
 
-void AgentGate::Carry(const StopStream& action) {
-  AgentWork* work = Find(action.request);
-  if (work == nullptr) return;
-  if (work->call) std::exchange(work->call, nullptr)();
-  const std::shared_ptr<StopClock> clock = action.keep ? stop_clock_ : nullptr;
-  if (clock) ++clock->left;
-  work->paused = action.keep;
+void AgentGate::Execute(const StopStream& action) {
+  AgentWork* dispatched = FindRequest(action.request);
+  if (dispatched == nullptr) return;
+  if (dispatched->cancel_call) std::exchange(dispatched->cancel_call, nullptr)();
+  const std::shared_ptr<StopClock> timer = action.keep ? batch_stop_timer_ : nullptr;
+  if (timer) ++timer->pending_stops;
+  dispatched->paused = action.keep;
   const RequestId& request = action.request;
   if (settings_.backend_kind == BackendKind::kPlain) {
-    loop_.Post([this, alive = std::weak_ptr(alive_), request, clock] {
-      if (alive.lock()) Stopped(request, clock);
+    loop_.Post([this, alive = std::weak_ptr(alive_), request, timer] {
+      if (alive.lock()) OnStreamStopped(request, timer);
     });
-  } else if (!action.keep || work->tokens() == 0) {
-    StopAtBackend(request, clock);
+  } else if (!action.keep || dispatched->tokens() == 0) {
+    CancelAtBackend(request, timer);
   } else {
-    engine_.Export(request, [this, request, clock](Result<std::string> exported) {
-      AgentWork* stopped = Find(request);
+    engine_.Export(request, [this, request, timer](Result<std::string> exported) {
+      AgentWork* stopped = FindRequest(request);
       if (stopped != nullptr && stopped->paused && IsOk(exported) &&
-          ValueOf(exported).size() <= kMaxExport) {
-        stopped->kv = std::move(ValueOf(exported));
+          ValueOf(exported).size() <= kMaxExportBytes) {
+        stopped->exported_kv = std::move(ValueOf(exported));
       }
-      StopAtBackend(request, clock);
+      CancelAtBackend(request, timer);
     });
   }
 }
 
-void AgentGate::StopAtBackend(const RequestId& request, std::shared_ptr<StopClock> clock) {
-  engine_.Cancel(request, [this, request, clock = std::move(clock)](const Result<Ok>&) {
-    Stopped(request, clock);
+void AgentGate::CancelAtBackend(const RequestId& request, std::shared_ptr<StopClock> timer) {
+  engine_.Cancel(request, [this, request, timer = std::move(timer)](const Result<Ok>&) {
+    OnStreamStopped(request, timer);
   });
 }
 
-void AgentGate::Stopped(const RequestId& request, const std::shared_ptr<StopClock>& clock) {
-  if (clock && --clock->left == 0) metrics_.BatchStopped(Loop::Now() - clock->arrived);
-  Do(StreamStopped{request});
+void AgentGate::OnStreamStopped(const RequestId& request, const std::shared_ptr<StopClock>& timer) {
+  if (timer && --timer->pending_stops == 0) {
+    metrics_.RecordBatchStop(Loop::Now() - timer->arrival_time);
+  }
+  HandleEvent(StreamStopped{request});
 }
 
-void AgentGate::Carry(const FailRequest& action) {
-  const AgentWork* work = Find(action.request);
-  if (work != nullptr && work->arrival == action.arrival) {
-    metrics_.CountRefusal(action.error, work->headers().work);
+void AgentGate::Execute(const FailRequest& action) {
+  const AgentWork* dispatched = FindRequest(action.request);
+  if (dispatched != nullptr && dispatched->arrival == action.arrival) {
+    metrics_.CountRefusal(action.error, dispatched->headers().work);
   }
   FailArrival(action.arrival, action.error);
-  Forget(action.request, action.arrival, true);
+  RemoveRequest(action.request, action.arrival, true);
 }
 
-void AgentGate::Carry(const CompleteRequest& action) {
-  AgentWork* work = Find(action.request);
-  if (work == nullptr) return;
-  if (AgentAnswer* answer = AnswerOf(*work)) {
-    (void)answer->Begin(HeadFor(*work));
-    answer->Data(work->Rest());
-    const TokenUsage usage = work->usage();
+void AgentGate::Execute(const CompleteRequest& action) {
+  AgentWork* dispatched = FindRequest(action.request);
+  if (dispatched == nullptr) return;
+  if (AgentAnswer* answer = FindAnswer(*dispatched)) {
+    (void)answer->Begin(MakeFrameHead(*dispatched));
+    answer->WriteData(dispatched->TakeRemaining());
+    const TokenUsage usage = dispatched->usage();
     answer->End(usage.completion_tokens, usage.cached_tokens);
   }
   answers_.erase(action.arrival);
-  requests_.erase(action.arrival);
-  Forget(action.request, action.arrival, false);
+  request_by_arrival_.erase(action.arrival);
+  RemoveRequest(action.request, action.arrival, false);
 }
 
-void AgentGate::Carry(const DetachSender& action) {
+void AgentGate::Execute(const DetachSender& action) {
   FailArrival(action.arrival, action.error);
-  AgentWork* work = Find(action.request);
-  if (work != nullptr && work->arrival == action.arrival) work->arrival = 0;
+  AgentWork* dispatched = FindRequest(action.request);
+  if (dispatched != nullptr && dispatched->arrival == action.arrival) dispatched->arrival = 0;
 }
 
-void AgentGate::Carry(const CommandReply& action) {
-  order_answer_ = action.state;
+void AgentGate::Execute(const CommandReply& action) {
+  command_reply_ = action.state;
 }
 
 void AgentGate::FailArrival(ArrivalId arrival, const Error& error) {
@@ -282,85 +294,86 @@
   if (found == answers_.end()) return;
   AgentAnswer answer = std::move(found->second);
   answers_.erase(found);
-  requests_.erase(arrival);
+  request_by_arrival_.erase(arrival);
   answer.Fail(error);
 }
 
-// The request is over, unless it was another arrival of it that was refused.
-void AgentGate::Forget(const RequestId& request, ArrivalId arrival, bool failed) {
-  const auto found = works_.find(request);
-  if (found == works_.end() || found->second.arrival != arrival) return;
-  AgentWork& work = found->second;
-  if (work.call) work.call();
-  if (work.span && tracer_ != nullptr) {
-    work.span->failed = failed;
-    tracer_->Finish(*std::exchange(work.span, std::nullopt));
+// Removes the request, unless `arrival` is another arrival of it than the current one.
+void AgentGate::RemoveRequest(const RequestId& request, ArrivalId arrival, bool failed) {
+  const auto found = active_requests_.find(request);
+  if (found == active_requests_.end() || found->second.arrival != arrival) return;
+  AgentWork& dispatched = found->second;
+  if (dispatched.cancel_call) dispatched.cancel_call();
+  if (dispatched.span && tracer_ != nullptr) {
+    dispatched.span->failed = failed;
+    tracer_->Finish(*std::exchange(dispatched.span, std::nullopt));
   }
-  works_.erase(found);
+  active_requests_.erase(found);
 }
 
-AgentWork* AgentGate::Find(const RequestId& request) {
-  const auto found = works_.find(request);
-  return found == works_.end() ? nullptr : &found->second;
+AgentWork* AgentGate::FindRequest(const RequestId& request) {
+  const auto found = active_requests_.find(request);
+  return found == active_requests_.end() ? nullptr : &found->second;
 }
 
-AgentAnswer* AgentGate::AnswerOf(const AgentWork& work) {
-  const auto found = answers_.find(work.arrival);
+AgentAnswer* AgentGate::FindAnswer(const AgentWork& dispatched) {
+  const auto found = answers_.find(dispatched.arrival);
   return found == answers_.end() ? nullptr : &found->second;
 }
 
-std::string AgentGate::StartSpan(AgentWork& work) {
-  if (tracer_ == nullptr) return work.headers().traceparent;
-  if (!work.span) {
-    work.span = tracer_->Start("agent.run", ParseTraceparent(work.headers().traceparent));
-    work.span->attributes.push_back({"figmill.request", work.headers().request.value});
-    work.span->attributes.push_back({"figmill.service", work.headers().service.value});
+std::string AgentGate::StartSpan(AgentWork& dispatched) {
+  if (tracer_ == nullptr) return dispatched.headers().traceparent;
+  if (!dispatched.span) {
+    dispatched.span =
+        tracer_->Start("agent.run", ParseTraceparent(dispatched.headers().traceparent));
+    dispatched.span->attributes.push_back({"figmill.request", dispatched.headers().request.value});
+    dispatched.span->attributes.push_back({"figmill.service", dispatched.headers().service.value});
   }
-  return ToTraceparent(work.span->context);
+  return ToTraceparent(dispatched.span->context);
 }
 
-// --- Orders and upkeep ---------------------------------------------------------------
+// --- RPC methods, membership and timers ----------------------------------------------
 
 Result<RequestState> AgentGate::RevokeRequest(const RequestId& request, Incarnation incarnation,
                                               std::optional<Duration> age) {
   std::optional<Time> stamp;
-  if (age) stamp = Loop::Now() - *age - kRevokeSlack;
-  Do(Revoke{request, incarnation, stamp});
-  return *std::exchange(order_answer_, std::nullopt);
+  if (age) stamp = Loop::Now() - *age - kMaxRevokeTransit;
+  HandleEvent(Revoke{request, incarnation, stamp});
+  return *std::exchange(command_reply_, std::nullopt);
 }
 
 Result<RequestState> AgentGate::CancelRequest(const RequestId& request) {
-  Do(Cancel{request});
-  return *std::exchange(order_answer_, std::nullopt);
+  HandleEvent(Cancel{request});
+  return *std::exchange(command_reply_, std::nullopt);
 }
 
 void AgentGate::SupersedeJob(const JobId& job, Epoch epoch) {
-  Do(Supersede{job, epoch});
+  HandleEvent(Supersede{job, epoch});
 }
 
-void AgentGate::OnMembers(const Snapshot& snapshot) {
+void AgentGate::UpdateEntries(const Snapshot& snapshot) {
   std::set<NodeId> entries;
   for (const Member& member : snapshot.members) {
     if (member.role == Role::kEntry) entries.insert(member.node);
   }
   entries_.swap(entries);
   for (const NodeId& before : entries) {
-    if (!entries_.contains(before)) Do(OwnerLost{before});
+    if (!entries_.contains(before)) HandleEvent(OwnerLost{before});
   }
 }
 
 void AgentGate::SetLeaving(bool leaving) {
-  if (std::exchange(leaving_, leaving) != leaving) Do(LeavingChanged{leaving});
+  if (std::exchange(leaving_, leaving) != leaving) HandleEvent(LeavingChanged{leaving});
 }
 
-void AgentGate::OnDrained(std::function<void()> drained) {
+void AgentGate::NotifyWhenDrained(std::function<void()> drained) {
   drained_ = std::move(drained);
-  CarryOut({});
+  ExecuteAll({});
 }
 
 void AgentGate::PollLoad() {
   engine_.Load([this](const Result<EngineLoad>& load) {
-    if (IsOk(load)) Do(LoadReported{ValueOf(load)});
+    if (IsOk(load)) HandleEvent(LoadReported{ValueOf(load)});
   });
 }
 
@@ -369,8 +382,8 @@
 }
 
 void AgentGate::Tick() {
-  Do(figmill::Tick{});
-  metrics_.Set(gate_.counts());
+  HandleEvent(figmill::Tick{});
+  metrics_.Update(scheduler_.counts());
 }
 
 }  // namespace figmill
--- a/src/figmilld/agent/agent_gate.h
+++ b/src/figmilld/agent/agent_gate.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// The shell around the gate: dispatches come in, the backend server beside this
-// process is called, and answers go back as frames.
+// Runs the BackendScheduler of an agent: receives dispatches, calls the backend server next
+// to this process, and sends the answers back as frames.
 
 #include <functional>
 #include <memory>
@@ -18,7 +18,7 @@
 
 namespace figmill {
 
-// What it needs of the process; all outlive it.
+// All must outlive the handler.
 struct AgentParts {
   Loop& loop;
   HttpClient& client;
@@ -32,52 +32,52 @@
 
   void OnDispatch(HttpRequest request, std::shared_ptr<HttpReply> reply);
 
-  // Orders (docs/PROTOCOLS.md). `age` is how long ago the dispatch was sent.
+  // RPC methods (docs/PROTOCOLS.md). `age` is how long ago the dispatch was sent.
   [[nodiscard]] Result<RequestState> RevokeRequest(const RequestId& request,
                                                    Incarnation incarnation,
                                                    std::optional<Duration> age);
   [[nodiscard]] Result<RequestState> CancelRequest(const RequestId& request);
   void SupersedeJob(const JobId& job, Epoch epoch);
 
-  // From membership and configuration.
-  void OnMembers(const Snapshot& snapshot);
-  void SetTarget(const LatencyTarget& target) { gate_.SetTarget(target); }
-  void SetOrders(Sequence orders) { orders_ = orders; }
-  // A leaving gate takes nothing new; what runs goes on.
+  // Updates from membership and configuration.
+  void UpdateEntries(const Snapshot& snapshot);
+  void SetTarget(const LatencyTarget& target) { scheduler_.SetTarget(target); }
+  void SetControlSequence(Sequence sequence) { control_sequence_ = sequence; }
+  // While leaving, new requests are refused; running ones continue.
   void SetLeaving(bool leaving);
   [[nodiscard]] bool leaving() const { return leaving_; }
-  // Calls `drained` once no request is left.
-  void OnDrained(std::function<void()> drained);
+  // Calls `drained` once no request is left; replaces an earlier callback.
+  void NotifyWhenDrained(std::function<void()> drained);
 
-  [[nodiscard]] SchedulerStats counts() const { return gate_.counts(); }
+  [[nodiscard]] SchedulerStats counts() const { return scheduler_.counts(); }
   [[nodiscard]] EngineClient& engine() { return engine_; }
 
  private:
-  void Do(const SchedulerEvent& event);
-  void CarryOut(const std::vector<SchedulerAction>& actions);
-  void Carry(const StartStream& action);
-  void Carry(const ResumeStream& action);
-  void Carry(const StopStream& action);
-  void Carry(const FailRequest& action);
-  void Carry(const CompleteRequest& action);
-  void Carry(const DetachSender& action);
-  void Carry(const CommandReply& action);
+  void HandleEvent(const SchedulerEvent& event);
+  void ExecuteAll(const std::vector<SchedulerAction>& actions);
+  void Execute(const StartStream& action);
+  void Execute(const ResumeStream& action);
+  void Execute(const StopStream& action);
+  void Execute(const FailRequest& action);
+  void Execute(const CompleteRequest& action);
+  void Execute(const DetachSender& action);
+  void Execute(const CommandReply& action);
 
-  void Receive(const RequestId& request, AnswerEvent event);
-  void ReceiveHead(AgentWork& work, AnswerHead head);
-  void ReceiveBytes(AgentWork& work, const AnswerBytes& bytes);
-  [[nodiscard]] std::function<void(AnswerEvent)> Receiver(const RequestId& request);
-  void ResumeExported(AgentWork& work);
-  void FailLater(const RequestId& request, Error error);
-  void StopAtBackend(const RequestId& request, std::shared_ptr<StopClock> clock);
-  void Stopped(const RequestId& request, const std::shared_ptr<StopClock>& clock);
-  void OnPeerGone(ArrivalId arrival);
+  void OnAnswerEvent(const RequestId& request, AnswerEvent event);
+  void OnAnswerHead(AgentWork& dispatched, AnswerHead head);
+  void OnAnswerBytes(AgentWork& dispatched, const AnswerBytes& bytes);
+  [[nodiscard]] std::function<void(AnswerEvent)> MakeAnswerCallback(const RequestId& request);
+  void ResumeExported(AgentWork& dispatched);
+  void PostFailure(const RequestId& request, Error error);
+  void CancelAtBackend(const RequestId& request, std::shared_ptr<StopClock> timer);
+  void OnStreamStopped(const RequestId& request, const std::shared_ptr<StopClock>& timer);
+  void OnSenderDisconnected(ArrivalId arrival);
   void FailArrival(ArrivalId arrival, const Error& error);
-  void Forget(const RequestId& request, ArrivalId arrival, bool failed);
-  AgentWork* Find(const RequestId& request);
-  AgentAnswer* AnswerOf(const AgentWork& work);
-  [[nodiscard]] FrameHead HeadFor(const AgentWork& work) const;
-  [[nodiscard]] std::string StartSpan(AgentWork& work);
+  void RemoveRequest(const RequestId& request, ArrivalId arrival, bool failed);
+  AgentWork* FindRequest(const RequestId& request);
+  AgentAnswer* FindAnswer(const AgentWork& dispatched);
+  [[nodiscard]] FrameHead MakeFrameHead(const AgentWork& dispatched) const;
+  [[nodiscard]] std::string StartSpan(AgentWork& dispatched);
   void PollLoad();
   void KeepAnswersAlive();
   void Tick();
@@ -86,19 +86,19 @@
   Tracer* tracer_;
   AgentSettings settings_;
   Incarnation incarnation_;
-  Sequence orders_ = 0;
+  Sequence control_sequence_ = 0;
   EngineClient engine_;
   AgentMetrics metrics_;
-  BackendScheduler gate_;
+  BackendScheduler scheduler_;
   bool leaving_ = false;
-  std::set<NodeId> entries_;  // by the last snapshot
+  std::set<NodeId> entries_;  // in the last snapshot
   std::function<void()> drained_;
   ArrivalId last_arrival_ = 0;
   std::unordered_map<ArrivalId, AgentAnswer> answers_;
-  std::unordered_map<ArrivalId, RequestId> requests_;  // of the answers
-  std::unordered_map<RequestId, AgentWork> works_;
-  std::optional<Result<RequestState>> order_answer_;
-  std::shared_ptr<StopClock> stop_clock_;  // of the step being carried out
+  std::unordered_map<ArrivalId, RequestId> request_by_arrival_;  // same keys as answers_
+  std::unordered_map<RequestId, AgentWork> active_requests_;
+  std::optional<Result<RequestState>> command_reply_;
+  std::shared_ptr<StopClock> batch_stop_timer_;  // set while OnDispatch() executes actions
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
   Timer tick_timer_, load_timer_, keep_alive_timer_;
 };
--- a/src/figmilld/agent/agent_metrics.cc
+++ b/src/figmilld/agent/agent_metrics.cc
@@ -13,18 +13,19 @@
     : metrics_(metrics),
       stop_seconds_(metrics.distribution("figmill_agent_batch_stop_seconds",
                                          "Online arrival to batch stopped at the backend server")),
-      kept_(metrics.counter("figmill_agent_batch_tokens_kept_total",
-                            "Tokens of stopped batch streams that went on from their KV cache")),
-      rerun_(metrics.counter("figmill_agent_batch_tokens_rerun_total",
-                             "Tokens of stopped batch streams that were generated again")),
+      tokens_kept_(
+          metrics.counter("figmill_agent_batch_tokens_kept_total",
+                          "Tokens of stopped batch streams that went on from their KV cache")),
+      tokens_rerun_(metrics.counter("figmill_agent_batch_tokens_rerun_total",
+                                    "Tokens of stopped batch streams that were generated again")),
       online_tokens_(
           metrics.counter("figmill_agent_tokens_total", "Tokens generated", "class=\"online\"")),
       batch_tokens_(
           metrics.counter("figmill_agent_tokens_total", "Tokens generated", "class=\"batch\"")),
-      stops_(metrics.counter("figmill_agent_batch_stops_total",
-                             "Batch streams stopped to make room for online")) {}
+      batch_stops_(metrics.counter("figmill_agent_batch_stops_total",
+                                   "Batch streams stopped to make room for online")) {}
 
-void AgentMetrics::Set(const SchedulerStats& counts) {
+void AgentMetrics::Update(const SchedulerStats& counts) {
   const auto set = [&](std::string_view name, std::string_view help, std::string_view labels,
                        double value) { metrics_.gauge(name, help, labels).Set(value); };
   constexpr std::string_view kRunning = "figmill_agent_running";
@@ -39,8 +40,8 @@
   set(kLimit, "Streams that may run", "class=\"batch\"", counts.batch_limit);
   set("figmill_agent_token_gap_seconds", "Token gap predicted at the present concurrency", "",
       Seconds(counts.predicted_token_gap));
-  stops_.Add(counts.batch_stops - stops_told_);
-  stops_told_ = counts.batch_stops;
+  batch_stops_.Add(counts.batch_stops - reported_stops_);
+  reported_stops_ = counts.batch_stops;
 }
 
 void AgentMetrics::CountRefusal(const Error& error, WorkClass work_class) {
@@ -52,11 +53,11 @@
       .Add();
 }
 
-void AgentMetrics::BatchStopped(Duration time) {
+void AgentMetrics::RecordBatchStop(Duration time) {
   stop_seconds_.Add(Seconds(time));
 }
 
-void AgentMetrics::Tokens(WorkClass work_class, std::uint64_t tokens) {
+void AgentMetrics::CountTokens(WorkClass work_class, std::uint64_t tokens) {
   (work_class == WorkClass::kOnline ? online_tokens_ : batch_tokens_).Add(tokens);
 }
 
--- a/src/figmilld/agent/agent_metrics.h
+++ b/src/figmilld/agent/agent_metrics.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// What an agent counts of its own work (docs/operations/overload.md).
+// Metrics of an agent (docs/operations/overload.md).
 
 #include <memory>
 
@@ -9,32 +9,32 @@
 
 namespace figmill {
 
-// From an online arrival to the last confirmation that a batch stream which it
-// displaced has stopped.
+// Measures the time from an online arrival until the backend server has confirmed the stop
+// of the last batch stream that the arrival preempted.
 struct StopClock {
-  Time arrived;
-  int left = 0;
+  Time arrival_time;
+  int pending_stops = 0;
 };
 
 class AgentMetrics {
  public:
   explicit AgentMetrics(Metrics& metrics);
-  void Set(const SchedulerStats& counts);
+  void Update(const SchedulerStats& counts);
   void CountRefusal(const Error& error, WorkClass work_class);
-  void BatchStopped(Duration time);
-  void TokensKept(std::uint64_t tokens) { kept_.Add(tokens); }
-  void TokensRerun(std::uint64_t tokens) { rerun_.Add(tokens); }
-  void Tokens(WorkClass work_class, std::uint64_t tokens);
+  void RecordBatchStop(Duration time);
+  void CountTokensKept(std::uint64_t tokens) { tokens_kept_.Add(tokens); }
+  void CountTokensRerun(std::uint64_t tokens) { tokens_rerun_.Add(tokens); }
+  void CountTokens(WorkClass work_class, std::uint64_t tokens);
 
  private:
   Metrics& metrics_;
   Distribution& stop_seconds_;
-  Counter& kept_;
-  Counter& rerun_;
+  Counter& tokens_kept_;
+  Counter& tokens_rerun_;
   Counter& online_tokens_;
   Counter& batch_tokens_;
-  Counter& stops_;
-  std::uint64_t stops_told_ = 0;
+  Counter& batch_stops_;
+  std::uint64_t reported_stops_ = 0;
 };
 
 }  // namespace figmill
--- a/src/figmilld/agent/agent_orders.cc
+++ b/src/figmilld/agent/agent_orders.cc
@@ -7,7 +7,7 @@
 
 using Json = nlohmann::json;
 
-std::string_view NameOf(RequestState state) {
+std::string_view StateName(RequestState state) {
   switch (state) {
     case RequestState::kNeverStarted:
       return "never-started";
@@ -19,24 +19,24 @@
   return "finished";
 }
 
-Result<std::string> Told(const Result<RequestState>& state) {
+Result<std::string> ToJsonReply(const Result<RequestState>& state) {
   if (!IsOk(state)) return ErrorOf(state);
-  return Json{{"state", NameOf(ValueOf(state))}}.dump();
+  return Json{{"state", StateName(ValueOf(state))}}.dump();
 }
 
-// Binds a method whose parameters `act` reads from JSON.
-template <typename Act>
-void Bind(RpcServer& server, std::string name, Act act) {
-  server.Bind(std::move(name), [act](std::string_view params) -> Result<std::string> {
+// Binds a method whose JSON parameters are passed to `handler`; malformed ones are a bad request.
+template <typename Handler>
+void Bind(RpcServer& server, std::string name, Handler handler) {
+  server.Bind(std::move(name), [handler](std::string_view params) -> Result<std::string> {
     try {
-      return act(Json::parse(params));
+      return handler(Json::parse(params));
     } catch (const Json::exception& failure) {
       return Error{ErrorKind::kBadRequest, failure.what()};
     }
   });
 }
 
-RequestId RequestOf(const Json& params) {
+RequestId ReadRequestId(const Json& params) {
   return RequestId{params.at("request").get<std::string>()};
 }
 
@@ -49,10 +49,11 @@
       age = std::chrono::milliseconds(params.at("age_ms").get<std::uint32_t>());
     }
     const auto incarnation = params.at("incarnation").get<Incarnation>();
-    return Told(gate.RevokeRequest(RequestOf(params), incarnation, age));
+    return ToJsonReply(gate.RevokeRequest(ReadRequestId(params), incarnation, age));
+  });
+  Bind(server, "cancel", [&gate](const Json& params) {
+    return ToJsonReply(gate.CancelRequest(ReadRequestId(params)));
   });
-  Bind(server, "cancel",
-       [&gate](const Json& params) { return Told(gate.CancelRequest(RequestOf(params))); });
   Bind(server, "supersede", [&gate](const Json& params) -> Result<std::string> {
     gate.SupersedeJob(JobId{params.at("job").get<std::string>()}, params.at("epoch").get<Epoch>());
     return std::string("{}");
--- a/src/figmilld/agent/agent_work.cc
+++ b/src/figmilld/agent/agent_work.cc
@@ -9,7 +9,7 @@
 
 using Json = nlohmann::json;
 
-// Bytes of a JSON body for each token of its prompt, roughly.
+// Estimated bytes of a JSON body for each token of its prompt.
 constexpr std::size_t kBytesPerToken = 6;
 
 std::uint32_t MaxTokens(const Json& body) {
@@ -20,8 +20,8 @@
   return 0;
 }
 
-// "job/index"; a key without an index names no job.
-JobId JobOf(const ItemKey& item) {
+// Item keys are "job/index"; for a key without an index, returns the whole key.
+JobId JobIdOf(const ItemKey& item) {
   const std::size_t slash = item.value.rfind('/');
   return JobId{slash == std::string::npos ? item.value : item.value.substr(0, slash)};
 }
@@ -43,7 +43,7 @@
       body_ = json.dump(-1, ' ', false, Json::error_handler_t::replace);
     }
   }
-  // Who holds some tokens already holds a stream.
+  // A sender that has received some tokens has been receiving a stream.
   wants_stream_ = wants_stream_ || headers_.resume_from.value_or(0) > 0;
 }
 
@@ -61,12 +61,12 @@
   dispatch.resume_from = headers_.resume_from;
   if (headers_.stamp) dispatch.stamp = Time(Duration(*headers_.stamp));
   dispatch.owner = headers_.owner;
-  dispatch.job = JobOf(headers_.item);
+  dispatch.job = JobIdOf(headers_.item);
   dispatch.epoch = headers_.epoch;
   return dispatch;
 }
 
-BackendRequest AgentWork::ToBackend(const std::string& traceparent) const {
+BackendRequest AgentWork::ToBackendRequest(const std::string& traceparent) const {
   BackendRequest request;
   request.request = headers_.request;
   request.method = headers_.method;
@@ -81,33 +81,33 @@
 
 void AgentWork::ResetAnswer() {
   tokens_ = headers_.resume_from.value_or(0);
-  held_.clear();
+  buffered_.clear();
   assembler_ = {};
   last_events_.clear();
 }
 
-bool AgentWork::IsEvents() const {
-  return head.content_type.starts_with("text/event-stream");
+bool AgentWork::IsEventStream() const {
+  return answer_head.content_type.starts_with("text/event-stream");
 }
 
-std::string AgentWork::Take(const AnswerBytes& bytes, std::uint32_t& tokens) {
-  tokens = IsEvents() ? CountEvents(bytes.bytes) : 0;
+std::string AgentWork::AddAnswerBytes(const AnswerBytes& bytes, std::uint32_t& tokens) {
+  tokens = IsEventStream() ? CountEvents(bytes.bytes) : 0;
   tokens_ += tokens;
-  if (IsEvents()) last_events_ = bytes.bytes;
-  if (IsAssembled()) {
+  if (IsEventStream()) last_events_ = bytes.bytes;
+  if (NeedsAssembly()) {
     assembler_.Add(bytes.bytes);
     return {};
   }
-  const bool at_once = headers_.work == WorkClass::kOnline && kind_ == BackendKind::kModel;
-  if (at_once) return bytes.bytes;
-  held_ += bytes.bytes;
+  const bool send_now = headers_.work == WorkClass::kOnline && kind_ == BackendKind::kModel;
+  if (send_now) return bytes.bytes;
+  buffered_ += bytes.bytes;
   return {};
 }
 
-std::string AgentWork::Rest() {
-  if (IsAssembled()) return assembler_.Whole();
-  std::string rest = std::move(held_);
-  if (IsEvents()) rest += kDoneEvent;
+std::string AgentWork::TakeRemaining() {
+  if (NeedsAssembly()) return assembler_.Whole();
+  std::string rest = std::move(buffered_);
+  if (IsEventStream()) rest += kDoneEvent;
   return rest;
 }
 
@@ -118,7 +118,7 @@
 }
 
 std::string AgentWork::content_type() const {
-  return IsAssembled() ? "application/json" : head.content_type;
+  return NeedsAssembly() ? "application/json" : answer_head.content_type;
 }
 
 }  // namespace figmill
--- a/src/figmilld/agent/agent_work.h
+++ b/src/figmilld/agent/agent_work.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// One request that an agent holds: what to call the backend server with, and
-// what has come back so far.
+// One dispatched request in an agent: the parameters of its backend call, and the answer
+// received so far.
 
 #include <optional>
 #include <string>
@@ -19,35 +19,35 @@
  public:
   AgentWork(DispatchHeaders headers, std::string body, BackendKind kind);
 
-  // For the gate.
+  // The dispatch as the scheduler takes it.
   [[nodiscard]] Dispatch ToDispatch() const;
-  // A model engine is always asked for a stream: tokens can be counted then, and
-  // taken up after a break.
-  [[nodiscard]] BackendRequest ToBackend(const std::string& traceparent) const;
+  // A model engine is always asked for a stream, so that tokens can be counted and the
+  // stream can be resumed after an interruption.
+  [[nodiscard]] BackendRequest ToBackendRequest(const std::string& traceparent) const;
 
   void ResetAnswer();
-  // Takes in part of the answer; returns what may go on to the sender now, and
-  // counts its tokens.
-  [[nodiscard]] std::string Take(const AnswerBytes& bytes, std::uint32_t& tokens);
-  // What is left to send when the answer is whole.
-  [[nodiscard]] std::string Rest();
+  // Adds a part of the answer and sets `tokens` to the number of its tokens. Returns the
+  // bytes that may be sent to the sender now.
+  [[nodiscard]] std::string AddAnswerBytes(const AnswerBytes& bytes, std::uint32_t& tokens);
+  // Returns the bytes still to be sent once the answer is complete.
+  [[nodiscard]] std::string TakeRemaining();
 
   [[nodiscard]] const DispatchHeaders& headers() const { return headers_; }
   [[nodiscard]] std::uint64_t tokens() const { return tokens_; }
   [[nodiscard]] TokenUsage usage() const;
   [[nodiscard]] std::string content_type() const;
 
-  ArrivalId arrival = 0;  // 0: nobody waits
-  AnswerHead head;
-  CancelCall call;  // of the backend server, while one runs
-  std::string kv;   // exported, while it waits to go on
+  ArrivalId arrival = 0;  // 0: no sender is connected
+  AnswerHead answer_head;
+  CancelCall cancel_call;   // cancels the backend call, while one runs
+  std::string exported_kv;  // exported KV cache, while the stream is paused
   bool paused = false;
   std::optional<Span> span;
 
  private:
-  [[nodiscard]] bool IsEvents() const;
-  // One JSON answer is made of the events, as the sender asked for no stream.
-  [[nodiscard]] bool IsAssembled() const { return IsEvents() && !wants_stream_; }
+  [[nodiscard]] bool IsEventStream() const;
+  // The events are assembled into one JSON answer, as the sender asked for no stream.
+  [[nodiscard]] bool NeedsAssembly() const { return IsEventStream() && !wants_stream_; }
 
   DispatchHeaders headers_;
   BackendKind kind_;
@@ -55,9 +55,9 @@
   bool wants_stream_ = false;
   std::uint32_t max_tokens_ = 0;
   std::uint64_t tokens_ = 0;
-  // Batch is sent when whole, so that it can be run again; a plain service's
-  // answer, so that another sender can take it up.
-  std::string held_;
+  // The answer of a batch item is sent when complete, so that the item can be run again; that
+  // of a plain service, so that another sender can reattach to it.
+  std::string buffered_;
   AnswerAssembler assembler_;
   std::string last_events_;
 };
--- a/src/figmilld/agent/engine_client.cc
+++ b/src/figmilld/agent/engine_client.cc
@@ -12,16 +12,16 @@
 
 using Json = nlohmann::json;
 
-// Longer than any pause between two tokens of an engine that works.
-constexpr Duration kLongestSilence{30'000'000};
+// Longer than any pause between two tokens of a healthy engine.
+constexpr Duration kIdleTimeout{30'000'000};
 constexpr Duration kControlTimeout{2'000'000};
-// Loading weights takes its time.
+// Long, as an order may load model weights.
 constexpr Duration kOrderTimeout{600'000'000};
-constexpr int kConflict = 409;         // the engine: the stream was cancelled
-constexpr int kTooManyRequests = 429;  // the engine: its queue is full, nothing was started
+constexpr int kConflict = 409;         // the stream was cancelled
+constexpr int kTooManyRequests = 429;  // the engine's queue is full; nothing was started
 constexpr std::string_view kEventStream = "text/event-stream";
 
-std::string_view HeaderOf(const HttpHead& head, std::string_view name) {
+std::string_view FindHeader(const HttpHead& head, std::string_view name) {
   const auto same = [](char x, char y) { return std::tolower(x) == std::tolower(y); };
   for (const Header& header : head.headers) {
     if (std::equal(header.name.begin(), header.name.end(), name.begin(), name.end(), same)) {
@@ -31,30 +31,31 @@
   return {};
 }
 
-// One answer on its way in.
-struct Incoming {
+// State of one answer while it is received.
+struct IncomingAnswer {
   RequestId request;
   BackendKind kind = BackendKind::kModel;
   std::function<void(AnswerEvent)> on_event;
   CancelCall cancel;
   AnswerHead head;
   bool events = false;
-  bool held = false;  // a model engine's refusal, read to its end first
-  std::string refusal;
+  bool buffered = false;  // a model engine's response other than events is read to its end first
+  std::string buffered_body;
   SseCutter cutter;
-  bool over = false;
+  bool finished = false;
 };
 
-void Finish(Incoming& incoming, AnswerEvent last) {
-  if (std::exchange(incoming.over, true)) return;
+void Finish(IncomingAnswer& incoming, AnswerEvent last) {
+  if (std::exchange(incoming.finished, true)) return;
   if (incoming.cancel) incoming.cancel();
   incoming.on_event(std::move(last));
 }
 
-// What an engine's refusal means. Only what says so plainly counts as not run.
-Error RefusalOf(int status, std::string_view body) {
+// Maps an engine's error response to an error. Only a response that says explicitly that
+// the request didn't run counts as not run.
+Error ErrorFromResponse(int status, std::string_view body) {
   if (status == kTooManyRequests) {
-    return Error{ErrorKind::kOverloaded, "the backend server takes no more", Ran::kNo};
+    return Error{ErrorKind::kOverloaded, "the backend server's queue is full", Ran::kNo};
   }
   if (status == kConflict) {
     return Error{ErrorKind::kNotFound, "the stream was cancelled", Ran::kUnknown};
@@ -65,44 +66,45 @@
                Ran::kUnknown};
 }
 
-// A caller's mistake is the engine's answer; the rest is a failure.
-bool IsAnswer(int status) {
+// Client errors except 409 and 429 are passed on as the engine's answer; other errors are
+// failures of the call.
+bool IsForwardedStatus(int status) {
   return status < 500 && status != kTooManyRequests && status != kConflict;
 }
 
-// A model engine checks a request before it begins with it.
-bool IsCheckedBefore(int status) {
+// Statuses with which a model engine rejects a request when it validates it, before it runs.
+bool IsValidationStatus(int status) {
   constexpr std::array<int, 4> kStatuses = {400, 404, 413, 422};
   return std::find(kStatuses.begin(), kStatuses.end(), status) != kStatuses.end();
 }
 
-// The engine's words with what figmill's own refusals say: passed on as they are, they would
-// leave the caller in doubt whether its work ran.
-std::string RefusalWithRan(std::string_view body) {
-  Json refusal = Json::parse(body, nullptr, false);
-  if (!refusal.is_object()) refusal = {{"error", {{"message", std::string(body)}}}};
-  refusal["ran"] = std::string(ToString(Ran::kNo));
-  return refusal.dump(-1, ' ', false, Json::error_handler_t::replace);
+// The engine's error body with the "ran" field that figmill's own errors have: without it
+// the caller couldn't tell whether its request ran.
+std::string AddNotRun(std::string_view body) {
+  Json error_body = Json::parse(body, nullptr, false);
+  if (!error_body.is_object()) error_body = {{"error", {{"message", std::string(body)}}}};
+  error_body["ran"] = std::string(ToString(Ran::kNo));
+  return error_body.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
-void OnHead(Incoming& incoming, const HttpHead& head) {
-  // What goes wrong: the backend server crosses two answers. The id that it
-  // names shows it, and the right answer is asked for by the request's own id.
-  const std::string_view named = HeaderOf(head, "X-Request-Id");
-  if (!named.empty() && named != incoming.request.value) {
+void OnHead(IncomingAnswer& incoming, const HttpHead& head) {
+  // A faulty backend server can swap two answers. The request id in the response reveals it,
+  // and the right answer is then requested by the request's own id.
+  const std::string_view answered_id = FindHeader(head, "X-Request-Id");
+  if (!answered_id.empty() && answered_id != incoming.request.value) {
     Finish(incoming, AnswerFailed{Error{ErrorKind::kBrokenAnswer,
                                         "the answer names another request", Ran::kUnknown}});
     return;
   }
-  incoming.head = {head.status, std::string(HeaderOf(head, "Content-Type"))};
+  incoming.head = {head.status, std::string(FindHeader(head, "Content-Type"))};
   incoming.events = incoming.head.content_type.starts_with(kEventStream);
-  incoming.held = incoming.kind == BackendKind::kModel && !incoming.events;
-  if (!incoming.held) incoming.on_event(incoming.head);
+  incoming.buffered = incoming.kind == BackendKind::kModel && !incoming.events;
+  if (!incoming.buffered) incoming.on_event(incoming.head);
 }
 
-void OnBytes(Incoming& incoming, std::string_view bytes) {
-  if (incoming.held) {
-    incoming.refusal.append(bytes);
+void OnBytes(IncomingAnswer& incoming, std::string_view bytes) {
+  if (incoming.buffered) {
+    incoming.buffered_body.append(bytes);
     return;
   }
   if (!incoming.events) {
@@ -114,38 +116,40 @@
   if (incoming.cutter.done()) Finish(incoming, AnswerEnd{});
 }
 
-void OnEnd(Incoming& incoming) {
-  if (incoming.over) return;
+void OnEnd(IncomingAnswer& incoming) {
+  if (incoming.finished) return;
   if (incoming.events) {
     Finish(incoming, AnswerFailed{Error{ErrorKind::kBrokenAnswer,
-                                        "the stream ended without its marker", Ran::kYes}});
+                                        "the stream ended without its end marker", Ran::kYes}});
     return;
   }
-  if (!incoming.held) return Finish(incoming, AnswerEnd{});
-  if (!IsAnswer(incoming.head.status)) {
-    return Finish(incoming, AnswerFailed{RefusalOf(incoming.head.status, incoming.refusal)});
+  if (!incoming.buffered) return Finish(incoming, AnswerEnd{});
+  if (!IsForwardedStatus(incoming.head.status)) {
+    return Finish(incoming,
+                  AnswerFailed{ErrorFromResponse(incoming.head.status, incoming.buffered_body)});
   }
-  if (IsCheckedBefore(incoming.head.status)) {
-    incoming.refusal = RefusalWithRan(incoming.refusal);
+  if (IsValidationStatus(incoming.head.status)) {
+    incoming.buffered_body = AddNotRun(incoming.buffered_body);
     incoming.head.content_type = "application/json";
   }
   incoming.on_event(incoming.head);
-  incoming.on_event(AnswerBytes{std::move(incoming.refusal)});
+  incoming.on_event(AnswerBytes{std::move(incoming.buffered_body)});
   Finish(incoming, AnswerEnd{});
 }
 
-void OnFailure(Incoming& incoming, const HttpFailure& failure) {
+void OnFailure(IncomingAnswer& incoming, const HttpFailure& failure) {
   Finish(incoming,
          AnswerFailed{failure.sent ? Error{ErrorKind::kBrokenAnswer, failure.why, Ran::kUnknown}
                                    : Error{ErrorKind::kBackendFailed, failure.why, Ran::kNo}});
 }
 
-// Resuming: the engine doesn't have the stream.
-void MarkGone(AnswerEvent& event) {
+// Sets `ran` to unknown in a failure of a resume call, which says whether the resume call
+// ran, not whether the request did.
+void MarkRunUnknown(AnswerEvent& event) {
   auto* failed = std::get_if<AnswerFailed>(&event);
   if (failed != nullptr && failed->error.kind != ErrorKind::kBrokenAnswer &&
       failed->error.kind != ErrorKind::kNotFound) {
-    failed->error.ran = Ran::kUnknown;  // of the resume, not of the run
+    failed->error.ran = Ran::kUnknown;  // the error's value is that of the resume call
   }
 }
 
@@ -154,7 +158,7 @@
 EngineClient::EngineClient(HttpClient& client, const Address& backend, BackendKind kind)
     : client_(client), backend_(backend), kind_(kind) {}
 
-HttpCall EngineClient::CallTo(std::string method, std::string target) const {
+HttpCall EngineClient::MakeCall(std::string method, std::string target) const {
   HttpCall call;
   call.method = std::move(method);
   call.to = backend_;
@@ -162,15 +166,15 @@
   return call;
 }
 
-CancelCall EngineClient::StartAnswer(HttpCall call, RequestId request,
-                                     std::function<void(AnswerEvent)> on_event) {
-  auto incoming = std::make_shared<Incoming>();
+CancelCall EngineClient::StartCall(HttpCall call, RequestId request,
+                                   std::function<void(AnswerEvent)> on_event) {
+  auto incoming = std::make_shared<IncomingAnswer>();
   incoming->request = std::move(request);
   incoming->kind = kind_;
   incoming->on_event = std::move(on_event);
-  call.idle_timeout = kLongestSilence;
+  call.idle_timeout = kIdleTimeout;
   incoming->cancel = client_.Start(std::move(call), [incoming](HttpEvent event) {
-    if (incoming->over) return;
+    if (incoming->finished) return;
     std::visit(Overloaded{
                    [&](const HttpHead& head) { OnHead(*incoming, head); },
                    [&](const HttpBytes& bytes) { OnBytes(*incoming, bytes.bytes); },
@@ -180,38 +184,38 @@
                event);
   });
   return [incoming] {
-    incoming->over = true;
+    incoming->finished = true;
     incoming->cancel();
   };
 }
 
 CancelCall EngineClient::Call(BackendRequest request, std::function<void(AnswerEvent)> on_event) {
-  HttpCall call = CallTo(std::move(request.method), std::move(request.path));
+  HttpCall call = MakeCall(std::move(request.method), std::move(request.path));
   call.headers = {{"Content-Type", std::move(request.content_type)},
                   {"X-Request-Id", request.request.value},
                   {"X-Repeatable", request.repeatable ? "true" : "false"}};
   for (auto& [name, value] : request.headers) call.headers.push_back({name, value});
   call.body = std::move(request.body);
   call.fresh_connection = !request.repeatable;
-  return StartAnswer(std::move(call), std::move(request.request), std::move(on_event));
+  return StartCall(std::move(call), std::move(request.request), std::move(on_event));
 }
 
 CancelCall EngineClient::Resume(RequestId request, std::uint64_t from_token,
                                 std::function<void(AnswerEvent)> on_event) {
   HttpCall call =
-      CallTo("GET", "/engine/streams/" + request.value + "?from=" + std::to_string(from_token));
-  return StartAnswer(
+      MakeCall("GET", "/engine/streams/" + request.value + "?from=" + std::to_string(from_token));
+  return StartCall(
       std::move(call), std::move(request),
-      [on_event = std::move(on_event), gone = false](AnswerEvent event) mutable {
-        MarkGone(event);
+      [on_event = std::move(on_event), not_found = false](AnswerEvent event) mutable {
+        MarkRunUnknown(event);
         if (const auto* head = std::get_if<AnswerHead>(&event)) {
-          gone = head->status >= 400;
-          if (gone) {
+          not_found = head->status >= 400;
+          if (not_found) {
             on_event(AnswerFailed{
-                Error{ErrorKind::kNotFound, "the engine holds no such stream", Ran::kUnknown}});
+                Error{ErrorKind::kNotFound, "the engine has no such stream", Ran::kUnknown}});
           }
         }
-        if (!gone) on_event(std::move(event));
+        if (!not_found) on_event(std::move(event));
       });
 }
 
@@ -226,7 +230,7 @@
 }
 
 void EngineClient::Cancel(RequestId request, std::function<void(Result<Ok>)> done) {
-  FetchBody(CallTo("DELETE", "/engine/streams/" + request.value),
+  FetchBody(MakeCall("DELETE", "/engine/streams/" + request.value),
             [done = std::move(done)](const Result<std::string>& body) {
               if (!IsOk(body)) return done(ErrorOf(body));
               done(Ok{});
@@ -234,7 +238,7 @@
 }
 
 void EngineClient::Order(EngineOrder order, std::function<void(Result<Ok>)> done) {
-  HttpCall call = CallTo("POST", "/engine/orders");
+  HttpCall call = MakeCall("POST", "/engine/orders");
   call.headers = {{"Content-Type", "application/json"}};
   call.body = Json{{"kind", order.kind},
                    {"subject", order.subject},
@@ -249,7 +253,7 @@
 }
 
 void EngineClient::State(std::function<void(Result<EngineState>)> done) {
-  FetchBody(CallTo("GET", "/engine/state"),
+  FetchBody(MakeCall("GET", "/engine/state"),
             [done = std::move(done)](const Result<std::string>& body) {
               if (!IsOk(body)) return done(ErrorOf(body));
               try {
@@ -267,7 +271,7 @@
 }
 
 void EngineClient::Load(std::function<void(Result<EngineLoad>)> done) {
-  FetchBody(CallTo("GET", "/engine/load"),
+  FetchBody(MakeCall("GET", "/engine/load"),
             [done = std::move(done)](const Result<std::string>& body) {
               if (!IsOk(body)) return done(ErrorOf(body));
               try {
@@ -284,12 +288,12 @@
 }
 
 void EngineClient::Export(const RequestId& request, std::function<void(Result<std::string>)> done) {
-  FetchBody(CallTo("GET", "/engine/kv/" + request.value), std::move(done));
+  FetchBody(MakeCall("GET", "/engine/kv/" + request.value), std::move(done));
 }
 
 void EngineClient::Import(const RequestId& request, std::string exported,
                           std::function<void(Result<Ok>)> done) {
-  HttpCall call = CallTo("PUT", "/engine/kv/" + request.value);
+  HttpCall call = MakeCall("PUT", "/engine/kv/" + request.value);
   call.headers = {{"Content-Type", "application/json"}};
   call.body = std::move(exported);
   FetchBody(std::move(call), [done = std::move(done)](const Result<std::string>& body) {
--- a/src/figmilld/agent/engine_client.h
+++ b/src/figmilld/agent/engine_client.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// Calls to the backend server beside an agent, over HTTP. A model engine's
-// event streams come in whole events, and end only by the engine's own marker;
-// an answer that names another request is broken, whatever it holds.
+// HTTP client for the backend server next to an agent. Event streams of a model engine are
+// delivered in whole events, and are complete only with the engine's end marker. An answer
+// that names another request fails with kBrokenAnswer, whatever its content.
 
 #include <functional>
 #include <string>
@@ -25,16 +25,15 @@
   void State(std::function<void(Result<EngineState>)> done) override;
   void Load(std::function<void(Result<EngineLoad>)> done) override;
 
-  // A running stream with its KV cache, and back: it goes on at its token
-  // without reading its prompt again. Errors: kNotFound, kBackendFailed.
+  // Exports a running stream with its KV cache, and imports it: the stream continues at its
+  // token without prefilling its prompt again. Errors: kNotFound, kBackendFailed.
   void Export(const RequestId& request, std::function<void(Result<std::string>)> done);
   void Import(const RequestId& request, std::string exported, std::function<void(Result<Ok>)> done);
 
  private:
-  [[nodiscard]] HttpCall CallTo(std::string method, std::string target) const;
-  CancelCall StartAnswer(HttpCall call, RequestId request,
-                         std::function<void(AnswerEvent)> on_event);
-  // Errors: the problem document's, or kBackendFailed.
+  [[nodiscard]] HttpCall MakeCall(std::string method, std::string target) const;
+  CancelCall StartCall(HttpCall call, RequestId request, std::function<void(AnswerEvent)> on_event);
+  // Errors: that of the problem document in the response, or kBackendFailed.
   void FetchBody(HttpCall call, std::function<void(Result<std::string>)> done);
 
   HttpClient& client_;
--- a/src/figmilld/agent/once_agent.cc
+++ b/src/figmilld/agent/once_agent.cc
@@ -10,10 +10,10 @@
 constexpr Duration kStampTimeout{1'000'000};
 constexpr Duration kRevokeTimeout{2'000'000};
 
-RevokeState ReadState(const Result<std::string>& answer) {
+RevokeState ParseRevokeReply(const Result<std::string>& answer) {
   if (!IsOk(answer)) {
-    // An agent that answers and still can't promise (another incarnation, or a
-    // request too old for its records) can't tell; one that doesn't may yet.
+    // An agent that answers with an error (another incarnation, or a request too old for its
+    // records) will never know the state; one that can't be reached may still know it.
     const Error& error = ErrorOf(answer);
     return error.kind == ErrorKind::kBackendFailed ? RevokeState::kUnreachable
                                                    : RevokeState::kOtherIncarnation;
@@ -27,32 +27,32 @@
 }
 
 // Collects a stream that is read again from its start.
-struct Reading {
+struct StreamCollector {
   std::function<void(OnceAgent::Resumed)> done;
   int status = 0;
   std::string content_type;
   std::string body;
 };
 
-void Read(Reading& reading, DispatchEvent event) {
-  const auto refused = [&](const Error& error) {
+void OnDispatchEvent(StreamCollector& collector, DispatchEvent event) {
+  const auto fail = [&](const Error& error) {
     const bool gone = error.kind == ErrorKind::kNotFound;
-    reading.done(gone ? OnceAgent::Resumed{once::StreamNotFound{}}
-                      : OnceAgent::Resumed{once::ResumeFailed{}});
+    collector.done(gone ? OnceAgent::Resumed{once::StreamNotFound{}}
+                        : OnceAgent::Resumed{once::ResumeFailed{}});
   };
   std::visit(Overloaded{
                  [&](FrameHead& head) {
-                   reading.status = head.status;
-                   reading.content_type = head.content_type;
+                   collector.status = head.status;
+                   collector.content_type = head.content_type;
                  },
-                 [&](FrameData& data) { reading.body += data.bytes; },
+                 [&](FrameData& data) { collector.body += data.bytes; },
                  [&](FrameEnd&) {
-                   reading.done(OutcomeOf(reading.status, std::move(reading.content_type),
-                                          std::move(reading.body)));
+                   collector.done(OutcomeOf(collector.status, std::move(collector.content_type),
+                                            std::move(collector.body)));
                  },
-                 [&](FrameFailure& failure) { refused(failure.error); },
-                 [&](DispatchRefused& refusal) { refused(refusal.error); },
-                 [&](DispatchBroke&) { reading.done(once::ResumeFailed{}); },
+                 [&](FrameFailure& failure) { fail(failure.error); },
+                 [&](DispatchRefused& refusal) { fail(refusal.error); },
+                 [&](DispatchBroke&) { collector.done(once::ResumeFailed{}); },
              },
              event);
 }
@@ -75,8 +75,8 @@
   client_.Fetch(std::move(call), [done = std::move(done)](const Result<HttpResponse>& answer) {
     if (!IsOk(answer) || ValueOf(answer).status != 200) return done(std::nullopt);
     const auto json = nlohmann::json::parse(ValueOf(answer).body, nullptr, false);
-    const bool told = json.is_object() && json.contains("stamp");
-    if (!told || !json["stamp"].is_number()) return done(std::nullopt);
+    const bool has_stamp = json.is_object() && json.contains("stamp");
+    if (!has_stamp || !json["stamp"].is_number()) return done(std::nullopt);
     done(json["stamp"].get<std::int64_t>());
   });
 }
@@ -84,18 +84,18 @@
 void OnceAgent::Revoke(const once::Revoke& order, std::function<void(RevokeState)> done) {
   const std::optional<Member> agent = view_.agent(order.agent.node);
   if (!agent) return done(RevokeState::kUnreachable);
-  // Its successor in the slot has no records of it.
+  // A later process in the same slot has no records of the request.
   if (agent->incarnation > order.agent.incarnation) return done(RevokeState::kOtherIncarnation);
   ReadStamp(agent->http, [this, at = agent->http, order,
                           done = std::move(done)](std::optional<std::int64_t> now) {
     if (!now) return done(RevokeState::kUnreachable);
-    RevokeAged(at, order, *now, done);
+    SendRevoke(at, order, *now, done);
   });
 }
 
-// The dispatch can't be older than its stamp. Without an age that the agent's
-// records reach back to, it promises nothing, for it may have forgotten the run.
-void OnceAgent::RevokeAged(const Address& agent, const once::Revoke& order, std::int64_t stamp_now,
+// The dispatch can't be older than its stamp. Without an age, or with one beyond the agent's
+// record retention, the agent makes no promise, as it may have dropped the record of a run.
+void OnceAgent::SendRevoke(const Address& agent, const once::Revoke& order, std::int64_t stamp_now,
                            std::function<void(RevokeState)> done) {
   nlohmann::json params = {{"request", order.request.value},
                            {"incarnation", order.agent.incarnation}};
@@ -104,7 +104,9 @@
     params["age_ms"] = std::chrono::ceil<std::chrono::milliseconds>(age).count();
   }
   CallRpc(client_, agent, "revoke", params.dump(), kRevokeTimeout,
-          [done = std::move(done)](const Result<std::string>& answer) { done(ReadState(answer)); });
+          [done = std::move(done)](const Result<std::string>& answer) {
+            done(ParseRevokeReply(answer));
+          });
 }
 
 void OnceAgent::Resume(const once::Resume& order, const ItemKey& item, bool repeatable,
@@ -117,10 +119,10 @@
   dispatch.item = item;
   dispatch.repeatable = repeatable;
   dispatch.resume_from = 0;
-  auto reading = std::make_shared<Reading>();
-  reading->done = std::move(done);
+  auto collector = std::make_shared<StreamCollector>();
+  collector->done = std::move(done);
   SendDispatch(client_, agent->http, dispatch, "",
-               [reading](DispatchEvent event) { Read(*reading, std::move(event)); });
+               [collector](DispatchEvent event) { OnDispatchEvent(*collector, std::move(event)); });
 }
 
 }  // namespace figmill
--- a/src/figmilld/agent/once_agent.h
+++ b/src/figmilld/agent/once_agent.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Asks agents what became of a dispatch: the order to revoke it, and the attempt
-// to read its stream again.
+// Asks agents for the outcome of a dispatch: by revoking it, or by reading its stream again
+// from the start.
 
 #include <functional>
 #include <memory>
@@ -14,16 +14,16 @@
 
 namespace figmill {
 
-// How the shell of the keyed items sees the other processes.
+// Lookups of other processes that the handling of keyed items needs.
 struct OnceView {
-  // The agent's present process, whatever its incarnation; null when not known.
+  // The current process of an agent, whatever its incarnation; nullopt if unknown.
   std::function<std::optional<Member>(const NodeId&)> agent;
-  // Whether this very process is known to be dead or replaced.
+  // Whether the process with this incarnation is known to be dead or replaced.
   std::function<bool(const NodeInstance&)> gone;
-  // The entry of this data centre that writes for it; nothing when that is this one,
-  // or none is known.
+  // The entry that writes rows for its data centre, if it is another process; nullopt if it
+  // is this one or none is known.
   std::function<std::optional<Address>()> writer;
-  // Whether this entry is the one that sweeps and takes over, at present.
+  // Whether this entry currently sweeps expired rows and takes over items of lost owners.
   std::function<bool()> caretaker;
 };
 
@@ -33,23 +33,23 @@
 
   OnceAgent(HttpClient& client, const OnceView& view) : client_(client), view_(view) {}
 
-  // The agent's clock, before a claim names it: by it a successor tells the agent
-  // how old the dispatch can be at most. Nothing when it can't be reached.
+  // Reads the agent's clock, before a claim that records it: from it a later owner computes
+  // the maximum age of the dispatch for the agent. nullopt if the agent can't be reached.
   void ReadStamp(const Address& agent, std::function<void(std::optional<std::int64_t>)> done);
   void Revoke(const once::Revoke& order, std::function<void(RevokeState)> done);
-  // `item` and `repeatable` travel along, as with the first dispatch.
+  // `item` and `repeatable` are sent as in the first dispatch.
   void Resume(const once::Resume& order, const ItemKey& item, bool repeatable,
               std::function<void(Resumed)> done);
 
  private:
-  void RevokeAged(const Address& agent, const once::Revoke& order, std::int64_t stamp_now,
+  void SendRevoke(const Address& agent, const once::Revoke& order, std::int64_t stamp_now,
                   std::function<void(RevokeState)> done);
 
   HttpClient& client_;
   const OnceView& view_;
 };
 
-// A whole answer as the row keeps it.
+// A complete answer, as stored in the row.
 [[nodiscard]] OnceOutcome OutcomeOf(int status, std::string content_type, std::string body);
 
 }  // namespace figmill
--- a/src/figmilld/agent/placement_shell.cc
+++ b/src/figmilld/agent/placement_shell.cc
@@ -7,16 +7,16 @@
 
 using Json = nlohmann::json;
 
-constexpr Duration kTick{500'000};
+constexpr Duration kTickPeriod{500'000};
 
-std::vector<std::string> Versioned(const std::vector<VersionedName>& names) {
+std::vector<std::string> ToVersionedNames(const std::vector<VersionedName>& names) {
   std::vector<std::string> texts;
   texts.reserve(names.size());
   for (const VersionedName& each : names) texts.push_back(each.name + "@" + each.version);
   return texts;
 }
 
-// 0 when the row isn't figmill's.
+// 0 if the row wasn't written by figmill.
 Incarnation IncarnationOf(const Row& row) {
   const Json json = Json::parse(row.value, nullptr, false);
   if (!json.is_object()) return 0;
@@ -24,8 +24,8 @@
   return found != json.end() && found->is_number_unsigned() ? found->get<Incarnation>() : 0;
 }
 
-Error Unread(std::string why) {
-  return Error{ErrorKind::kStoreUnavailable, "the right to order: " + std::move(why)};
+Error OwnershipUnknown(std::string why) {
+  return Error{ErrorKind::kStoreUnavailable, "ownership of the engine: " + std::move(why)};
 }
 
 }  // namespace
@@ -42,99 +42,102 @@
   }
   const Placement& placement = found->second.placement;
   return DesiredPlacement{.sequence = found->second.sequence,
-                          .models = Versioned(placement.models),
-                          .adapters = Versioned(placement.adapters),
-                          .unwanted_models = Versioned(placement.unwanted_models),
-                          .unwanted_adapters = Versioned(placement.unwanted_adapters),
+                          .models = ToVersionedNames(placement.models),
+                          .adapters = ToVersionedNames(placement.adapters),
+                          .unwanted_models = ToVersionedNames(placement.unwanted_models),
+                          .unwanted_adapters = ToVersionedNames(placement.unwanted_adapters),
                           .role = placement.role,
                           .checks_fencing = backend->second.checks_fencing};
 }
 
 PlacementShell::PlacementShell(PlacementParts parts, ReconcilerSettings settings)
-    : parts_(std::move(parts)), placer_(settings) {
-  ticks_ = parts_.loop.Every(kTick, [this] { Say(ReconcilerTick{}); });
+    : parts_(std::move(parts)), reconciler_(settings) {
+  tick_timer_ = parts_.loop.Every(kTickPeriod, [this] { HandleEvent(ReconcilerTick{}); });
 }
 
 void PlacementShell::OnFold(const Fold& fold) {
-  if (const auto desired = DesiredFor(fold, parts_.self)) Say(*desired);
+  if (const auto desired = DesiredFor(fold, parts_.self)) HandleEvent(*desired);
 }
 
-void PlacementShell::Say(const ReconcilerEvent& event) {
-  for (const ReconcilerAction& action : placer_.Step(Loop::Now(), event)) Carry(action);
+void PlacementShell::HandleEvent(const ReconcilerEvent& event) {
+  for (const ReconcilerAction& action : reconciler_.Step(Loop::Now(), event)) Execute(action);
 }
 
-void PlacementShell::Carry(const ReconcilerAction& action) {
-  std::visit(
-      Overloaded{
-          [&](const ReadOwnership&) { ReadRightRow(); },
-          [&](const ReadEngineState&) {
-            parts_.engine.State(
-                [this](Result<EngineState> state) { Say(EngineStateRead{std::move(state)}); });
-          },
-          [&](const ReserveWeights& reserve) {
-            parts_.weights.Reserve(reserve.object, reserve.bytes, [this](Result<Duration> wait) {
-              if (IsOk(wait)) return Say(WeightsGranted{ValueOf(wait)});
-              Say(WeightsRefused{ErrorOf(wait)});
-            });
-          },
-          [&](const BeginDrain&) { BeginPlacementDrain(); },
-          [&](const EndDrain&) {
-            ++drain_;
-            parts_.end_drain();
-          },
-          [&](const SendOrder& send) { Send(send); },
-          [&](const ReportPlacementError& trouble) {
-            Log(LogLevel::kWarning, "placement_trouble",
-                {{"kind", std::string(RowOf(trouble.error.kind).name)},
-                 {"detail", trouble.error.detail}});
-          },
-      },
-      action);
+void PlacementShell::Execute(const ReconcilerAction& action) {
+  std::visit(Overloaded{
+                 [&](const ReadOwnership&) { ReadOwnershipRow(); },
+                 [&](const ReadEngineState&) {
+                   parts_.engine.State([this](Result<EngineState> state) {
+                     HandleEvent(EngineStateRead{std::move(state)});
+                   });
+                 },
+                 [&](const ReserveWeights& reserve) {
+                   parts_.weights.Reserve(reserve.object, reserve.bytes,
+                                          [this](Result<Duration> wait) {
+                                            if (IsOk(wait)) {
+                                              return HandleEvent(WeightsGranted{ValueOf(wait)});
+                                            }
+                                            HandleEvent(WeightsRefused{ErrorOf(wait)});
+                                          });
+                 },
+                 [&](const BeginDrain&) { BeginPlacementDrain(); },
+                 [&](const EndDrain&) {
+                   ++drain_number_;
+                   parts_.end_drain();
+                 },
+                 [&](const SendOrder& send) { SendToEngine(send); },
+                 [&](const ReportPlacementError& trouble) {
+                   Log(LogLevel::kWarning, "placement_trouble",
+                       {{"kind", std::string(RowOf(trouble.error.kind).name)},
+                        {"detail", trouble.error.detail}});
+                 },
+             },
+             action);
 }
 
-// The first agent process in a slot writes its incarnation, a later one writes
-// its own over it; whoever finds a later one has lost the right for good.
-void PlacementShell::ReadRightRow() {
+// The first agent process in a slot writes its incarnation to the row, and each later one
+// overwrites it with its own. A process that reads a later incarnation has lost the ownership
+// for good.
+void PlacementShell::ReadOwnershipRow() {
   parts_.table.Read(OrdererKey(parts_.self),
-                    [this](const Result<std::optional<Row>>& row) { OnRightRow(row); });
+                    [this](const Result<std::optional<Row>>& row) { OnOwnershipRow(row); });
 }
 
-void PlacementShell::OnRightRow(const Result<std::optional<Row>>& row) {
-  if (!IsOk(row)) return Say(OwnershipReadFailed{ErrorOf(row)});
+void PlacementShell::OnOwnershipRow(const Result<std::optional<Row>>& row) {
+  if (!IsOk(row)) return HandleEvent(OwnershipReadFailed{ErrorOf(row)});
   const std::optional<Row>& found = ValueOf(row);
   const Incarnation holder = found ? IncarnationOf(*found) : 0;
-  if (holder == parts_.incarnation) return Say(OwnershipRead{true});
-  if (holder > parts_.incarnation) return Say(OwnershipRead{false});
-  ClaimRight(found ? found->version : 0);
+  if (holder == parts_.incarnation) return HandleEvent(OwnershipRead{true});
+  if (holder > parts_.incarnation) return HandleEvent(OwnershipRead{false});
+  ClaimOwnership(found ? found->version : 0);
 }
 
-// Whatever comes of the write, the next reading tells: a lost answer needs no
-// care of its own.
-void PlacementShell::ClaimRight(RowVersion version) {
+// The next read shows the result of the write, so a lost answer needs no extra handling.
+void PlacementShell::ClaimOwnership(RowVersion version) {
   const std::string key = OrdererKey(parts_.self);
   const Json value = {{"token", FreshToken(parts_.random).value},
                       {"incarnation", parts_.incarnation}};
   parts_.table.Commit({{{key, version}}, {PutRow{key, value.dump()}}},
                       [this](const TransactionOutcome& outcome) {
                         if (std::holds_alternative<Committed>(outcome)) {
-                          return Say(OwnershipRead{true});
+                          return HandleEvent(OwnershipRead{true});
                         }
-                        Say(OwnershipReadFailed{Unread("not claimed yet")});
+                        HandleEvent(OwnershipReadFailed{OwnershipUnknown("not claimed yet")});
                       });
 }
 
 void PlacementShell::BeginPlacementDrain() {
-  parts_.begin_drain([this, drain = ++drain_] {
-    if (drain == drain_) Say(EngineDrained{});
+  parts_.begin_drain([this, drain = ++drain_number_] {
+    if (drain == drain_number_) HandleEvent(EngineDrained{});
   });
 }
 
-void PlacementShell::Send(const SendOrder& send) {
+void PlacementShell::SendToEngine(const SendOrder& send) {
   if (Loop::Now() > send.not_after) {
-    // Posted, as events never come inside the call that asks for them.
+    // Posted, as events must not be delivered within the call that requests them.
     parts_.loop.Post([this, number = send.number] {
-      Say(OrderFailed{number,
-                      Error{ErrorKind::kDeadlineExceeded, "the right to order has lapsed"}});
+      HandleEvent(OrderFailed{
+          number, Error{ErrorKind::kDeadlineExceeded, "the ownership of the engine has expired"}});
     });
     return;
   }
@@ -145,8 +148,8 @@
        {"version", order.version},
        {"fence", std::to_string(order.fence)}});
   parts_.engine.Order(order, [this, number = send.number](const Result<Ok>& outcome) {
-    if (IsOk(outcome)) return Say(OrderDone{number});
-    Say(OrderFailed{number, ErrorOf(outcome)});
+    if (IsOk(outcome)) return HandleEvent(OrderDone{number});
+    HandleEvent(OrderFailed{number, ErrorOf(outcome)});
   });
 }
 
--- a/src/figmilld/agent/placement_shell.h
+++ b/src/figmilld/agent/placement_shell.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Carries out what the PlacementReconciler decides for the engine beside this agent.
+// Executes the actions of the PlacementReconciler for the engine next to this agent.
 
 #include <functional>
 
@@ -10,7 +10,7 @@
 
 namespace figmill {
 
-// All must outlive the shell and the loop's work.
+// All references must outlive the executor and its pending callbacks in the loop.
 struct PlacementParts {
   Loop& loop;
   TableStore& table;
@@ -21,7 +21,7 @@
   Incarnation incarnation = 0;
   // Takes the engine out of service for new work; calls back once nothing runs.
   std::function<void(std::function<void()> drained)> begin_drain;
-  // Back into service; a drain under way is given up.
+  // Puts the engine back into service; cancels a drain in progress.
   std::function<void()> end_drain;
 };
 
@@ -29,29 +29,31 @@
  public:
   PlacementShell(PlacementParts parts, ReconcilerSettings settings);
 
-  // Whenever the fold moved.
+  // To be called whenever the control state has changed.
   void OnFold(const Fold& fold);
-  [[nodiscard]] bool settled() const { return placer_.settled(); }
+  [[nodiscard]] bool settled() const { return reconciler_.settled(); }
 
  private:
-  void Say(const ReconcilerEvent& event);
-  void Carry(const ReconcilerAction& action);
-  void ReadRightRow();
-  void OnRightRow(const Result<std::optional<Row>>& row);
-  void ClaimRight(RowVersion version);
+  void HandleEvent(const ReconcilerEvent& event);
+  void Execute(const ReconcilerAction& action);
+  void ReadOwnershipRow();
+  void OnOwnershipRow(const Result<std::optional<Row>>& row);
+  void ClaimOwnership(RowVersion version);
   void BeginPlacementDrain();
-  void Send(const SendOrder& send);
+  void SendToEngine(const SendOrder& send);
 
   PlacementParts parts_;
-  PlacementReconciler placer_;
-  std::uint64_t drain_ = 0;  // counts drains, so that a late end of one is told apart
-  Timer ticks_;
+  PlacementReconciler reconciler_;
+  // Number of the latest drain; a late callback of an earlier one is ignored.
+  std::uint64_t drain_number_ = 0;
+  Timer tick_timer_;
 };
 
-// What the fold wants of the engine beside `node`; nothing if no order named it.
+// The placement that the control state wants for the engine of `node`; nullopt if none was
+// ordered.
 [[nodiscard]] std::optional<DesiredPlacement> DesiredFor(const Fold& fold, const NodeId& node);
 
-// The row that says which incarnation of an agent orders its engine.
+// Key of the row that names the incarnation of an agent that may send orders to its engine.
 [[nodiscard]] std::string OrdererKey(const NodeId& node);
 
 }  // namespace figmill
