--- a/src/figmilld/agent/agent.cc
+++ b/src/figmilld/agent/agent.cc
@@ -5,10 +5,10 @@
 #include <utility>
 
 #include "figmill/runtime.h"
-#include "figmilld/agent/agent_gate.h"
-#include "figmilld/agent/agent_orders.h"
+#include "figmilld/agent/agent_rpc.h"
+#include "figmilld/agent/dispatch_handler.h"
 #include "figmilld/agent/engine_client.h"
-#include "figmilld/agent/placement_shell.h"
+#include "figmilld/agent/placement_executor.h"
 #include "figmilld/daemon.h"
 #include "figmilld/process.h"
 #include "figmilld/traffic/served_models.h"
@@ -36,7 +36,7 @@
              [this] { EndReconfiguration(); }},
             ReconcilerSettings{}) {
     RpcServer& rpc = daemon_.rpc();
-    BindAgentOrders(rpc, dispatch_handler_);
+    BindAgentRpc(rpc, dispatch_handler_);
     rpc.Bind("status", [this](std::string_view) -> Result<std::string> { return Status(); });
     rpc.Bind("leave", [this](std::string_view) -> Result<std::string> {
       listed_leaving_until_ = Loop::Now() + kListedLeavingDuration;
@@ -70,7 +70,7 @@
     dispatch_handler_.SetControlSequence(snapshot.sequence);
     drained_ = snapshot.fold && snapshot.fold->drained.contains(daemon_.self().node);
     UpdateLeaving();
-    if (snapshot.fold) placement_executor_.OnFold(*snapshot.fold);
+    if (snapshot.fold) placement_executor_.OnControlState(*snapshot.fold);
     for (const ServiceName& service : models_.services()) {
       const auto found = snapshot.config->services.find(service);
       if (found != snapshot.config->services.end()) {
@@ -129,9 +129,9 @@
 
   Daemon daemon_;
   ServedModels models_;
-  AgentGate dispatch_handler_;
+  DispatchHandler dispatch_handler_;
   EngineClient engine_;
-  PlacementShell placement_executor_;
+  PlacementExecutor placement_executor_;
   std::vector<ServiceName> published_services_;
   bool terminating_ = false;
   bool drained_ = false;
--- a/src/figmilld/agent/agent_metrics.h
+++ b/src/figmilld/agent/agent_metrics.h
@@ -11,7 +11,7 @@
 
 // Measures the time from an online arrival until the backend server has confirmed the stop
 // of the last batch stream that the arrival preempted.
-struct StopClock {
+struct BatchStopTimer {
   Time arrival_time;
   int pending_stops = 0;
 };
--- a/src/figmilld/agent/agent_orders.cc
+++ b/src/figmilld/agent/agent_rpc.cc
@@ -1,4 +1,4 @@
-#include "figmilld/agent/agent_orders.h"
+#include "figmilld/agent/agent_rpc.h"
 
 #include <nlohmann/json.hpp>
 
@@ -42,7 +42,7 @@
 
 }  // namespace
 
-void BindAgentOrders(RpcServer& server, AgentGate& gate) {
+void BindAgentRpc(RpcServer& server, DispatchHandler& gate) {
   Bind(server, "revoke", [&gate](const Json& params) {
     std::optional<Duration> age;
     if (params.contains("age_ms")) {
--- a/src/figmilld/agent/agent_orders.h
+++ b/src/figmilld/agent/agent_rpc.h
@@ -3,11 +3,11 @@
 // The agent's JSON-RPC methods (docs/PROTOCOLS.md).
 
 #include "figmill/runtime.h"
-#include "figmilld/agent/agent_gate.h"
+#include "figmilld/agent/dispatch_handler.h"
 
 namespace figmill {
 
 // `gate` outlives `server`.
-void BindAgentOrders(RpcServer& server, AgentGate& gate);
+void BindAgentRpc(RpcServer& server, DispatchHandler& gate);
 
 }  // namespace figmill
--- a/src/figmilld/agent/agent_answer.cc
+++ b/src/figmilld/agent/answer_writer.cc
@@ -1,15 +1,15 @@
-#include "figmilld/agent/agent_answer.h"
+#include "figmilld/agent/answer_writer.h"
 
 namespace figmill {
 
-bool AgentAnswer::Begin(const FrameHead& head) {
+bool AnswerWriter::Begin(const FrameHead& head) {
   if (std::exchange(begun_, true)) return status_ == head.status;
   status_ = head.status;
   reply_->Begin({200, std::string(kFramesType), {}, Encode(head)});
   return true;
 }
 
-void AgentAnswer::WriteData(std::string_view bytes) {
+void AnswerWriter::WriteData(std::string_view bytes) {
   constexpr std::size_t kMaxDataBytes = 1U << 20;  // well below kMaxFrameBytes
   bytes_ += bytes.size();
   for (std::size_t at = 0; at < bytes.size(); at += kMaxDataBytes) {
@@ -17,16 +17,16 @@
   }
 }
 
-void AgentAnswer::KeepAlive() {
+void AnswerWriter::KeepAlive() {
   if (begun_) reply_->Write(Encode(FrameData{}));
 }
 
-void AgentAnswer::End(std::uint64_t tokens, std::uint64_t cached_tokens) {
+void AnswerWriter::End(std::uint64_t tokens, std::uint64_t cached_tokens) {
   reply_->Write(Encode(FrameEnd{bytes_, tokens, cached_tokens}));
   reply_->End();
 }
 
-void AgentAnswer::Fail(const Error& error) {
+void AnswerWriter::Fail(const Error& error) {
   if (!begun_) {
     reply_->Send(ProblemOf(error));
     return;
--- a/src/figmilld/agent/agent_answer.h
+++ b/src/figmilld/agent/answer_writer.h
@@ -11,9 +11,9 @@
 
 namespace figmill {
 
-class AgentAnswer {
+class AnswerWriter {
  public:
-  explicit AgentAnswer(std::shared_ptr<HttpReply> reply) : reply_(std::move(reply)) {}
+  explicit AnswerWriter(std::shared_ptr<HttpReply> reply) : reply_(std::move(reply)) {}
   // False if the answer has already begun with another status, which can't be changed
   // once sent.
   [[nodiscard]] bool Begin(const FrameHead& head);
--- a/src/figmilld/agent/agent_gate.cc
+++ b/src/figmilld/agent/dispatch_handler.cc
@@ -1,4 +1,4 @@
-#include "figmilld/agent/agent_gate.h"
+#include "figmilld/agent/dispatch_handler.h"
 
 #include <algorithm>
 #include <utility>
@@ -25,8 +25,8 @@
 
 }  // namespace
 
-AgentGate::AgentGate(const AgentParts& parts, const AgentSettings& settings,
-                     Incarnation incarnation)
+DispatchHandler::DispatchHandler(const DispatchHandlerContext& parts, const AgentSettings& settings,
+                                 Incarnation incarnation)
     : loop_(parts.loop),
       tracer_(parts.tracer),
       settings_(settings),
@@ -43,19 +43,20 @@
 
 // --- Events from senders and the backend server --------------------------------------
 
-void AgentGate::OnDispatch(HttpRequest request, std::shared_ptr<HttpReply> reply) {
+void DispatchHandler::OnDispatch(HttpRequest request, std::shared_ptr<HttpReply> reply) {
   Result<DispatchHeaders> parsed = ParseDispatch(request);
   if (!IsOk(parsed)) {
     reply->Send(ProblemOf(ErrorOf(parsed)));
     return;
   }
-  AgentWork dispatched(std::move(ValueOf(parsed)), std::move(request.body), settings_.backend_kind);
+  DispatchedRequest dispatched(std::move(ValueOf(parsed)), std::move(request.body),
+                               settings_.backend_kind);
   const RequestId id = dispatched.headers().request;
   const ArrivalId arrival = ++last_arrival_;
   dispatched.arrival = arrival;
   dispatched.ResetAnswer();
   reply->OnClosed([this, arrival] { OnSenderDisconnected(arrival); });
-  answers_.emplace(arrival, AgentAnswer(std::move(reply)));
+  answers_.emplace(arrival, AnswerWriter(std::move(reply)));
   request_by_arrival_[arrival] = id;
   const Time now = Loop::Now();
   const std::vector<SchedulerAction> actions =
@@ -67,7 +68,7 @@
       });
   if (refused) {
     metrics_.CountRefusal(std::get<FailRequest>(actions.front()).error, dispatched.headers().work);
-  } else if (AgentWork* existing = FindRequest(id);
+  } else if (DispatchedRequest* existing = FindRequest(id);
              existing && settings_.backend_kind == BackendKind::kPlain) {
     existing->arrival = arrival;  // the running call continues; its answer is buffered
   } else if (existing != nullptr) {
@@ -80,27 +81,27 @@
   } else {
     active_requests_.emplace(id, std::move(dispatched));
   }
-  batch_stop_timer_ = std::make_shared<StopClock>(StopClock{now});
+  batch_stop_timer_ = std::make_shared<BatchStopTimer>(BatchStopTimer{now});
   ExecuteAll(actions);
   batch_stop_timer_.reset();
 }
 
-void AgentGate::OnSenderDisconnected(ArrivalId arrival) {
+void DispatchHandler::OnSenderDisconnected(ArrivalId arrival) {
   const auto found = request_by_arrival_.find(arrival);
   if (found == request_by_arrival_.end()) return;
-  AgentWork* dispatched = FindRequest(found->second);
+  DispatchedRequest* dispatched = FindRequest(found->second);
   if (dispatched != nullptr && dispatched->arrival == arrival) dispatched->arrival = 0;
   request_by_arrival_.erase(found);
   answers_.erase(arrival);
   HandleEvent(SenderDisconnected{arrival});
 }
 
-std::function<void(AnswerEvent)> AgentGate::MakeAnswerCallback(const RequestId& request) {
+std::function<void(AnswerEvent)> DispatchHandler::MakeAnswerCallback(const RequestId& request) {
   return [this, request](AnswerEvent event) { OnAnswerEvent(request, std::move(event)); };
 }
 
-void AgentGate::OnAnswerEvent(const RequestId& request, AnswerEvent event) {
-  AgentWork* dispatched = FindRequest(request);
+void DispatchHandler::OnAnswerEvent(const RequestId& request, AnswerEvent event) {
+  DispatchedRequest* dispatched = FindRequest(request);
   if (dispatched == nullptr) return;
   std::visit(Overloaded{
                  [&](AnswerHead& head) { OnAnswerHead(*dispatched, std::move(head)); },
@@ -113,9 +114,9 @@
              event);
 }
 
-void AgentGate::OnAnswerHead(AgentWork& dispatched, AnswerHead head) {
+void DispatchHandler::OnAnswerHead(DispatchedRequest& dispatched, AnswerHead head) {
   dispatched.answer_head = std::move(head);
-  AgentAnswer* answer = FindAnswer(dispatched);
+  AnswerWriter* answer = FindAnswer(dispatched);
   if (answer == nullptr || answer->Begin(MakeFrameHead(dispatched))) return;
   if (dispatched.cancel_call) std::exchange(dispatched.cancel_call, nullptr)();
   PostFailure(dispatched.headers().request,
@@ -123,16 +124,16 @@
                     "the backend server answered a rerun with another status", Ran::kYes});
 }
 
-void AgentGate::OnAnswerBytes(AgentWork& dispatched, const AnswerBytes& bytes) {
+void DispatchHandler::OnAnswerBytes(DispatchedRequest& dispatched, const AnswerBytes& bytes) {
   std::uint32_t tokens = 0;
   const std::string ready = dispatched.AddAnswerBytes(bytes, tokens);
-  if (AgentAnswer* answer = FindAnswer(dispatched)) answer->WriteData(ready);
+  if (AnswerWriter* answer = FindAnswer(dispatched)) answer->WriteData(ready);
   if (tokens == 0) return;
   metrics_.CountTokens(dispatched.headers().work, tokens);
   HandleEvent(StreamTokens{dispatched.headers().request, tokens});
 }
 
-FrameHead AgentGate::MakeFrameHead(const AgentWork& dispatched) const {
+FrameHead DispatchHandler::MakeFrameHead(const DispatchedRequest& dispatched) const {
   const SchedulerStats counts = scheduler_.counts();
   FrameHead head;
   head.status = dispatched.answer_head.status;
@@ -149,19 +150,19 @@
 
 // --- Actions of the scheduler --------------------------------------------------------
 
-void AgentGate::HandleEvent(const SchedulerEvent& event) {
+void DispatchHandler::HandleEvent(const SchedulerEvent& event) {
   ExecuteAll(scheduler_.Step(Loop::Now(), event));
 }
 
-void AgentGate::ExecuteAll(const std::vector<SchedulerAction>& actions) {
+void DispatchHandler::ExecuteAll(const std::vector<SchedulerAction>& actions) {
   for (const SchedulerAction& action : actions) {
     std::visit([this](const auto& each) { Execute(each); }, action);
   }
   if (drained_ && active_requests_.empty() && answers_.empty()) std::exchange(drained_, nullptr)();
 }
 
-void AgentGate::Execute(const StartStream& action) {
-  AgentWork* dispatched = FindRequest(action.request);
+void DispatchHandler::Execute(const StartStream& action) {
+  DispatchedRequest* dispatched = FindRequest(action.request);
   if (dispatched == nullptr) return;
   if (action.rerun) metrics_.CountTokensRerun(dispatched->tokens());
   dispatched->ResetAnswer();
@@ -172,8 +173,8 @@
       engine_.Call(dispatched->ToBackendRequest(traceparent), MakeAnswerCallback(action.request));
 }
 
-void AgentGate::Execute(const ResumeStream& action) {
-  AgentWork* dispatched = FindRequest(action.request);
+void DispatchHandler::Execute(const ResumeStream& action) {
+  DispatchedRequest* dispatched = FindRequest(action.request);
   if (dispatched == nullptr) return;
   if (action.reattached_arrival == 0 && dispatched->paused) {
     ResumeExported(*dispatched);
@@ -187,7 +188,7 @@
 
 // The engine has dropped a stopped stream; it can only be resumed from its exported KV
 // cache.
-void AgentGate::ResumeExported(AgentWork& dispatched) {
+void DispatchHandler::ResumeExported(DispatchedRequest& dispatched) {
   const RequestId request = dispatched.headers().request;
   dispatched.paused = false;
   if (dispatched.exported_kv.empty()) {
@@ -198,7 +199,7 @@
   }
   engine_.Import(
       request, std::exchange(dispatched.exported_kv, {}), [this, request](const Result<Ok>& done) {
-        AgentWork* imported = FindRequest(request);
+        DispatchedRequest* imported = FindRequest(request);
         if (imported == nullptr || imported->paused) return;
         if (!IsOk(done)) {
           HandleEvent(StreamFailed{
@@ -211,17 +212,17 @@
       });
 }
 
-void AgentGate::PostFailure(const RequestId& request, Error error) {
+void DispatchHandler::PostFailure(const RequestId& request, Error error) {
   loop_.Post([this, alive = std::weak_ptr(alive_), request, error = std::move(error)] {
     if (alive.lock()) HandleEvent(StreamFailed{request, error});
   });
 }
 
-void AgentGate::Execute(const StopStream& action) {
-  AgentWork* dispatched = FindRequest(action.request);
+void DispatchHandler::Execute(const StopStream& action) {
+  DispatchedRequest* dispatched = FindRequest(action.request);
   if (dispatched == nullptr) return;
   if (dispatched->cancel_call) std::exchange(dispatched->cancel_call, nullptr)();
-  const std::shared_ptr<StopClock> timer = action.keep ? batch_stop_timer_ : nullptr;
+  const std::shared_ptr<BatchStopTimer> timer = action.keep ? batch_stop_timer_ : nullptr;
   if (timer) ++timer->pending_stops;
   dispatched->paused = action.keep;
   const RequestId& request = action.request;
@@ -233,7 +234,7 @@
     CancelAtBackend(request, timer);
   } else {
     engine_.Export(request, [this, request, timer](Result<std::string> exported) {
-      AgentWork* stopped = FindRequest(request);
+      DispatchedRequest* stopped = FindRequest(request);
       if (stopped != nullptr && stopped->paused && IsOk(exported) &&
           ValueOf(exported).size() <= kMaxExportBytes) {
         stopped->exported_kv = std::move(ValueOf(exported));
@@ -243,21 +244,23 @@
   }
 }
 
-void AgentGate::CancelAtBackend(const RequestId& request, std::shared_ptr<StopClock> timer) {
+void DispatchHandler::CancelAtBackend(const RequestId& request,
+                                      std::shared_ptr<BatchStopTimer> timer) {
   engine_.Cancel(request, [this, request, timer = std::move(timer)](const Result<Ok>&) {
     OnStreamStopped(request, timer);
   });
 }
 
-void AgentGate::OnStreamStopped(const RequestId& request, const std::shared_ptr<StopClock>& timer) {
+void DispatchHandler::OnStreamStopped(const RequestId& request,
+                                      const std::shared_ptr<BatchStopTimer>& timer) {
   if (timer && --timer->pending_stops == 0) {
     metrics_.RecordBatchStop(Loop::Now() - timer->arrival_time);
   }
   HandleEvent(StreamStopped{request});
 }
 
-void AgentGate::Execute(const FailRequest& action) {
-  const AgentWork* dispatched = FindRequest(action.request);
+void DispatchHandler::Execute(const FailRequest& action) {
+  const DispatchedRequest* dispatched = FindRequest(action.request);
   if (dispatched != nullptr && dispatched->arrival == action.arrival) {
     metrics_.CountRefusal(action.error, dispatched->headers().work);
   }
@@ -265,10 +268,10 @@
   RemoveRequest(action.request, action.arrival, true);
 }
 
-void AgentGate::Execute(const CompleteRequest& action) {
-  AgentWork* dispatched = FindRequest(action.request);
+void DispatchHandler::Execute(const CompleteRequest& action) {
+  DispatchedRequest* dispatched = FindRequest(action.request);
   if (dispatched == nullptr) return;
-  if (AgentAnswer* answer = FindAnswer(*dispatched)) {
+  if (AnswerWriter* answer = FindAnswer(*dispatched)) {
     (void)answer->Begin(MakeFrameHead(*dispatched));
     answer->WriteData(dispatched->TakeRemaining());
     const TokenUsage usage = dispatched->usage();
@@ -279,30 +282,30 @@
   RemoveRequest(action.request, action.arrival, false);
 }
 
-void AgentGate::Execute(const DetachSender& action) {
+void DispatchHandler::Execute(const DetachSender& action) {
   FailArrival(action.arrival, action.error);
-  AgentWork* dispatched = FindRequest(action.request);
+  DispatchedRequest* dispatched = FindRequest(action.request);
   if (dispatched != nullptr && dispatched->arrival == action.arrival) dispatched->arrival = 0;
 }
 
-void AgentGate::Execute(const CommandReply& action) {
+void DispatchHandler::Execute(const CommandReply& action) {
   command_reply_ = action.state;
 }
 
-void AgentGate::FailArrival(ArrivalId arrival, const Error& error) {
+void DispatchHandler::FailArrival(ArrivalId arrival, const Error& error) {
   const auto found = answers_.find(arrival);
   if (found == answers_.end()) return;
-  AgentAnswer answer = std::move(found->second);
+  AnswerWriter answer = std::move(found->second);
   answers_.erase(found);
   request_by_arrival_.erase(arrival);
   answer.Fail(error);
 }
 
 // Removes the request, unless `arrival` is another arrival of it than the current one.
-void AgentGate::RemoveRequest(const RequestId& request, ArrivalId arrival, bool failed) {
+void DispatchHandler::RemoveRequest(const RequestId& request, ArrivalId arrival, bool failed) {
   const auto found = active_requests_.find(request);
   if (found == active_requests_.end() || found->second.arrival != arrival) return;
-  AgentWork& dispatched = found->second;
+  DispatchedRequest& dispatched = found->second;
   if (dispatched.cancel_call) dispatched.cancel_call();
   if (dispatched.span && tracer_ != nullptr) {
     dispatched.span->failed = failed;
@@ -311,17 +314,17 @@
   active_requests_.erase(found);
 }
 
-AgentWork* AgentGate::FindRequest(const RequestId& request) {
+DispatchedRequest* DispatchHandler::FindRequest(const RequestId& request) {
   const auto found = active_requests_.find(request);
   return found == active_requests_.end() ? nullptr : &found->second;
 }
 
-AgentAnswer* AgentGate::FindAnswer(const AgentWork& dispatched) {
+AnswerWriter* DispatchHandler::FindAnswer(const DispatchedRequest& dispatched) {
   const auto found = answers_.find(dispatched.arrival);
   return found == answers_.end() ? nullptr : &found->second;
 }
 
-std::string AgentGate::StartSpan(AgentWork& dispatched) {
+std::string DispatchHandler::StartSpan(DispatchedRequest& dispatched) {
   if (tracer_ == nullptr) return dispatched.headers().traceparent;
   if (!dispatched.span) {
     dispatched.span =
@@ -334,24 +337,25 @@
 
 // --- RPC methods, membership and timers ----------------------------------------------
 
-Result<RequestState> AgentGate::RevokeRequest(const RequestId& request, Incarnation incarnation,
-                                              std::optional<Duration> age) {
+Result<RequestState> DispatchHandler::RevokeRequest(const RequestId& request,
+                                                    Incarnation incarnation,
+                                                    std::optional<Duration> age) {
   std::optional<Time> stamp;
   if (age) stamp = Loop::Now() - *age - kMaxRevokeTransit;
   HandleEvent(Revoke{request, incarnation, stamp});
   return *std::exchange(command_reply_, std::nullopt);
 }
 
-Result<RequestState> AgentGate::CancelRequest(const RequestId& request) {
+Result<RequestState> DispatchHandler::CancelRequest(const RequestId& request) {
   HandleEvent(Cancel{request});
   return *std::exchange(command_reply_, std::nullopt);
 }
 
-void AgentGate::SupersedeJob(const JobId& job, Epoch epoch) {
+void DispatchHandler::SupersedeJob(const JobId& job, Epoch epoch) {
   HandleEvent(Supersede{job, epoch});
 }
 
-void AgentGate::UpdateEntries(const Snapshot& snapshot) {
+void DispatchHandler::UpdateEntries(const Snapshot& snapshot) {
   std::set<NodeId> entries;
   for (const Member& member : snapshot.members) {
     if (member.role == Role::kEntry) entries.insert(member.node);
@@ -362,26 +366,26 @@
   }
 }
 
-void AgentGate::SetLeaving(bool leaving) {
+void DispatchHandler::SetLeaving(bool leaving) {
   if (std::exchange(leaving_, leaving) != leaving) HandleEvent(LeavingChanged{leaving});
 }
 
-void AgentGate::NotifyWhenDrained(std::function<void()> drained) {
+void DispatchHandler::NotifyWhenDrained(std::function<void()> drained) {
   drained_ = std::move(drained);
   ExecuteAll({});
 }
 
-void AgentGate::PollLoad() {
+void DispatchHandler::PollLoad() {
   engine_.Load([this](const Result<EngineLoad>& load) {
     if (IsOk(load)) HandleEvent(LoadReported{ValueOf(load)});
   });
 }
 
-void AgentGate::KeepAnswersAlive() {
+void DispatchHandler::KeepAnswersAlive() {
   for (auto& [arrival, answer] : answers_) answer.KeepAlive();
 }
 
-void AgentGate::Tick() {
+void DispatchHandler::Tick() {
   HandleEvent(figmill::Tick{});
   metrics_.Update(scheduler_.counts());
 }
--- a/src/figmilld/agent/agent_gate.h
+++ b/src/figmilld/agent/dispatch_handler.h
@@ -10,25 +10,26 @@
 
 #include "figmill/gate.h"
 #include "figmill/runtime.h"
-#include "figmilld/agent/agent_answer.h"
 #include "figmilld/agent/agent_metrics.h"
-#include "figmilld/agent/agent_work.h"
+#include "figmilld/agent/answer_writer.h"
+#include "figmilld/agent/dispatched_request.h"
 #include "figmilld/agent/engine_client.h"
 #include "figmilld/settings.h"
 
 namespace figmill {
 
 // All must outlive the handler.
-struct AgentParts {
+struct DispatchHandlerContext {
   Loop& loop;
   HttpClient& client;
   Metrics& metrics;
   Tracer* tracer = nullptr;
 };
 
-class AgentGate {
+class DispatchHandler {
  public:
-  AgentGate(const AgentParts& parts, const AgentSettings& settings, Incarnation incarnation);
+  DispatchHandler(const DispatchHandlerContext& parts, const AgentSettings& settings,
+                  Incarnation incarnation);
 
   void OnDispatch(HttpRequest request, std::shared_ptr<HttpReply> reply);
 
@@ -64,20 +65,20 @@
   void Execute(const CommandReply& action);
 
   void OnAnswerEvent(const RequestId& request, AnswerEvent event);
-  void OnAnswerHead(AgentWork& dispatched, AnswerHead head);
-  void OnAnswerBytes(AgentWork& dispatched, const AnswerBytes& bytes);
+  void OnAnswerHead(DispatchedRequest& dispatched, AnswerHead head);
+  void OnAnswerBytes(DispatchedRequest& dispatched, const AnswerBytes& bytes);
   [[nodiscard]] std::function<void(AnswerEvent)> MakeAnswerCallback(const RequestId& request);
-  void ResumeExported(AgentWork& dispatched);
+  void ResumeExported(DispatchedRequest& dispatched);
   void PostFailure(const RequestId& request, Error error);
-  void CancelAtBackend(const RequestId& request, std::shared_ptr<StopClock> timer);
-  void OnStreamStopped(const RequestId& request, const std::shared_ptr<StopClock>& timer);
+  void CancelAtBackend(const RequestId& request, std::shared_ptr<BatchStopTimer> timer);
+  void OnStreamStopped(const RequestId& request, const std::shared_ptr<BatchStopTimer>& timer);
   void OnSenderDisconnected(ArrivalId arrival);
   void FailArrival(ArrivalId arrival, const Error& error);
   void RemoveRequest(const RequestId& request, ArrivalId arrival, bool failed);
-  AgentWork* FindRequest(const RequestId& request);
-  AgentAnswer* FindAnswer(const AgentWork& dispatched);
-  [[nodiscard]] FrameHead MakeFrameHead(const AgentWork& dispatched) const;
-  [[nodiscard]] std::string StartSpan(AgentWork& dispatched);
+  DispatchedRequest* FindRequest(const RequestId& request);
+  AnswerWriter* FindAnswer(const DispatchedRequest& dispatched);
+  [[nodiscard]] FrameHead MakeFrameHead(const DispatchedRequest& dispatched) const;
+  [[nodiscard]] std::string StartSpan(DispatchedRequest& dispatched);
   void PollLoad();
   void KeepAnswersAlive();
   void Tick();
@@ -94,11 +95,11 @@
   std::set<NodeId> entries_;  // in the last snapshot
   std::function<void()> drained_;
   ArrivalId last_arrival_ = 0;
-  std::unordered_map<ArrivalId, AgentAnswer> answers_;
+  std::unordered_map<ArrivalId, AnswerWriter> answers_;
   std::unordered_map<ArrivalId, RequestId> request_by_arrival_;  // same keys as answers_
-  std::unordered_map<RequestId, AgentWork> active_requests_;
+  std::unordered_map<RequestId, DispatchedRequest> active_requests_;
   std::optional<Result<RequestState>> command_reply_;
-  std::shared_ptr<StopClock> batch_stop_timer_;  // set while OnDispatch() executes actions
+  std::shared_ptr<BatchStopTimer> batch_stop_timer_;  // set while OnDispatch() executes actions
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
   Timer tick_timer_, load_timer_, keep_alive_timer_;
 };
--- a/src/figmilld/agent/agent_work.cc
+++ b/src/figmilld/agent/dispatched_request.cc
@@ -1,4 +1,4 @@
-#include "figmilld/agent/agent_work.h"
+#include "figmilld/agent/dispatched_request.h"
 
 #include <algorithm>
 #include <limits>
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-AgentWork::AgentWork(DispatchHeaders headers, std::string body, BackendKind kind)
+DispatchedRequest::DispatchedRequest(DispatchHeaders headers, std::string body, BackendKind kind)
     : headers_(std::move(headers)), kind_(kind), body_(std::move(body)) {
   max_tokens_ = static_cast<std::uint32_t>(
       std::min<std::uint64_t>(headers_.tokens, std::numeric_limits<std::uint32_t>::max()));
@@ -47,7 +47,7 @@
   wants_stream_ = wants_stream_ || headers_.resume_from.value_or(0) > 0;
 }
 
-Dispatch AgentWork::ToDispatch() const {
+Dispatch DispatchedRequest::ToDispatch() const {
   Dispatch dispatch;
   dispatch.request = headers_.request;
   dispatch.incarnation = headers_.incarnation;
@@ -66,7 +66,7 @@
   return dispatch;
 }
 
-BackendRequest AgentWork::ToBackendRequest(const std::string& traceparent) const {
+BackendRequest DispatchedRequest::ToBackendRequest(const std::string& traceparent) const {
   BackendRequest request;
   request.request = headers_.request;
   request.method = headers_.method;
@@ -79,18 +79,18 @@
   return request;
 }
 
-void AgentWork::ResetAnswer() {
+void DispatchedRequest::ResetAnswer() {
   tokens_ = headers_.resume_from.value_or(0);
   buffered_.clear();
   assembler_ = {};
   last_events_.clear();
 }
 
-bool AgentWork::IsEventStream() const {
+bool DispatchedRequest::IsEventStream() const {
   return answer_head.content_type.starts_with("text/event-stream");
 }
 
-std::string AgentWork::AddAnswerBytes(const AnswerBytes& bytes, std::uint32_t& tokens) {
+std::string DispatchedRequest::AddAnswerBytes(const AnswerBytes& bytes, std::uint32_t& tokens) {
   tokens = IsEventStream() ? CountEvents(bytes.bytes) : 0;
   tokens_ += tokens;
   if (IsEventStream()) last_events_ = bytes.bytes;
@@ -104,20 +104,20 @@
   return {};
 }
 
-std::string AgentWork::TakeRemaining() {
+std::string DispatchedRequest::TakeRemaining() {
   if (NeedsAssembly()) return assembler_.Whole();
   std::string rest = std::move(buffered_);
   if (IsEventStream()) rest += kDoneEvent;
   return rest;
 }
 
-TokenUsage AgentWork::usage() const {
+TokenUsage DispatchedRequest::usage() const {
   TokenUsage usage = UsageOf(last_events_);
   if (usage.completion_tokens == 0) usage.completion_tokens = tokens_;
   return usage;
 }
 
-std::string AgentWork::content_type() const {
+std::string DispatchedRequest::content_type() const {
   return NeedsAssembly() ? "application/json" : answer_head.content_type;
 }
 
--- a/src/figmilld/agent/agent_work.h
+++ b/src/figmilld/agent/dispatched_request.h
@@ -15,9 +15,9 @@
 
 namespace figmill {
 
-class AgentWork {
+class DispatchedRequest {
  public:
-  AgentWork(DispatchHeaders headers, std::string body, BackendKind kind);
+  DispatchedRequest(DispatchHeaders headers, std::string body, BackendKind kind);
 
   // The dispatch as the scheduler takes it.
   [[nodiscard]] Dispatch ToDispatch() const;
--- a/src/figmilld/agent/once_agent.cc
+++ b/src/figmilld/agent/once_agent_client.cc
@@ -1,4 +1,4 @@
-#include "figmilld/agent/once_agent.h"
+#include "figmilld/agent/once_agent_client.h"
 
 #include <nlohmann/json.hpp>
 
@@ -28,7 +28,7 @@
 
 // Collects a stream that is read again from its start.
 struct StreamCollector {
-  std::function<void(OnceAgent::Resumed)> done;
+  std::function<void(OnceAgentClient::ResumeResult)> done;
   int status = 0;
   std::string content_type;
   std::string body;
@@ -37,8 +37,8 @@
 void OnDispatchEvent(StreamCollector& collector, DispatchEvent event) {
   const auto fail = [&](const Error& error) {
     const bool gone = error.kind == ErrorKind::kNotFound;
-    collector.done(gone ? OnceAgent::Resumed{once::StreamNotFound{}}
-                        : OnceAgent::Resumed{once::ResumeFailed{}});
+    collector.done(gone ? OnceAgentClient::ResumeResult{once::StreamNotFound{}}
+                        : OnceAgentClient::ResumeResult{once::ResumeFailed{}});
   };
   std::visit(Overloaded{
                  [&](FrameHead& head) {
@@ -47,8 +47,8 @@
                  },
                  [&](FrameData& data) { collector.body += data.bytes; },
                  [&](FrameEnd&) {
-                   collector.done(OutcomeOf(collector.status, std::move(collector.content_type),
-                                            std::move(collector.body)));
+                   collector.done(MakeOutcome(collector.status, std::move(collector.content_type),
+                                              std::move(collector.body)));
                  },
                  [&](FrameFailure& failure) { fail(failure.error); },
                  [&](DispatchRefused& refusal) { fail(refusal.error); },
@@ -59,15 +59,15 @@
 
 }  // namespace
 
-OnceOutcome OutcomeOf(int status, std::string content_type, std::string body) {
+OnceOutcome MakeOutcome(int status, std::string content_type, std::string body) {
   OnceOutcome outcome{status, std::move(content_type), "", std::move(body), ""};
   const std::string_view parts[] = {outcome.content_type, outcome.body};
   outcome.digest = ContentDigest(parts);
   return outcome;
 }
 
-void OnceAgent::ReadStamp(const Address& agent,
-                          std::function<void(std::optional<std::int64_t>)> done) {
+void OnceAgentClient::ReadAgentClock(const Address& agent,
+                                     std::function<void(std::optional<std::int64_t>)> done) {
   HttpCall call;
   call.to = agent;
   call.target = "/agent/status";
@@ -81,13 +81,13 @@
   });
 }
 
-void OnceAgent::Revoke(const once::Revoke& order, std::function<void(RevokeState)> done) {
+void OnceAgentClient::Revoke(const once::Revoke& order, std::function<void(RevokeState)> done) {
   const std::optional<Member> agent = view_.agent(order.agent.node);
   if (!agent) return done(RevokeState::kUnreachable);
   // A later process in the same slot has no records of the request.
   if (agent->incarnation > order.agent.incarnation) return done(RevokeState::kOtherIncarnation);
-  ReadStamp(agent->http, [this, at = agent->http, order,
-                          done = std::move(done)](std::optional<std::int64_t> now) {
+  ReadAgentClock(agent->http, [this, at = agent->http, order,
+                               done = std::move(done)](std::optional<std::int64_t> now) {
     if (!now) return done(RevokeState::kUnreachable);
     SendRevoke(at, order, *now, done);
   });
@@ -95,8 +95,8 @@
 
 // The dispatch can't be older than its stamp. Without an age, or with one beyond the agent's
 // record retention, the agent makes no promise, as it may have dropped the record of a run.
-void OnceAgent::SendRevoke(const Address& agent, const once::Revoke& order, std::int64_t stamp_now,
-                           std::function<void(RevokeState)> done) {
+void OnceAgentClient::SendRevoke(const Address& agent, const once::Revoke& order,
+                                 std::int64_t stamp_now, std::function<void(RevokeState)> done) {
   nlohmann::json params = {{"request", order.request.value},
                            {"incarnation", order.agent.incarnation}};
   if (order.stamp != 0) {
@@ -109,8 +109,8 @@
           });
 }
 
-void OnceAgent::Resume(const once::Resume& order, const ItemKey& item, bool repeatable,
-                       std::function<void(Resumed)> done) {
+void OnceAgentClient::Resume(const once::Resume& order, const ItemKey& item, bool repeatable,
+                             std::function<void(ResumeResult)> done) {
   const std::optional<Member> agent = view_.agent(order.agent.node);
   if (!agent) return done(once::ResumeFailed{});
   DispatchHeaders dispatch;
--- a/src/figmilld/agent/placement_shell.cc
+++ b/src/figmilld/agent/placement_executor.cc
@@ -1,4 +1,4 @@
-#include "figmilld/agent/placement_shell.h"
+#include "figmilld/agent/placement_executor.h"
 
 #include <nlohmann/json.hpp>
 
@@ -30,11 +30,11 @@
 
 }  // namespace
 
-std::string OrdererKey(const NodeId& node) {
+std::string EngineOwnerKey(const NodeId& node) {
   return "orderer/" + node.value;
 }
 
-std::optional<DesiredPlacement> DesiredFor(const Fold& fold, const NodeId& node) {
+std::optional<DesiredPlacement> DesiredPlacementFor(const Fold& fold, const NodeId& node) {
   const auto found = fold.placements.find(node);
   const auto backend = fold.config.backends.find(node);
   if (found == fold.placements.end() || backend == fold.config.backends.end()) {
@@ -50,20 +50,20 @@
                           .checks_fencing = backend->second.checks_fencing};
 }
 
-PlacementShell::PlacementShell(PlacementParts parts, ReconcilerSettings settings)
+PlacementExecutor::PlacementExecutor(PlacementExecutorContext parts, ReconcilerSettings settings)
     : parts_(std::move(parts)), reconciler_(settings) {
   tick_timer_ = parts_.loop.Every(kTickPeriod, [this] { HandleEvent(ReconcilerTick{}); });
 }
 
-void PlacementShell::OnFold(const Fold& fold) {
-  if (const auto desired = DesiredFor(fold, parts_.self)) HandleEvent(*desired);
+void PlacementExecutor::OnControlState(const Fold& fold) {
+  if (const auto desired = DesiredPlacementFor(fold, parts_.self)) HandleEvent(*desired);
 }
 
-void PlacementShell::HandleEvent(const ReconcilerEvent& event) {
+void PlacementExecutor::HandleEvent(const ReconcilerEvent& event) {
   for (const ReconcilerAction& action : reconciler_.Step(Loop::Now(), event)) Execute(action);
 }
 
-void PlacementShell::Execute(const ReconcilerAction& action) {
+void PlacementExecutor::Execute(const ReconcilerAction& action) {
   std::visit(Overloaded{
                  [&](const ReadOwnership&) { ReadOwnershipRow(); },
                  [&](const ReadEngineState&) {
@@ -98,12 +98,12 @@
 // The first agent process in a slot writes its incarnation to the row, and each later one
 // overwrites it with its own. A process that reads a later incarnation has lost the ownership
 // for good.
-void PlacementShell::ReadOwnershipRow() {
-  parts_.table.Read(OrdererKey(parts_.self),
+void PlacementExecutor::ReadOwnershipRow() {
+  parts_.table.Read(EngineOwnerKey(parts_.self),
                     [this](const Result<std::optional<Row>>& row) { OnOwnershipRow(row); });
 }
 
-void PlacementShell::OnOwnershipRow(const Result<std::optional<Row>>& row) {
+void PlacementExecutor::OnOwnershipRow(const Result<std::optional<Row>>& row) {
   if (!IsOk(row)) return HandleEvent(OwnershipReadFailed{ErrorOf(row)});
   const std::optional<Row>& found = ValueOf(row);
   const Incarnation holder = found ? IncarnationOf(*found) : 0;
@@ -113,8 +113,8 @@
 }
 
 // The next read shows the result of the write, so a lost answer needs no extra handling.
-void PlacementShell::ClaimOwnership(RowVersion version) {
-  const std::string key = OrdererKey(parts_.self);
+void PlacementExecutor::ClaimOwnership(RowVersion version) {
+  const std::string key = EngineOwnerKey(parts_.self);
   const Json value = {{"token", FreshToken(parts_.random).value},
                       {"incarnation", parts_.incarnation}};
   parts_.table.Commit({{{key, version}}, {PutRow{key, value.dump()}}},
@@ -126,13 +126,13 @@
                       });
 }
 
-void PlacementShell::BeginPlacementDrain() {
+void PlacementExecutor::BeginPlacementDrain() {
   parts_.begin_drain([this, drain = ++drain_number_] {
     if (drain == drain_number_) HandleEvent(EngineDrained{});
   });
 }
 
-void PlacementShell::SendToEngine(const SendOrder& send) {
+void PlacementExecutor::SendToEngine(const SendOrder& send) {
   if (Loop::Now() > send.not_after) {
     // Posted, as events must not be delivered within the call that requests them.
     parts_.loop.Post([this, number = send.number] {
--- a/src/figmilld/agent/placement_shell.h
+++ b/src/figmilld/agent/placement_executor.h
@@ -11,7 +11,7 @@
 namespace figmill {
 
 // All references must outlive the executor and its pending callbacks in the loop.
-struct PlacementParts {
+struct PlacementExecutorContext {
   Loop& loop;
   TableStore& table;
   WeightStore& weights;
@@ -25,12 +25,12 @@
   std::function<void()> end_drain;
 };
 
-class PlacementShell {
+class PlacementExecutor {
  public:
-  PlacementShell(PlacementParts parts, ReconcilerSettings settings);
+  PlacementExecutor(PlacementExecutorContext parts, ReconcilerSettings settings);
 
   // To be called whenever the control state has changed.
-  void OnFold(const Fold& fold);
+  void OnControlState(const Fold& fold);
   [[nodiscard]] bool settled() const { return reconciler_.settled(); }
 
  private:
@@ -42,7 +42,7 @@
   void BeginPlacementDrain();
   void SendToEngine(const SendOrder& send);
 
-  PlacementParts parts_;
+  PlacementExecutorContext parts_;
   PlacementReconciler reconciler_;
   // Number of the latest drain; a late callback of an earlier one is ignored.
   std::uint64_t drain_number_ = 0;
@@ -51,9 +51,10 @@
 
 // The placement that the control state wants for the engine of `node`; nullopt if none was
 // ordered.
-[[nodiscard]] std::optional<DesiredPlacement> DesiredFor(const Fold& fold, const NodeId& node);
+[[nodiscard]] std::optional<DesiredPlacement> DesiredPlacementFor(const Fold& fold,
+                                                                  const NodeId& node);
 
 // Key of the row that names the incarnation of an agent that may send orders to its engine.
-[[nodiscard]] std::string OrdererKey(const NodeId& node);
+[[nodiscard]] std::string EngineOwnerKey(const NodeId& node);
 
 }  // namespace figmill
--- a/src/figmilld/traffic/entry_once.cc
+++ b/src/figmilld/traffic/entry_once.cc
@@ -25,7 +25,7 @@
 }  // namespace
 
 EntryOnce::EntryOnce(Loop& loop, HttpClient& client, TableStore& table, ObjectStore& objects,
-                     NodeInstance self, OnceView view, Route route)
+                     NodeInstance self, OnceMembershipView view, Route route)
     : loop_(loop),
       self_(std::move(self)),
       view_(std::move(view)),
@@ -33,8 +33,8 @@
       tools_{loop,
              table,
              objects,
-             OnceWriter(loop, client, table, view_.writer),
-             OnceAgent(client, view_),
+             OnceWriter(loop, client, table, view_.writer_address),
+             OnceAgentClient(client, view_),
              view_,
              SystemRandom()} {
   StartCare();
--- a/src/figmilld/traffic/entry_once.h
+++ b/src/figmilld/traffic/entry_once.h
@@ -22,7 +22,7 @@
 
   // `route` runs a stored request as if a caller had sent it.
   EntryOnce(Loop& loop, HttpClient& client, TableStore& table, ObjectStore& objects,
-            NodeInstance self, OnceView view, Route route);
+            NodeInstance self, OnceMembershipView view, Route route);
   ~EntryOnce();
 
   // Whether the request must have a ticket: it has a key, or may not be repeated.
@@ -70,7 +70,7 @@
 
   Loop& loop_;
   NodeInstance self_;
-  OnceView view_;
+  OnceMembershipView view_;
   Route route_;
   OnceTools tools_;
   RetentionSweep sweep_;
--- a/src/figmilld/traffic/entry_once_care.cc
+++ b/src/figmilld/traffic/entry_once_care.cc
@@ -26,7 +26,7 @@
 
 void EntryOnce::Care() {
   DropFinished();
-  if (!view_.caretaker()) return;
+  if (!view_.runs_recovery()) return;
   tools_.table.Scan({std::string(kOpenItemMarkerPrefix), care_after_, kCarePage},
                     [this](const Result<std::vector<Row>>& page) {
                       if (!IsOk(page)) return;
@@ -40,7 +40,9 @@
 }
 
 void EntryOnce::CareFor(const OpenItemMarker& open) {
-  if (open.owner == self_ || !view_.gone(open.owner) || owned_.contains(open.key.value)) return;
+  if (open.owner == self_ || !view_.is_dead_or_replaced(open.owner) ||
+      owned_.contains(open.key.value))
+    return;
   owned_.insert(open.key.value);
   tools_.table.Read(OnceRowKey(open.key),
                     [this, key = open.key](const Result<std::optional<Row>>& read) {
@@ -54,7 +56,7 @@
 
 void EntryOnce::TakeOver(const ItemKey& key, const OnceRow& row, RowVersion version) {
   const bool open = row.phase == OncePhase::kQueued || row.phase == OncePhase::kClaimed;
-  if (!open || !view_.gone(row.sender)) return;
+  if (!open || !view_.is_dead_or_replaced(row.sender)) return;
   owned_.insert(key.value);
   const OnceWrite write = TakeOverWrite(key, row, version, self_, tools_.random);
   WriteUntilKnown(write, [this, key, value = write.value](const OnceWriteResult& fate) {
@@ -103,7 +105,7 @@
 }
 
 void EntryOnce::Sweep() {
-  if (view_.caretaker()) Act(sweep_.NextPage());
+  if (view_.runs_recovery()) Act(sweep_.NextPage());
   sweep_timer_ = loop_.After(sweep_.under_way() ? kSweepPage : kSweepPause, [this] { Sweep(); });
 }
 
--- a/src/figmilld/traffic/once_ticket.cc
+++ b/src/figmilld/traffic/once_ticket.cc
@@ -39,7 +39,7 @@
   run_over_ = false;
   go_ = std::move(go);
   once::Claim claim{request, NodeInstance{agent.node, agent.incarnation}};
-  tools_.agent.ReadStamp(
+  tools_.agent.ReadAgentClock(
       agent.http, [self = shared_from_this(), claim](std::optional<std::int64_t> stamp) mutable {
         if (!self->item_.idle()) return;
         claim.stamp = stamp.value_or(0);
@@ -62,7 +62,7 @@
   if (accepted() && hopeless && error.ran == Ran::kNo && item_.idle()) {
     HttpResponse problem = ProblemOf(error);
     return Step(once::Answered{
-        OutcomeOf(problem.status, std::move(problem.content_type), std::move(problem.body))});
+        MakeOutcome(problem.status, std::move(problem.content_type), std::move(problem.body))});
   }
   if (error.ran == Ran::kNo) return Step(once::DidNotRun{error, false});
   Step(once::SendOutcomeUnknown{error});
@@ -92,7 +92,7 @@
 
 void OnceTicket::End() {
   run_over_ = true;
-  Step(once::Answered{OutcomeOf(status_, content_type_, body_)});
+  Step(once::Answered{MakeOutcome(status_, content_type_, body_)});
 }
 
 void OnceTicket::OnClosed(std::function<void()> closed) {
@@ -108,7 +108,7 @@
 // --- The item's steps ----------------------------------------------------------------
 
 void OnceTicket::Step(const once::Event& event) {
-  const once::Context context{Loop::Now(), tools_.random, tools_.view.gone};
+  const once::Context context{Loop::Now(), tools_.random, tools_.view.is_dead_or_replaced};
   for (once::Action& action : item_.Handle(event, context)) Act(std::move(action));
   if (!item_.finished()) return;
   timers_.clear();
@@ -152,15 +152,15 @@
                 revoke, [back = Back<once::RevokeDone>()](RevokeState state) { back({state}); });
           },
           [this](once::Resume& resume) {
-            tools_.agent.Resume(resume, item_.spec().key, item_.spec().repeatable,
-                                [back = Back<once::Event>()](OnceAgent::Resumed resumed) {
-                                  std::visit(
-                                      Overloaded{[&](OnceOutcome& outcome) {
-                                                   back(once::Answered{std::move(outcome)});
-                                                 },
-                                                 [&](const auto& nothing) { back(nothing); }},
-                                      resumed);
-                                });
+            tools_.agent.Resume(
+                resume, item_.spec().key, item_.spec().repeatable,
+                [back = Back<once::Event>()](OnceAgentClient::ResumeResult resumed) {
+                  std::visit(Overloaded{[&](OnceOutcome& outcome) {
+                                          back(once::Answered{std::move(outcome)});
+                                        },
+                                        [&](const auto& nothing) { back(nothing); }},
+                             resumed);
+                });
           },
           [this](once::ReplyOutcome& told) { Tell(told); },
           [this](once::ReplyError& told) { TellError(told.error); },
--- a/src/figmilld/traffic/once_ticket.h
+++ b/src/figmilld/traffic/once_ticket.h
@@ -10,7 +10,7 @@
 
 #include "figmill/once.h"
 #include "figmill/runtime.h"
-#include "figmilld/agent/once_agent.h"
+#include "figmilld/agent/once_agent_client.h"
 #include "figmilld/traffic/once_writer.h"
 
 namespace figmill {
@@ -21,8 +21,8 @@
   TableStore& table;
   ObjectStore& objects;
   OnceWriter writer;
-  OnceAgent agent;
-  OnceView& view;
+  OnceAgentClient agent;
+  OnceMembershipView& view;
   RandomBits random;
 };
 
--- a/src/figmilld/traffic/once_view.cc
+++ b/src/figmilld/traffic/once_view.cc
@@ -44,16 +44,18 @@
 
 }  // namespace
 
-OnceView ViewOver(const ControlShell& control, Member self) {
-  OnceView view;
+OnceMembershipView ViewOver(const ControlShell& control, Member self) {
+  OnceMembershipView view;
   view.agent = [&control](const NodeId& node) { return FindIn(*control.current(), node); };
-  view.gone = [&control](const NodeInstance& party) { return IsGone(*control.current(), party); };
-  view.writer = [&control, self]() -> std::optional<Address> {
+  view.is_dead_or_replaced = [&control](const NodeInstance& party) {
+    return IsGone(*control.current(), party);
+  };
+  view.writer_address = [&control, self]() -> std::optional<Address> {
     const auto chosen = EntryFor("once-writer", *control.current(), &self.data_centre);
     if (!chosen || chosen->node == self.node) return std::nullopt;
     return chosen->http;
   };
-  view.caretaker = [&control, self] {
+  view.runs_recovery = [&control, self] {
     const auto chosen = EntryFor("once-caretaker", *control.current(), nullptr);
     return !chosen || chosen->node == self.node;
   };
--- a/src/figmilld/traffic/once_view.h
+++ b/src/figmilld/traffic/once_view.h
@@ -3,12 +3,12 @@
 // What keyed items need to know of the other processes, from the snapshot in
 // force.
 
-#include "figmilld/agent/once_agent.h"
+#include "figmilld/agent/once_agent_client.h"
 #include "figmilld/control/control_shell.h"
 
 namespace figmill {
 
 // `control` must outlive the view.
-[[nodiscard]] OnceView ViewOver(const ControlShell& control, Member self);
+[[nodiscard]] OnceMembershipView ViewOver(const ControlShell& control, Member self);
 
 }  // namespace figmill
--- a/src/gate/scheduler_arrivals.cc
+++ b/src/gate/scheduler_arrivals.cc
@@ -144,7 +144,7 @@
   stream->dispatch.epoch = dispatch.epoch;
   arrivals_[arrival] = dispatch.request;
   if (stream->phase == Phase::kQueued && !stream->ran) return;  // it starts from the queue
-  if (!config_.token_streams) return;  // AgentGate buffers the answer until it is complete
+  if (!config_.token_streams) return;  // DispatchHandler buffers the answer until it is complete
   batch_queue_.Remove(dispatch.request);
   if (stream->phase == Phase::kRunning) LeaveRunning(*stream);
   stream->reattached = true;
--- a/test/placement-engine-test.cc
+++ b/test/placement-engine-test.cc
@@ -3,7 +3,7 @@
 #include <nlohmann/json.hpp>
 
 #include "figmilld/agent/engine_client.h"
-#include "figmilld/agent/placement_shell.h"
+#include "figmilld/agent/placement_executor.h"
 #include "standin/engine.h"
 #include "standin/platform.h"
 
@@ -69,7 +69,7 @@
         table(client_of_platform),
         port(client, engine_server->address(), BackendKind::kModel) {}
 
-  PlacementShell Agent(Incarnation incarnation) {
+  PlacementExecutor Agent(Incarnation incarnation) {
     return {{loop, table, client_of_platform, port, SystemRandom(), NodeId{"a-1"}, incarnation,
              [this](std::function<void()> drained) {
                ++drains;
@@ -138,9 +138,9 @@
   for (const bool checks_fencing : {true, false}) {
     CAPTURE(checks_fencing);
     EngineFixture fixture(checks_fencing);
-    PlacementShell agent = fixture.Agent(7);
+    PlacementExecutor agent = fixture.Agent(7);
     LoseOrderAnswers(fixture, 2);
-    agent.OnFold(FoldWithPlacement(812, "2", "prefill", checks_fencing));
+    agent.OnControlState(FoldWithPlacement(812, "2", "prefill", checks_fencing));
     fixture.RunUntil([&] {
       fixture.RefreshState();
       return agent.settled() && fixture.drain_ends > 0 && fixture.last.role == "prefill" &&
@@ -156,9 +156,9 @@
 // even newer ones. Both would then act as the engine's owner.
 TEST_CASE("an agent whose slot a later process has taken sends no orders") {
   EngineFixture fixture(false);
-  PlacementShell later = fixture.Agent(8);
-  PlacementShell earlier = fixture.Agent(7);
-  later.OnFold(FoldWithPlacement(812, "1", "prefill", false));
+  PlacementExecutor later = fixture.Agent(8);
+  PlacementExecutor earlier = fixture.Agent(7);
+  later.OnControlState(FoldWithPlacement(812, "1", "prefill", false));
   bool earlier_resumed = false;
   int reads_before = 0;
   fixture.RunUntil([&] {
@@ -166,7 +166,7 @@
     if (!earlier_resumed && later.settled() && fixture.last.role == "prefill") {
       earlier_resumed = true;
       reads_before = fixture.table.reads;
-      earlier.OnFold(FoldWithPlacement(813, "1", "decode", false));
+      earlier.OnControlState(FoldWithPlacement(813, "1", "decode", false));
     }
     return earlier_resumed && fixture.table.reads > reads_before &&
            fixture.last.role == "prefill" && fixture.drains == fixture.drain_ends;
