--- a/src/figmilld/agent/agent_rpc.cc
+++ b/src/figmilld/agent/agent_rpc.cc
@@ -42,20 +42,21 @@
 
 }  // namespace
 
-void BindAgentRpc(RpcServer& server, DispatchHandler& gate) {
-  Bind(server, "revoke", [&gate](const Json& params) {
+void BindAgentRpc(RpcServer& server, DispatchHandler& dispatch_handler) {
+  Bind(server, "revoke", [&dispatch_handler](const Json& params) {
     std::optional<Duration> age;
     if (params.contains("age_ms")) {
       age = std::chrono::milliseconds(params.at("age_ms").get<std::uint32_t>());
     }
     const auto incarnation = params.at("incarnation").get<Incarnation>();
-    return ToJsonReply(gate.RevokeRequest(ReadRequestId(params), incarnation, age));
+    return ToJsonReply(dispatch_handler.RevokeRequest(ReadRequestId(params), incarnation, age));
   });
-  Bind(server, "cancel", [&gate](const Json& params) {
-    return ToJsonReply(gate.CancelRequest(ReadRequestId(params)));
+  Bind(server, "cancel", [&dispatch_handler](const Json& params) {
+    return ToJsonReply(dispatch_handler.CancelRequest(ReadRequestId(params)));
   });
-  Bind(server, "supersede", [&gate](const Json& params) -> Result<std::string> {
-    gate.SupersedeJob(JobId{params.at("job").get<std::string>()}, params.at("epoch").get<Epoch>());
+  Bind(server, "supersede", [&dispatch_handler](const Json& params) -> Result<std::string> {
+    dispatch_handler.SupersedeJob(JobId{params.at("job").get<std::string>()},
+                                  params.at("epoch").get<Epoch>());
     return std::string("{}");
   });
 }
--- a/src/figmilld/agent/agent_rpc.h
+++ b/src/figmilld/agent/agent_rpc.h
@@ -7,7 +7,7 @@
 
 namespace figmill {
 
-// `gate` outlives `server`.
-void BindAgentRpc(RpcServer& server, DispatchHandler& gate);
+// `dispatch_handler` outlives `server`.
+void BindAgentRpc(RpcServer& server, DispatchHandler& dispatch_handler);
 
 }  // namespace figmill
--- a/src/figmilld/agent/dispatch_handler.cc
+++ b/src/figmilld/agent/dispatch_handler.cc
@@ -25,14 +25,14 @@
 
 }  // namespace
 
-DispatchHandler::DispatchHandler(const DispatchHandlerContext& parts, const AgentSettings& settings,
-                                 Incarnation incarnation)
-    : loop_(parts.loop),
-      tracer_(parts.tracer),
+DispatchHandler::DispatchHandler(const DispatchHandlerContext& context,
+                                 const AgentSettings& settings, Incarnation incarnation)
+    : loop_(context.loop),
+      tracer_(context.tracer),
       settings_(settings),
       incarnation_(incarnation),
-      engine_(parts.client, settings.backend, settings.backend_kind),
-      metrics_(parts.metrics),
+      engine_(context.client, settings.backend, settings.backend_kind),
+      metrics_(context.metrics),
       scheduler_(MakeSchedulerConfig(settings, incarnation)) {
   tick_timer_ = loop_.Every(kTickPeriod, [this] { Tick(); });
   keep_alive_timer_ = loop_.Every(kKeepAlivePeriod, [this] { KeepAnswersAlive(); });
--- a/src/figmilld/agent/dispatch_handler.h
+++ b/src/figmilld/agent/dispatch_handler.h
@@ -28,7 +28,7 @@
 
 class DispatchHandler {
  public:
-  DispatchHandler(const DispatchHandlerContext& parts, const AgentSettings& settings,
+  DispatchHandler(const DispatchHandlerContext& context, const AgentSettings& settings,
                   Incarnation incarnation);
 
   void OnDispatch(HttpRequest request, std::shared_ptr<HttpReply> reply);
--- a/src/figmilld/agent/placement_executor.cc
+++ b/src/figmilld/agent/placement_executor.cc
@@ -50,13 +50,13 @@
                           .checks_fencing = backend->second.checks_fencing};
 }
 
-PlacementExecutor::PlacementExecutor(PlacementExecutorContext parts, ReconcilerSettings settings)
-    : parts_(std::move(parts)), reconciler_(settings) {
-  tick_timer_ = parts_.loop.Every(kTickPeriod, [this] { HandleEvent(ReconcilerTick{}); });
+PlacementExecutor::PlacementExecutor(PlacementExecutorContext context, ReconcilerSettings settings)
+    : context_(std::move(context)), reconciler_(settings) {
+  tick_timer_ = context_.loop.Every(kTickPeriod, [this] { HandleEvent(ReconcilerTick{}); });
 }
 
 void PlacementExecutor::OnControlState(const Fold& fold) {
-  if (const auto desired = DesiredPlacementFor(fold, parts_.self)) HandleEvent(*desired);
+  if (const auto desired = DesiredPlacementFor(fold, context_.self)) HandleEvent(*desired);
 }
 
 void PlacementExecutor::HandleEvent(const ReconcilerEvent& event) {
@@ -67,23 +67,23 @@
   std::visit(Overloaded{
                  [&](const ReadOwnership&) { ReadOwnershipRow(); },
                  [&](const ReadEngineState&) {
-                   parts_.engine.State([this](Result<EngineState> state) {
+                   context_.engine.State([this](Result<EngineState> state) {
                      HandleEvent(EngineStateRead{std::move(state)});
                    });
                  },
                  [&](const ReserveWeights& reserve) {
-                   parts_.weights.Reserve(reserve.object, reserve.bytes,
-                                          [this](Result<Duration> wait) {
-                                            if (IsOk(wait)) {
-                                              return HandleEvent(WeightsGranted{ValueOf(wait)});
-                                            }
-                                            HandleEvent(WeightsRefused{ErrorOf(wait)});
-                                          });
+                   context_.weights.Reserve(reserve.object, reserve.bytes,
+                                            [this](Result<Duration> wait) {
+                                              if (IsOk(wait)) {
+                                                return HandleEvent(WeightsGranted{ValueOf(wait)});
+                                              }
+                                              HandleEvent(WeightsRefused{ErrorOf(wait)});
+                                            });
                  },
                  [&](const BeginDrain&) { BeginPlacementDrain(); },
                  [&](const EndDrain&) {
                    ++drain_number_;
-                   parts_.end_drain();
+                   context_.end_drain();
                  },
                  [&](const SendOrder& send) { SendToEngine(send); },
                  [&](const ReportPlacementError& trouble) {
@@ -99,35 +99,35 @@
 // overwrites it with its own. A process that reads a later incarnation has lost the ownership
 // for good.
 void PlacementExecutor::ReadOwnershipRow() {
-  parts_.table.Read(EngineOwnerKey(parts_.self),
-                    [this](const Result<std::optional<Row>>& row) { OnOwnershipRow(row); });
+  context_.table.Read(EngineOwnerKey(context_.self),
+                      [this](const Result<std::optional<Row>>& row) { OnOwnershipRow(row); });
 }
 
 void PlacementExecutor::OnOwnershipRow(const Result<std::optional<Row>>& row) {
   if (!IsOk(row)) return HandleEvent(OwnershipReadFailed{ErrorOf(row)});
   const std::optional<Row>& found = ValueOf(row);
   const Incarnation holder = found ? IncarnationOf(*found) : 0;
-  if (holder == parts_.incarnation) return HandleEvent(OwnershipRead{true});
-  if (holder > parts_.incarnation) return HandleEvent(OwnershipRead{false});
+  if (holder == context_.incarnation) return HandleEvent(OwnershipRead{true});
+  if (holder > context_.incarnation) return HandleEvent(OwnershipRead{false});
   ClaimOwnership(found ? found->version : 0);
 }
 
 // The next read shows the result of the write, so a lost answer needs no extra handling.
 void PlacementExecutor::ClaimOwnership(RowVersion version) {
-  const std::string key = EngineOwnerKey(parts_.self);
-  const Json value = {{"token", FreshToken(parts_.random).value},
-                      {"incarnation", parts_.incarnation}};
-  parts_.table.Commit({{{key, version}}, {PutRow{key, value.dump()}}},
-                      [this](const TransactionOutcome& outcome) {
-                        if (std::holds_alternative<Committed>(outcome)) {
-                          return HandleEvent(OwnershipRead{true});
-                        }
-                        HandleEvent(OwnershipReadFailed{OwnershipUnknown("not claimed yet")});
-                      });
+  const std::string key = EngineOwnerKey(context_.self);
+  const Json value = {{"token", FreshToken(context_.random).value},
+                      {"incarnation", context_.incarnation}};
+  context_.table.Commit({{{key, version}}, {PutRow{key, value.dump()}}},
+                        [this](const TransactionOutcome& outcome) {
+                          if (std::holds_alternative<Committed>(outcome)) {
+                            return HandleEvent(OwnershipRead{true});
+                          }
+                          HandleEvent(OwnershipReadFailed{OwnershipUnknown("not claimed yet")});
+                        });
 }
 
 void PlacementExecutor::BeginPlacementDrain() {
-  parts_.begin_drain([this, drain = ++drain_number_] {
+  context_.begin_drain([this, drain = ++drain_number_] {
     if (drain == drain_number_) HandleEvent(EngineDrained{});
   });
 }
@@ -135,7 +135,7 @@
 void PlacementExecutor::SendToEngine(const SendOrder& send) {
   if (Loop::Now() > send.not_after) {
     // Posted, as events must not be delivered within the call that requests them.
-    parts_.loop.Post([this, number = send.number] {
+    context_.loop.Post([this, number = send.number] {
       HandleEvent(OrderFailed{
           number, Error{ErrorKind::kDeadlineExceeded, "the ownership of the engine has expired"}});
     });
@@ -147,7 +147,7 @@
        {"subject", order.subject},
        {"version", order.version},
        {"fence", std::to_string(order.fence)}});
-  parts_.engine.Order(order, [this, number = send.number](const Result<Ok>& outcome) {
+  context_.engine.Order(order, [this, number = send.number](const Result<Ok>& outcome) {
     if (IsOk(outcome)) return HandleEvent(OrderDone{number});
     HandleEvent(OrderFailed{number, ErrorOf(outcome)});
   });
--- a/src/figmilld/agent/placement_executor.h
+++ b/src/figmilld/agent/placement_executor.h
@@ -27,7 +27,7 @@
 
 class PlacementExecutor {
  public:
-  PlacementExecutor(PlacementExecutorContext parts, ReconcilerSettings settings);
+  PlacementExecutor(PlacementExecutorContext context, ReconcilerSettings settings);
 
   // To be called whenever the control state has changed.
   void OnControlState(const Fold& fold);
@@ -42,7 +42,7 @@
   void BeginPlacementDrain();
   void SendToEngine(const SendOrder& send);
 
-  PlacementExecutorContext parts_;
+  PlacementExecutorContext context_;
   PlacementReconciler reconciler_;
   // Number of the latest drain; a late callback of an earlier one is ignored.
   std::uint64_t drain_number_ = 0;
