--- a/src/figmilld/agent/dispatch_handler.cc
+++ b/src/figmilld/agent/dispatch_handler.cc
@@ -12,8 +12,8 @@
 // Largest exported KV cache that is kept in memory for a stopped stream. Streams with
 // larger exports are run again, as this process has little memory.
 constexpr std::size_t kMaxExportBytes = 64 << 10;
-// Upper bound of a revoke's time in transit: the dispatch may have been sent earlier than
-// the age in the revoke says by this much. The sender of a revoke waits no longer for it.
+// Upper bound of the time that a revoke is in transit, as its sender waits no longer. The
+// dispatch may have been sent by as much earlier than the age in the revoke says.
 constexpr Duration kMaxRevokeTransit{10'000'000};
 
 SchedulerConfig MakeSchedulerConfig(const AgentSettings& settings, Incarnation incarnation) {
