--- a/src/figmilld/agent/once_agent.cc
+++ b/src/figmilld/agent/once_agent_client.cc
@@ -1,4 +1,4 @@
-#include "figmilld/agent/once_agent.h"
+#include "figmilld/agent/once_agent_client.h"
 
 #include <nlohmann/json.hpp>
 
@@ -10,10 +10,10 @@
 constexpr Duration kStampTimeout{1'000'000};
 constexpr Duration kRevokeTimeout{2'000'000};
 
-RevokeState ReadState(const Result<std::string>& answer) {
+RevokeState ParseRevokeReply(const Result<std::string>& answer) {
   if (!IsOk(answer)) {
-    // An agent that answers and still can't promise (another incarnation, or a
-    // request too old for its records) can't tell; one that doesn't may yet.
+    // An agent that answers with an error (another incarnation, or a request too old for its
+    // records) will never know the state; one that can't be reached may still know it.
     const Error& error = ErrorOf(answer);
     return error.kind == ErrorKind::kBackendFailed ? RevokeState::kUnreachable
                                                    : RevokeState::kOtherIncarnation;
@@ -27,47 +27,47 @@
 }
 
 // Collects a stream that is read again from its start.
-struct Reading {
-  std::function<void(OnceAgent::Resumed)> done;
+struct StreamCollector {
+  std::function<void(OnceAgentClient::ResumeResult)> done;
   int status = 0;
   std::string content_type;
   std::string body;
 };
 
-void Read(Reading& reading, DispatchEvent event) {
-  const auto refused = [&](const Error& error) {
+void OnDispatchEvent(StreamCollector& collector, DispatchEvent event) {
+  const auto fail = [&](const Error& error) {
     const bool gone = error.kind == ErrorKind::kNotFound;
-    reading.done(gone ? OnceAgent::Resumed{once::StreamNotFound{}}
-                      : OnceAgent::Resumed{once::ResumeFailed{}});
+    collector.done(gone ? OnceAgentClient::ResumeResult{once::StreamNotFound{}}
+                        : OnceAgentClient::ResumeResult{once::ResumeFailed{}});
   };
   std::visit(Overloaded{
                  [&](FrameHead& head) {
-                   reading.status = head.status;
-                   reading.content_type = head.content_type;
+                   collector.status = head.status;
+                   collector.content_type = head.content_type;
                  },
-                 [&](FrameData& data) { reading.body += data.bytes; },
+                 [&](FrameData& data) { collector.body += data.bytes; },
                  [&](FrameEnd&) {
-                   reading.done(OutcomeOf(reading.status, std::move(reading.content_type),
-                                          std::move(reading.body)));
+                   collector.done(MakeOutcome(collector.status, std::move(collector.content_type),
+                                              std::move(collector.body)));
                  },
-                 [&](FrameFailure& failure) { refused(failure.error); },
-                 [&](DispatchRefused& refusal) { refused(refusal.error); },
-                 [&](DispatchBroke&) { reading.done(once::ResumeFailed{}); },
+                 [&](FrameFailure& failure) { fail(failure.error); },
+                 [&](DispatchRefused& refusal) { fail(refusal.error); },
+                 [&](DispatchBroke&) { collector.done(once::ResumeFailed{}); },
              },
              event);
 }
 
 }  // namespace
 
-OnceOutcome OutcomeOf(int status, std::string content_type, std::string body) {
+OnceOutcome MakeOutcome(int status, std::string content_type, std::string body) {
   OnceOutcome outcome{status, std::move(content_type), "", std::move(body), ""};
   const std::string_view parts[] = {outcome.content_type, outcome.body};
   outcome.digest = ContentDigest(parts);
   return outcome;
 }
 
-void OnceAgent::ReadStamp(const Address& agent,
-                          std::function<void(std::optional<std::int64_t>)> done) {
+void OnceAgentClient::ReadAgentClock(const Address& agent,
+                                     std::function<void(std::optional<std::int64_t>)> done) {
   HttpCall call;
   call.to = agent;
   call.target = "/agent/status";
@@ -75,28 +75,28 @@
   client_.Fetch(std::move(call), [done = std::move(done)](const Result<HttpResponse>& answer) {
     if (!IsOk(answer) || ValueOf(answer).status != 200) return done(std::nullopt);
     const auto json = nlohmann::json::parse(ValueOf(answer).body, nullptr, false);
-    const bool told = json.is_object() && json.contains("stamp");
-    if (!told || !json["stamp"].is_number()) return done(std::nullopt);
+    const bool has_stamp = json.is_object() && json.contains("stamp");
+    if (!has_stamp || !json["stamp"].is_number()) return done(std::nullopt);
     done(json["stamp"].get<std::int64_t>());
   });
 }
 
-void OnceAgent::Revoke(const once::Revoke& order, std::function<void(RevokeState)> done) {
+void OnceAgentClient::Revoke(const once::Revoke& order, std::function<void(RevokeState)> done) {
   const std::optional<Member> agent = view_.agent(order.agent.node);
   if (!agent) return done(RevokeState::kUnreachable);
-  // Its successor in the slot has no records of it.
+  // A later process in the same slot has no records of the request.
   if (agent->incarnation > order.agent.incarnation) return done(RevokeState::kOtherIncarnation);
-  ReadStamp(agent->http, [this, at = agent->http, order,
-                          done = std::move(done)](std::optional<std::int64_t> now) {
+  ReadAgentClock(agent->http, [this, at = agent->http, order,
+                               done = std::move(done)](std::optional<std::int64_t> now) {
     if (!now) return done(RevokeState::kUnreachable);
-    RevokeAged(at, order, *now, done);
+    SendRevoke(at, order, *now, done);
   });
 }
 
-// The dispatch can't be older than its stamp. Without an age that the agent's
-// records reach back to, it promises nothing, for it may have forgotten the run.
-void OnceAgent::RevokeAged(const Address& agent, const once::Revoke& order, std::int64_t stamp_now,
-                           std::function<void(RevokeState)> done) {
+// The dispatch can't be older than its stamp. Without an age, or with one beyond the agent's
+// record retention, the agent makes no promise, as it may have dropped the record of a run.
+void OnceAgentClient::SendRevoke(const Address& agent, const once::Revoke& order,
+                                 std::int64_t stamp_now, std::function<void(RevokeState)> done) {
   nlohmann::json params = {{"request", order.request.value},
                            {"incarnation", order.agent.incarnation}};
   if (order.stamp != 0) {
@@ -104,11 +104,13 @@
     params["age_ms"] = std::chrono::ceil<std::chrono::milliseconds>(age).count();
   }
   CallRpc(client_, agent, "revoke", params.dump(), kRevokeTimeout,
-          [done = std::move(done)](const Result<std::string>& answer) { done(ReadState(answer)); });
+          [done = std::move(done)](const Result<std::string>& answer) {
+            done(ParseRevokeReply(answer));
+          });
 }
 
-void OnceAgent::Resume(const once::Resume& order, const ItemKey& item, bool repeatable,
-                       std::function<void(Resumed)> done) {
+void OnceAgentClient::Resume(const once::Resume& order, const ItemKey& item, bool repeatable,
+                             std::function<void(ResumeResult)> done) {
   const std::optional<Member> agent = view_.agent(order.agent.node);
   if (!agent) return done(once::ResumeFailed{});
   DispatchHeaders dispatch;
@@ -117,10 +119,10 @@
   dispatch.item = item;
   dispatch.repeatable = repeatable;
   dispatch.resume_from = 0;
-  auto reading = std::make_shared<Reading>();
-  reading->done = std::move(done);
+  auto collector = std::make_shared<StreamCollector>();
+  collector->done = std::move(done);
   SendDispatch(client_, agent->http, dispatch, "",
-               [reading](DispatchEvent event) { Read(*reading, std::move(event)); });
+               [collector](DispatchEvent event) { OnDispatchEvent(*collector, std::move(event)); });
 }
 
 }  // namespace figmill
