--- a/src/gateway/batch_sweep.cc
+++ b/src/gateway/batch_sweep.cc
@@ -59,7 +59,7 @@
     if (now - run.last_activity_at >= timeout) stalled.push_back(key);
   }
   for (const JobItemRef& key : stalled) {
-    Requeue(key, relay::SendEnd::kSilent, "no data within the timeout", Duration{0});
+    Requeue(key, relay::SendEnd::kSilent, "no bytes in time", Duration{0});
   }
 }
 
