--- a/include/figmill/exchange.h
+++ b/include/figmill/exchange.h
@@ -53,7 +53,7 @@
 
   // Opens a connection without a request and keeps it idle for later calls. `done` is called on
   // the loop, never inside this call.
-  void Dial(const Address& to, Duration patience, std::function<void(DialResult)> done);
+  void Dial(const Address& to, Duration timeout, std::function<void(DialResult)> done);
 
   // Closes the idle connections to an address, for example after its server was replaced.
   void DropIdle(const Address& address);
--- a/include/figmill/json_fields.h
+++ b/include/figmill/json_fields.h
@@ -28,14 +28,14 @@
 // epoch: one that counts from 1970 gives times of 56 years.
 inline constexpr Duration kLongestTime = std::chrono::hours(24) * 366 * 1000;
 // Doubles represent all whole numbers up to here exactly.
-inline constexpr double kLargestWhole = 9007199254740992.0;
+inline constexpr double kMaxExactInteger = 9007199254740992.0;
 
 // Thrown while a document is read; Parsed and similar functions convert it to an Error.
 struct BadDocument : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-[[noreturn]] inline void Refuse(const char* name, const std::string& why) {
+[[noreturn]] inline void ThrowFieldError(const char* name, const std::string& why) {
   throw BadDocument("'" + std::string(name) + "' " + why);
 }
 
@@ -48,26 +48,26 @@
 
 [[nodiscard]] inline const Json& Need(const Json& object, const char* name) {
   const Json* found = Find(object, name);
-  if (found == nullptr) Refuse(name, "is missing");
+  if (found == nullptr) ThrowFieldError(name, "is missing");
   return *found;
 }
 
 // --- Values ------------------------------------------------------------------------
 
 [[nodiscard]] inline std::string TextOf(const Json& value, const char* name) {
-  if (!value.is_string()) Refuse(name, "must be a string");
+  if (!value.is_string()) ThrowFieldError(name, "must be a string");
   return value.get_ref<const std::string&>();
 }
 
 [[nodiscard]] inline bool FlagOf(const Json& value, const char* name) {
-  if (!value.is_boolean()) Refuse(name, "must be true or false");
+  if (!value.is_boolean()) ThrowFieldError(name, "must be true or false");
   return value.get<bool>();
 }
 
 [[nodiscard]] inline double NumberOf(const Json& value, const char* name) {
-  if (!value.is_number()) Refuse(name, "must be a number");
+  if (!value.is_number()) ThrowFieldError(name, "must be a number");
   const auto number = value.get<double>();
-  if (!std::isfinite(number)) Refuse(name, "must be finite");
+  if (!std::isfinite(number)) ThrowFieldError(name, "must be finite");
   return number;
 }
 
@@ -79,7 +79,7 @@
                         T most = std::numeric_limits<T>::max()) {
   static_assert(std::is_unsigned_v<T> || sizeof(T) <= sizeof(std::int64_t));
   const auto out_of_range = [&] {
-    Refuse(name, "must be from " + std::to_string(least) + " to " + std::to_string(most));
+    ThrowFieldError(name, "must be from " + std::to_string(least) + " to " + std::to_string(most));
   };
   if (value.is_number_unsigned()) {
     const auto number = value.get<std::uint64_t>();
@@ -92,8 +92,8 @@
     return static_cast<T>(number);
   }
   const double number = NumberOf(value, name);
-  if (number != std::floor(number)) Refuse(name, "must be a whole number");
-  if (std::abs(number) > kLargestWhole) out_of_range();
+  if (number != std::floor(number)) ThrowFieldError(name, "must be a whole number");
+  if (std::abs(number) > kMaxExactInteger) out_of_range();
   const auto whole = static_cast<std::int64_t>(number);
   if (std::cmp_less(whole, least) || std::cmp_greater(whole, most)) out_of_range();
   return static_cast<T>(whole);
@@ -101,8 +101,9 @@
 
 [[nodiscard]] inline Duration TimeOf(const Json& value, const char* name, double unit_us) {
   const double us = NumberOf(value, name) * unit_us;
-  if (us < 0) Refuse(name, "must not be negative");
-  if (us > static_cast<double>(kLongestTime.count())) Refuse(name, "is too long a duration");
+  if (us < 0) ThrowFieldError(name, "must not be negative");
+  if (us > static_cast<double>(kLongestTime.count()))
+    ThrowFieldError(name, "is too long a duration");
   return Duration(static_cast<Duration::rep>(us));
 }
 
@@ -115,9 +116,9 @@
 // A string that names something: not empty, and no longer than a key.
 [[nodiscard]] inline std::string Name(const Json& object, const char* name) {
   std::string text = Text(object, name);
-  if (text.empty()) Refuse(name, "is empty");
+  if (text.empty()) ThrowFieldError(name, "is empty");
   if (text.size() > kMaxNameBytes) {
-    Refuse(name, "has more than " + std::to_string(kMaxNameBytes) + " bytes");
+    ThrowFieldError(name, "has more than " + std::to_string(kMaxNameBytes) + " bytes");
   }
   return text;
 }
@@ -138,7 +139,7 @@
 
 [[nodiscard]] inline const Json& List(const Json& object, const char* name) {
   const Json& list = Need(object, name);
-  if (!list.is_array()) Refuse(name, "must be a list");
+  if (!list.is_array()) ThrowFieldError(name, "must be a list");
   return list;
 }
 
@@ -150,7 +151,7 @@
   for (const auto& [choice, value] : choices) {
     if (text == choice) return value;
   }
-  Refuse(name, "has the unknown value '" + text + "'");
+  ThrowFieldError(name, "has the unknown value '" + text + "'");
 }
 
 // --- Optional fields: missing or null ----------------------------------------------
@@ -198,8 +199,8 @@
 [[nodiscard]] Result<T> Parsed(std::string_view text, std::string_view what, Read read) {
   try {
     return read(Json::parse(text));
-  } catch (const std::exception& mistake) {
-    return BadRequest(what, mistake.what());
+  } catch (const std::exception& error) {
+    return BadRequest(what, error.what());
   }
 }
 
--- a/include/figmill/ledger.h
+++ b/include/figmill/ledger.h
@@ -166,7 +166,7 @@
   // Queues progress for the next write, so that another owner can resume from it.
   void Keep(ledger::ProgressPiece piece);
   // Ends the job at the submitter's request, with the next write.
-  void End() { wants_end_ = !head_.ended; }
+  void End() { end_requested_ = !head_.ended; }
   // The next write, unless there is nothing to write or a write is in flight.
   [[nodiscard]] std::optional<TableTransaction> NextWrite(const RandomBits& random);
   // Takes in the job's row as stored, received from the change feed or with a rejected write.
@@ -180,7 +180,7 @@
 
   [[nodiscard]] bool writing() const { return in_flight_; }
   [[nodiscard]] bool settled() const {
-    return !write_ && pending_.empty() && progress_.empty() && !wants_end_;
+    return !write_ && unwritten_results_.empty() && unwritten_progress_.empty() && !end_requested_;
   }
 
  private:
@@ -202,11 +202,12 @@
   JobHead head_;
   RowVersion version_;
   std::vector<JobItem> items_;
-  std::map<std::string, std::size_t> index_;
-  std::vector<std::pair<std::size_t, ItemResult>> pending_;  // to be written, in completion order
-  std::vector<ledger::ProgressPiece> progress_;
+  std::map<std::string, std::size_t> item_index_;
+  std::vector<std::pair<std::size_t, ItemResult>>
+      unwritten_results_;  // to be written, in completion order
+  std::vector<ledger::ProgressPiece> unwritten_progress_;
   std::vector<bool> finished_;
-  bool wants_end_ = false;
+  bool end_requested_ = false;
   bool in_flight_ = false;
   std::optional<Write> write_;
 };
--- a/include/figmill/store_clock.h
+++ b/include/figmill/store_clock.h
@@ -38,8 +38,8 @@
  private:
   // Bounds of the store's clock minus this host's clock.
   struct Offset {
-    Duration least{0};
-    Duration most{0};
+    Duration lower{0};
+    Duration upper{0};
   };
   std::optional<Offset> offset_;
   HostTime heard_at_{0};
--- a/include/figmill/tables.h
+++ b/include/figmill/tables.h
@@ -172,9 +172,9 @@
 
  private:
   void StartListing();
-  void StartPart();
-  void FinishPart();
-  void PartFailed();
+  void ResetPartListing();
+  void OnPartListed();
+  void OnPartFailed();
   void Apply(const TableRow& row, bool by_listing);
   void Remove(const TableKey& at, RowVersion version, bool by_listing);
 
@@ -187,15 +187,15 @@
   RowVersion version_ = 0;
   bool complete_ = false;
   bool following_ = false;
-  bool pausing_ = false;
-  std::deque<std::string> unlisted_;  // parts that are still to be listed, the next one first
-  std::size_t failed_in_a_row_ = 0;   // consecutive failed listings of them
-  bool lists_next_ = true;            // whether Next lists a part rather than follows changes
+  bool in_retry_delay_ = false;
+  std::deque<std::string> unlisted_;      // parts that are still to be listed, the next one first
+  std::size_t consecutive_failures_ = 0;  // consecutive failed listings of them
+  bool prefers_listing_ = true;           // whether Next lists a part rather than follows changes
   // Progress of the listing of the current part: where the next page starts, the rows read so
   // far, and the version of the oldest page.
-  std::string from_;
-  std::map<TableKey, TableRow> seen_;
-  std::optional<RowVersion> oldest_page_;
+  std::string next_key_;
+  std::map<TableKey, TableRow> listed_rows_;
+  std::optional<RowVersion> oldest_page_version_;
 };
 
 }  // namespace figmill
--- a/src/encoding/base64.cc
+++ b/src/encoding/base64.cc
@@ -17,7 +17,7 @@
   if (text.size() % 4 != 0) return std::nullopt;
   std::string bytes(base64::decoded_size(text.size()), '\0');
   const auto [written, read] = base64::decode(bytes.data(), text.data(), text.size());
-  // The decoder stops at the padding or at the first invalid character.
+  // The decoder stops at the padding or at the first character that is not base64.
   if (text.substr(read).find_first_not_of('=') != std::string_view::npos) return std::nullopt;
   bytes.resize(written);
   return bytes;
--- a/src/exchange/exchange_client.cc
+++ b/src/exchange/exchange_client.cc
@@ -9,7 +9,7 @@
 #include <map>
 #include <unordered_set>
 
-#include "exchange/answer_parser.h"
+#include "exchange/response_parser.h"
 #include "figmill/exchange.h"
 #include "runtime/loop_core.h"
 
@@ -17,11 +17,11 @@
 namespace {
 
 using asio::ip::tcp;
-using detail::AnswerParser;
-using detail::AnswerState;
+using detail::ResponseParser;
+using detail::ResponseState;
 
 constexpr std::size_t kReadBytes = 8192;
-constexpr std::string_view kNoConnectionInTime = "no connection in time";
+constexpr std::string_view kConnectTimeout = "no connection in time";
 
 bool Has(const std::vector<Header>& headers, std::string_view name) {
   for (const Header& header : headers) {
@@ -52,7 +52,7 @@
   Impl(Loop& loop, ExchangeLimits limits) : loop_(loop), limits_(limits) {}
 
   CancelCall Start(HttpCall call, std::function<void(HttpEvent)> on_event);
-  void Dial(const Address& to, Duration patience, std::function<void(DialResult)> done);
+  void Dial(const Address& to, Duration timeout, std::function<void(DialResult)> done);
   void DropIdle(const Address& address);
   void CloseAll();
   [[nodiscard]] std::uint64_t opened() const { return opened_; }
@@ -66,8 +66,8 @@
 
   std::shared_ptr<Connection> Open(const Address& to);
   std::shared_ptr<Connection> TakeIdle(const Address& address);
-  void Keep(const std::shared_ptr<Connection>& connection, int peer_seconds);
-  void Forget(const Connection* connection);
+  void ReturnToPool(const std::shared_ptr<Connection>& connection, int peer_seconds);
+  void Remove(const Connection* connection);
 
   Loop& loop_;
   ExchangeLimits limits_;
@@ -87,8 +87,8 @@
     call_ = std::move(call);
     on_event_ = std::move(on_event);
     head_ = HeadText(call_);
-    parser_ = std::make_unique<AnswerParser>(call_.method == "HEAD", [this](HttpEvent event) {
-      if (on_event_) Tell(std::move(event));
+    parser_ = std::make_unique<ResponseParser>(call_.method == "HEAD", [this](HttpEvent event) {
+      if (on_event_) Emit(std::move(event));
     });
     written_ = false;
     if (call_.total_timeout.count() > 0) {
@@ -98,21 +98,21 @@
     connected_ ? Send() : ConnectWithin(call_.connect_timeout);
   }
 
-  void Dial(Duration patience, std::function<void(DialResult)> on_dialed) {
-    on_dialed_ = std::move(on_dialed);
-    ConnectWithin(patience);
+  void Dial(Duration timeout, std::function<void(DialResult)> on_dialed) {
+    on_dial_done_ = std::move(on_dialed);
+    ConnectWithin(timeout);
   }
 
   // Ends the call or the connection attempt without a further event; no effect between calls.
   void Cancel() {
-    const bool dialing = std::exchange(on_dialed_, nullptr) != nullptr;
+    const bool dialing = std::exchange(on_dial_done_, nullptr) != nullptr;
     const bool calling = std::exchange(on_event_, nullptr) != nullptr;
     if (dialing || calling) Close();
   }
 
   // Whether the peer has neither closed the connection nor sent anything since the last response.
-  // Such bytes belong to no request, and Watch may not have reported them yet.
-  [[nodiscard]] bool IsQuiet() {
+  // Such bytes belong to no request, and WaitReadable may not have reported them yet.
+  [[nodiscard]] bool HasNoPendingInput() {
     char byte = 0;
     const ssize_t got = ::recv(socket_.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
     return got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
@@ -125,7 +125,7 @@
     socket_.close(ignored);
     if (owner_) {
       const std::shared_ptr<Impl> owner = std::move(owner_);
-      owner->Forget(this);
+      owner->Remove(this);
     }
   }
 
@@ -135,7 +135,7 @@
 
  private:
   // Calls a copy, since the callback may cancel this call and so destroy on_event_.
-  void Tell(HttpEvent event) {
+  void Emit(HttpEvent event) {
     const auto on_event = on_event_;
     on_event(std::move(event));
   }
@@ -144,17 +144,16 @@
     if (call_.bytes != nullptr) call_.bytes->Add(count);
   }
 
-  void ConnectWithin(Duration patience) {
+  void ConnectWithin(Duration timeout) {
     asio::error_code bad;
     const auto host = asio::ip::make_address_v4(to_.host, bad);
     if (bad) {
       return asio::post(socket_.get_executor(), [self = shared_from_this()] {
-        self->OnUnconnected(DialResult::kNoAnswer, "not an IPv4 address: " + self->to_.host);
+        self->OnConnectFailed(DialResult::kNoAnswer, "not an IPv4 address: " + self->to_.host);
       });
     }
-    connect_timer_ = owner_->loop_.After(patience, [this] {
-      OnUnconnected(DialResult::kNoAnswer, std::string(kNoConnectionInTime));
-    });
+    connect_timer_ = owner_->loop_.After(
+        timeout, [this] { OnConnectFailed(DialResult::kNoAnswer, std::string(kConnectTimeout)); });
     socket_.async_connect(tcp::endpoint(host, to_.port),
                           [self = shared_from_this()](const asio::error_code& failure) {
                             self->OnConnected(failure);
@@ -162,33 +161,33 @@
   }
 
   void OnConnected(const asio::error_code& failure) {
-    if (!socket_.is_open() || !(on_event_ || on_dialed_)) return;
+    if (!socket_.is_open() || !(on_event_ || on_dial_done_)) return;
     connect_timer_.Reset();
     if (failure) {
       const bool refused = failure == asio::error::connection_refused;
-      return OnUnconnected(refused ? DialResult::kRefused : DialResult::kNoAnswer,
-                           failure.message());
+      return OnConnectFailed(refused ? DialResult::kRefused : DialResult::kNoAnswer,
+                             failure.message());
     }
     connected_ = true;
     asio::error_code ignored;
     socket_.set_option(tcp::no_delay(true), ignored);
-    on_event_ ? Send() : KeepUnused();
+    on_event_ ? Send() : PoolUnused();
   }
 
-  void KeepUnused() {
+  void PoolUnused() {
     reading_ = true;
-    Watch();
-    owner_->Keep(shared_from_this(), /*peer_seconds=*/0);
-    std::exchange(on_dialed_, nullptr)(DialResult::kConnected);
+    WaitReadable();
+    owner_->ReturnToPool(shared_from_this(), /*peer_seconds=*/0);
+    std::exchange(on_dial_done_, nullptr)(DialResult::kConnected);
   }
 
-  void OnUnconnected(DialResult result, std::string why) {
+  void OnConnectFailed(DialResult result, std::string why) {
     const auto keep = shared_from_this();
-    if (const auto on_dialed = std::exchange(on_dialed_, nullptr)) {
+    if (const auto on_dialed = std::exchange(on_dial_done_, nullptr)) {
       Close();
       return on_dialed(result);
     }
-    const bool timed_out = why == kNoConnectionInTime;
+    const bool timed_out = why == kConnectTimeout;
     Fail(false, timed_out, std::move(why));
   }
 
@@ -208,9 +207,9 @@
   }
 
   // Waits between calls until the socket is readable, without reading. A pending read would
-  // consume unexpected bytes, so that IsQuiet would miss them and they would be taken for the
-  // response to the next call.
-  void Watch() {
+  // consume unexpected bytes, so that HasNoPendingInput would miss them and they would be taken for
+  // the response to the next call.
+  void WaitReadable() {
     socket_.async_wait(tcp::socket::wait_read,
                        [self = shared_from_this()](const asio::error_code& /*failure*/) {
                          if (!self->socket_.is_open()) return;
@@ -232,16 +231,17 @@
     if (failure && failure != asio::error::eof) return Fail(true, false, failure.message());
     CountBytes(size);
     const auto keep = shared_from_this();
-    const AnswerState state = failure ? parser_->FeedEnd() : parser_->Feed({buffer_.data(), size});
+    const ResponseState state =
+        failure ? parser_->FeedEof() : parser_->Feed({buffer_.data(), size});
     if (!on_event_) return;  // an event handler cancelled the call
     switch (state) {
-      case AnswerState::kUnfinished:
+      case ResponseState::kUnfinished:
         return Read();
-      case AnswerState::kComplete:
+      case ResponseState::kCompleteReusable:
         return Finish(/*reusable=*/true);
-      case AnswerState::kLast:
+      case ResponseState::kCompleteNotReusable:
         return Finish(/*reusable=*/false);
-      case AnswerState::kMalformed:
+      case ResponseState::kMalformed:
         return Fail(true, false, failure ? "the answer broke off" : "malformed response");
     }
   }
@@ -253,8 +253,8 @@
     // If the response arrived before the whole body was sent, the connection can't be reused: the
     // peer would take the next request for the rest of this body.
     if (reusable && written_) {
-      Watch();
-      owner_->Keep(shared_from_this(), peer_seconds);
+      WaitReadable();
+      owner_->ReturnToPool(shared_from_this(), peer_seconds);
     } else {
       Close();
     }
@@ -273,15 +273,15 @@
   tcp::socket socket_;
   HttpCall call_;
   std::function<void(HttpEvent)> on_event_;
-  std::function<void(DialResult)> on_dialed_;
+  std::function<void(DialResult)> on_dial_done_;
   std::string head_;
-  std::unique_ptr<AnswerParser> parser_;
+  std::unique_ptr<ResponseParser> parser_;
   std::array<char, kReadBytes> buffer_{};
   Timer connect_timer_, total_timer_;
   std::uint64_t calls_ = 0;
   bool connected_ = false;
   bool written_ = false;
-  bool reading_ = false;  // set on the first call, then always reading or in Watch
+  bool reading_ = false;  // set on the first call, then always reading or in WaitReadable
 };
 
 CancelCall ExchangeClient::Impl::Start(HttpCall call, std::function<void(HttpEvent)> on_event) {
@@ -297,11 +297,11 @@
   };
 }
 
-void ExchangeClient::Impl::Dial(const Address& to, Duration patience,
+void ExchangeClient::Impl::Dial(const Address& to, Duration timeout,
                                 std::function<void(DialResult)> done) {
   const std::shared_ptr<Connection> connection = Open(to);
   busy_.insert(connection);
-  connection->Dial(patience, std::move(done));
+  connection->Dial(timeout, std::move(done));
 }
 
 std::shared_ptr<ExchangeClient::Impl::Connection> ExchangeClient::Impl::Open(const Address& to) {
@@ -317,26 +317,28 @@
   while (!found->second.empty()) {
     Idle idle = std::move(found->second.back());
     found->second.pop_back();
-    const bool usable = idle.connection->open() && now < idle.until && idle.connection->IsQuiet();
+    const bool usable =
+        idle.connection->open() && now < idle.until && idle.connection->HasNoPendingInput();
     if (usable) return idle.connection;
     idle.connection->Close();
   }
   return nullptr;
 }
 
-void ExchangeClient::Impl::Keep(const std::shared_ptr<Connection>& connection, int peer_seconds) {
+void ExchangeClient::Impl::ReturnToPool(const std::shared_ptr<Connection>& connection,
+                                        int peer_seconds) {
   busy_.erase(connection);
   Duration idle = limits_.max_idle;
   if (peer_seconds > 0) idle = std::chrono::seconds(peer_seconds) - limits_.idle_margin;
-  auto& kept = idle_[connection->to()];
-  kept.push_back({connection, Loop::Now() + idle});
-  if (kept.size() <= limits_.max_idle_per_address) return;
-  const std::shared_ptr<Connection> oldest = kept.front().connection;
-  kept.pop_front();
+  auto& pooled = idle_[connection->to()];
+  pooled.push_back({connection, Loop::Now() + idle});
+  if (pooled.size() <= limits_.max_idle_per_address) return;
+  const std::shared_ptr<Connection> oldest = pooled.front().connection;
+  pooled.pop_front();
   oldest->Close();
 }
 
-void ExchangeClient::Impl::Forget(const Connection* connection) {
+void ExchangeClient::Impl::Remove(const Connection* connection) {
   std::erase_if(busy_, [connection](const auto& busy) { return busy.get() == connection; });
   const auto found = idle_.find(connection->to());
   if (found == idle_.end()) return;
@@ -347,9 +349,9 @@
 void ExchangeClient::Impl::DropIdle(const Address& address) {
   const auto found = idle_.find(address);
   if (found == idle_.end()) return;
-  const std::deque<Idle> kept = std::move(found->second);
+  const std::deque<Idle> pooled = std::move(found->second);
   idle_.erase(found);
-  for (const Idle& idle : kept) idle.connection->Close();
+  for (const Idle& idle : pooled) idle.connection->Close();
 }
 
 void ExchangeClient::Impl::CloseAll() {
@@ -358,8 +360,8 @@
   busy_.clear();
   idle_.clear();
   for (const auto& connection : busy) connection->Cancel();
-  for (const auto& [address, kept] : idle) {
-    for (const Idle& one : kept) one.connection->Close();
+  for (const auto& [address, pooled] : idle) {
+    for (const Idle& one : pooled) one.connection->Close();
   }
 }
 
@@ -378,9 +380,9 @@
   return Start(std::move(call), CollectAnswer(std::move(done)));
 }
 
-void ExchangeClient::Dial(const Address& to, Duration patience,
+void ExchangeClient::Dial(const Address& to, Duration timeout,
                           std::function<void(DialResult)> done) {
-  impl_->Dial(to, patience, std::move(done));
+  impl_->Dial(to, timeout, std::move(done));
 }
 
 void ExchangeClient::DropIdle(const Address& address) {
--- a/src/exchange/answer_parser.cc
+++ b/src/exchange/response_parser.cc
@@ -1,11 +1,11 @@
-#include "exchange/answer_parser.h"
+#include "exchange/response_parser.h"
 
 #include <charconv>
 
 namespace figmill::detail {
 namespace {
 
-constexpr int kGoOn = 0;
+constexpr int kContinue = 0;
 constexpr int kNoBody = 1;  // tells http_parser not to expect a body
 
 bool IsInformational(unsigned status) {
@@ -13,7 +13,7 @@
 }
 
 // The number of seconds in "timeout=N" of a Keep-Alive header; 0 if absent.
-int TimeoutOf(std::string_view value) {
+int KeepAliveTimeout(std::string_view value) {
   constexpr std::string_view kName = "timeout=";
   const std::size_t at = value.find(kName);
   if (at == std::string_view::npos) return 0;
@@ -25,91 +25,92 @@
 
 }  // namespace
 
-AnswerParser::AnswerParser(bool to_head, std::function<void(HttpEvent)> on_event)
-    : on_event_(std::move(on_event)), to_head_(to_head) {
+ResponseParser::ResponseParser(bool head_request, std::function<void(HttpEvent)> on_event)
+    : on_event_(std::move(on_event)), head_request_(head_request) {
   http_parser_init(&parser_, HTTP_RESPONSE);
   parser_.data = this;
 }
 
-http_parser_settings AnswerParser::MakeSettings() {
+http_parser_settings ResponseParser::MakeSettings() {
   http_parser_settings settings;
   http_parser_settings_init(&settings);
   settings.on_header_field = [](http_parser* p, const char* at, std::size_t n) {
     Of(p).OnField({at, n});
-    return kGoOn;
+    return kContinue;
   };
   settings.on_header_value = [](http_parser* p, const char* at, std::size_t n) {
     Of(p).OnValue({at, n});
-    return kGoOn;
+    return kContinue;
   };
   settings.on_headers_complete = [](http_parser* p) { return Of(p).OnHead(); };
   settings.on_body = [](http_parser* p, const char* at, std::size_t n) {
     Of(p).OnBody({at, n});
-    return kGoOn;
+    return kContinue;
   };
   settings.on_message_complete = [](http_parser* p) { return Of(p).OnComplete(); };
   return settings;
 }
 
-AnswerState AnswerParser::Feed(std::string_view bytes) {
+ResponseState ResponseParser::Feed(std::string_view bytes) {
   static const http_parser_settings kSettings = MakeSettings();
-  if (complete_) return AnswerState::kMalformed;
+  if (complete_) return ResponseState::kMalformed;
   const std::size_t used = http_parser_execute(&parser_, &kSettings, bytes.data(), bytes.size());
   const auto failure = HTTP_PARSER_ERRNO(&parser_);
-  if (failure != HPE_OK && failure != HPE_PAUSED) return AnswerState::kMalformed;
+  if (failure != HPE_OK && failure != HPE_PAUSED) return ResponseState::kMalformed;
   // The response itself is complete, but the bytes after it make the connection unusable.
   if (complete_ && used < bytes.size()) reusable_ = false;
-  return StateNow();
+  return CurrentState();
 }
 
-AnswerState AnswerParser::FeedEnd() {
+ResponseState ResponseParser::FeedEof() {
   static const http_parser_settings kSettings = MakeSettings();
   if (!complete_) http_parser_execute(&parser_, &kSettings, nullptr, 0);
   reusable_ = false;
-  return complete_ ? AnswerState::kLast : AnswerState::kMalformed;
+  return complete_ ? ResponseState::kCompleteNotReusable : ResponseState::kMalformed;
 }
 
-AnswerState AnswerParser::StateNow() {
-  if (!complete_) return AnswerState::kUnfinished;
-  return reusable_ ? AnswerState::kComplete : AnswerState::kLast;
+ResponseState ResponseParser::CurrentState() {
+  if (!complete_) return ResponseState::kUnfinished;
+  return reusable_ ? ResponseState::kCompleteReusable : ResponseState::kCompleteNotReusable;
 }
 
-void AnswerParser::OnField(std::string_view part) {
+void ResponseParser::OnField(std::string_view part) {
   if (in_value_ || head_.headers.empty()) head_.headers.emplace_back();
   in_value_ = false;
   head_.headers.back().name.append(part);
 }
 
-void AnswerParser::OnValue(std::string_view part) {
+void ResponseParser::OnValue(std::string_view part) {
   in_value_ = true;
   if (!head_.headers.empty()) head_.headers.back().value.append(part);
 }
 
-int AnswerParser::OnHead() {
+int ResponseParser::OnHead() {
   if (IsInformational(parser_.status_code)) {
     head_ = {};
     in_value_ = false;
-    return kGoOn;
+    return kContinue;
   }
   head_.status = static_cast<int>(parser_.status_code);
   for (const Header& header : head_.headers) {
-    if (SameHeaderName(header.name, "Keep-Alive")) keep_alive_seconds_ = TimeoutOf(header.value);
+    if (SameHeaderName(header.name, "Keep-Alive"))
+      keep_alive_seconds_ = KeepAliveTimeout(header.value);
   }
   on_event_(std::move(head_));
   head_ = {};
-  return to_head_ ? kNoBody : kGoOn;
+  return head_request_ ? kNoBody : kContinue;
 }
 
-void AnswerParser::OnBody(std::string_view part) {
+void ResponseParser::OnBody(std::string_view part) {
   on_event_(HttpBytes{part});
 }
 
-int AnswerParser::OnComplete() {
-  if (IsInformational(parser_.status_code)) return kGoOn;
+int ResponseParser::OnComplete() {
+  if (IsInformational(parser_.status_code)) return kContinue;
   complete_ = true;
   reusable_ = http_should_keep_alive(&parser_) != 0;
   http_parser_pause(&parser_, 1);
-  return kGoOn;
+  return kContinue;
 }
 
 }  // namespace figmill::detail
--- a/src/ledger/cbor_nesting.cc
+++ b/src/ledger/cbor_nesting.cc
@@ -48,7 +48,7 @@
 
 }  // namespace
 
-bool NestsWithin(std::string_view bytes, std::size_t depth) {
+bool IsCborWithinDepth(std::string_view bytes, std::size_t depth) {
   std::vector<std::uint64_t> open;  // number of elements still to come, by nesting level
   open.reserve(depth);
   const auto close_full = [&open] {
--- a/src/ledger/owned_job.cc
+++ b/src/ledger/owned_job.cc
@@ -19,20 +19,21 @@
 void OwnedJob::Finish(std::size_t item, ItemResult result) {
   if (!IsOpen(item)) return;
   finished_[item] = true;
-  pending_.emplace_back(item, std::move(result));
+  unwritten_results_.emplace_back(item, std::move(result));
 }
 
 void OwnedJob::Keep(ledger::ProgressPiece piece) {
-  progress_.push_back(std::move(piece));
+  unwritten_progress_.push_back(std::move(piece));
 }
 
 std::optional<TableTransaction> OwnedJob::NextWrite(const RandomBits& random) {
   if (in_flight_) return std::nullopt;
   if (!write_) {
-    if (pending_.empty() && progress_.empty() && !wants_end_) return std::nullopt;
+    if (unwritten_results_.empty() && unwritten_progress_.empty() && !end_requested_)
+      return std::nullopt;
     write_ = Write{head_, {}, {}, version_, true};
     write_->head.token = FreshToken(random);
-    write_->head.ended = head_.ended || wants_end_;
+    write_->head.ended = head_.ended || end_requested_;
     TakeResults(*write_);
     TakeProgress(*write_);
     write_->changes_row = !write_->results.empty() || write_->head.ended != head_.ended;
@@ -43,25 +44,25 @@
 
 void OwnedJob::TakeResults(Write& write) {
   std::size_t bytes = 0;
-  while (!pending_.empty() && write.results.size() < kMaxResultsPerWrite &&
+  while (!unwritten_results_.empty() && write.results.size() < kMaxResultsPerWrite &&
          bytes < kMaxBytesPerWrite) {
-    bytes += pending_.front().second.output.size();
-    write.head.done[pending_.front().first] = 'x';
+    bytes += unwritten_results_.front().second.output.size();
+    write.head.done[unwritten_results_.front().first] = 'x';
     ++write.head.listed;
-    write.results.push_back(std::move(pending_.front()));
-    pending_.erase(pending_.begin());
+    write.results.push_back(std::move(unwritten_results_.front()));
+    unwritten_results_.erase(unwritten_results_.begin());
   }
 }
 
 // Drops the progress of finished items, from which no owner will resume.
 void OwnedJob::TakeProgress(Write& write) {
   std::vector<ledger::ProgressPiece> left;
-  for (ledger::ProgressPiece& piece : std::exchange(progress_, {})) {
+  for (ledger::ProgressPiece& piece : std::exchange(unwritten_progress_, {})) {
     if (!IsOpen(piece.item)) continue;
     const bool fits = write.progress.size() < kMaxPiecesPerWrite && write.results.size() < 4;
     (fits ? write.progress : left).push_back(std::move(piece));
   }
-  progress_ = std::move(left);
+  unwritten_progress_ = std::move(left);
 }
 
 // A retried write must be identical: an earlier copy whose response was lost may still be
@@ -106,17 +107,19 @@
   if (write_) {
     const bool ours = head.token == write_->head.token;
     if (!ours) {
-      pending_.insert(pending_.begin(), std::make_move_iterator(write_->results.begin()),
-                      std::make_move_iterator(write_->results.end()));
-      progress_.insert(progress_.begin(), std::make_move_iterator(write_->progress.begin()),
-                       std::make_move_iterator(write_->progress.end()));
+      unwritten_results_.insert(unwritten_results_.begin(),
+                                std::make_move_iterator(write_->results.begin()),
+                                std::make_move_iterator(write_->results.end()));
+      unwritten_progress_.insert(unwritten_progress_.begin(),
+                                 std::make_move_iterator(write_->progress.begin()),
+                                 std::make_move_iterator(write_->progress.end()));
     }
     write_.reset();
   }
   head_ = head;
   version_ = version;
-  if (head_.ended) wants_end_ = false;
-  std::erase_if(pending_, [this](const auto& each) { return IsListed(each.first); });
+  if (head_.ended) end_requested_ = false;
+  std::erase_if(unwritten_results_, [this](const auto& each) { return IsListed(each.first); });
 }
 
 }  // namespace figmill
--- a/src/ledger/rows.cc
+++ b/src/ledger/rows.cc
@@ -39,11 +39,12 @@
 Result<T> Decoded(std::string_view bytes, std::string_view what, Read read) {
   // The library's parser is recursive: a row of another writer that consists of nothing but
   // nested values would overflow the stack and end each process that reads it.
-  if (!NestsWithin(bytes, kMaxDepth)) return fields::BadRequest(what, "not CBOR of a known form");
+  if (!IsCborWithinDepth(bytes, kMaxDepth))
+    return fields::BadRequest(what, "not CBOR of a known form");
   try {
     return read(Json::from_cbor(bytes.begin(), bytes.end()));
-  } catch (const std::exception& mistake) {
-    return fields::BadRequest(what, mistake.what());
+  } catch (const std::exception& error) {
+    return fields::BadRequest(what, error.what());
   }
 }
 
@@ -73,7 +74,7 @@
 // An element of a list that must have exactly `size` elements.
 const Json& At(const Json& list, std::size_t index, std::size_t size) {
   if (!list.is_array() || list.size() != size) {
-    throw fields::BadDocument("expected a list of " + std::to_string(size));
+    throw fields::BadDocument("expected a list of " + std::to_string(size) + " elements");
   }
   return list[index];
 }
--- a/src/tables/table_mirror.cc
+++ b/src/tables/table_mirror.cc
@@ -13,76 +13,76 @@
 }
 
 mirror::Action TableMirror::Next() const {
-  if (pausing_) return mirror::WaitFor{kRetryPause};
-  const bool lists = !unlisted_.empty() && (lists_next_ || !following_);
-  if (lists) return mirror::ListPart{unlisted_.front(), from_};
+  if (in_retry_delay_) return mirror::WaitFor{kRetryPause};
+  const bool lists = !unlisted_.empty() && (prefers_listing_ || !following_);
+  if (lists) return mirror::ListPart{unlisted_.front(), next_key_};
   return mirror::FollowFrom{version_};
 }
 
 void TableMirror::StartListing() {
   unlisted_.assign(parts_.begin(), parts_.end());
-  failed_in_a_row_ = 0;
+  consecutive_failures_ = 0;
   following_ = false;
-  lists_next_ = true;
-  StartPart();
+  prefers_listing_ = true;
+  ResetPartListing();
 }
 
-void TableMirror::StartPart() {
-  from_.clear();
-  seen_.clear();
-  oldest_page_.reset();
+void TableMirror::ResetPartListing() {
+  next_key_.clear();
+  listed_rows_.clear();
+  oldest_page_version_.reset();
 }
 
 void TableMirror::Listed(const std::string& part, const Result<TablePage>& answer) {
   if (unlisted_.empty() || part != unlisted_.front()) return;
-  if (!IsOk(answer)) return PartFailed();
+  if (!IsOk(answer)) return OnPartFailed();
   const TablePage& page = ValueOf(answer);
   // The page is older than what is already known: applying it would restore removed rows. List
   // the part again until the store has caught up.
-  if (page.version < version_) return PartFailed();
-  oldest_page_ = std::min(oldest_page_.value_or(page.version), page.version);
-  for (const TableRow& row : page.rows) seen_[row.at] = row;
+  if (page.version < version_) return OnPartFailed();
+  oldest_page_version_ = std::min(oldest_page_version_.value_or(page.version), page.version);
+  for (const TableRow& row : page.rows) listed_rows_[row.at] = row;
   if (page.truncated && !page.rows.empty()) {
     // The smallest key that is greater than the last one.
-    from_ = page.rows.back().at.key + '\0';
+    next_key_ = page.rows.back().at.key + '\0';
     return;
   }
-  FinishPart();
+  OnPartListed();
 }
 
 // Changes made between the pages are delivered again by the feed, which continues from the oldest
 // page of the part that was listed first.
-void TableMirror::FinishPart() {
-  const RowVersion from = *oldest_page_;
-  std::vector<TableKey> gone;
+void TableMirror::OnPartListed() {
+  const RowVersion from = *oldest_page_version_;
+  std::vector<TableKey> missing_rows;
   for (const auto& [at, row] : rows_) {
     // A row that was written after the listing can't be in it, so it isn't missing.
-    const bool missing = at.part == unlisted_.front() && !seen_.contains(at);
-    if (missing && row.version <= from) gone.push_back(at);
+    const bool missing = at.part == unlisted_.front() && !listed_rows_.contains(at);
+    if (missing && row.version <= from) missing_rows.push_back(at);
   }
-  for (const TableKey& at : gone) Remove(at, from, /*by_listing=*/true);
-  for (const auto& [at, row] : seen_) Apply(row, /*by_listing=*/true);
+  for (const TableKey& at : missing_rows) Remove(at, from, /*by_listing=*/true);
+  for (const auto& [at, row] : listed_rows_) Apply(row, /*by_listing=*/true);
   if (!std::exchange(following_, true)) version_ = std::max(version_, from);
   unlisted_.pop_front();
-  failed_in_a_row_ = 0;
+  consecutive_failures_ = 0;
   complete_ |= unlisted_.empty();
-  StartPart();
+  ResetPartListing();
 }
 
 // Lists the other parts first. After all of them have failed, follows changes once, or waits if
 // no part has been listed yet.
-void TableMirror::PartFailed() {
+void TableMirror::OnPartFailed() {
   std::rotate(unlisted_.begin(), unlisted_.begin() + 1, unlisted_.end());
-  StartPart();
-  if (++failed_in_a_row_ < unlisted_.size()) return;
-  failed_in_a_row_ = 0;
-  lists_next_ = false;
-  pausing_ = !following_;
+  ResetPartListing();
+  if (++consecutive_failures_ < unlisted_.size()) return;
+  consecutive_failures_ = 0;
+  prefers_listing_ = false;
+  in_retry_delay_ = !following_;
 }
 
 void TableMirror::Followed(const FeedOutcome& outcome) {
   if (!following_) return;
-  lists_next_ = true;
+  prefers_listing_ = true;
   std::visit(Overloaded{
                  [this](const TableChanges& changes) {
                    for (const TableRow& row : changes.rows) {
@@ -95,13 +95,13 @@
                    version_ = std::max(version_, changes.version);
                  },
                  [this](const HistoryLost&) { StartListing(); },
-                 [this](const Error&) { pausing_ = true; },
+                 [this](const Error&) { in_retry_delay_ = true; },
              },
              outcome);
 }
 
 void TableMirror::Waited() {
-  pausing_ = false;
+  in_retry_delay_ = false;
 }
 
 void TableMirror::Learn(const TableRow& row) {
--- a/test/exchange-test.cc
+++ b/test/exchange-test.cc
@@ -26,9 +26,9 @@
 struct Step {
   std::string answer;
   bool close = false;
-  std::string late = {};
+  std::string late_bytes = {};
 };
-constexpr std::chrono::milliseconds kLate{20};
+constexpr std::chrono::milliseconds kLateDelay{20};
 
 // A server that answers the requests on each connection from a script.
 class ScriptedServer {
@@ -69,9 +69,9 @@
       ++requests_;
       asio::write(socket, asio::buffer(step.answer), failure);
       if (step.close) return false;
-      if (step.late.empty()) continue;
-      std::this_thread::sleep_for(kLate);
-      asio::write(socket, asio::buffer(step.late), failure);
+      if (step.late_bytes.empty()) continue;
+      std::this_thread::sleep_for(kLateDelay);
+      asio::write(socket, asio::buffer(step.late_bytes), failure);
     }
     return true;
   }
@@ -181,14 +181,14 @@
   };
   SUBCASE("while the response is read") {
     call([&](const HttpEvent& event) {
-      if (std::holds_alternative<HttpBytes>(event)) std::this_thread::sleep_for(5 * kLate);
+      if (std::holds_alternative<HttpBytes>(event)) std::this_thread::sleep_for(5 * kLateDelay);
       if (std::holds_alternative<HttpEnd>(event)) call(second);
     });
   }
   SUBCASE("after the response") {
     call([&](const HttpEvent& event) {
       if (!std::holds_alternative<HttpEnd>(event)) return;
-      caller.loop.Later(5 * kLate, [&] { call(second); });
+      caller.loop.Later(5 * kLateDelay, [&] { call(second); });
     });
   }
   const Timer bound = caller.loop.After(kBound, [&] { caller.loop.Stop(); });
@@ -231,14 +231,14 @@
 }
 
 TEST_CASE("a call to a port without a listener fails as not sent") {
-  Address nobody;
+  Address unused_address;
   {
     asio::io_context io;
     const tcp::acceptor acceptor(io, tcp::endpoint(asio::ip::make_address_v4("127.0.0.1"), 0));
-    nobody = {"127.0.0.1", acceptor.local_endpoint().port()};
+    unused_address = {"127.0.0.1", acceptor.local_endpoint().port()};
   }
   Caller caller;
-  CHECK(caller.Call(nobody) == "failed, not sent");
+  CHECK(caller.Call(unused_address) == "failed, not sent");
 }
 
 TEST_CASE("a call without a response times out and fails as sent") {
@@ -273,14 +273,14 @@
 }
 
 TEST_CASE("a connection to a port without a listener is refused") {
-  Address nobody;
+  Address unused_address;
   {
     asio::io_context io;
     const tcp::acceptor gone(io, tcp::endpoint(asio::ip::make_address_v4("127.0.0.1"), 0));
-    nobody = {"127.0.0.1", gone.local_endpoint().port()};
+    unused_address = {"127.0.0.1", gone.local_endpoint().port()};
   }
   Caller caller;
-  CHECK(caller.Dial(nobody) == DialResult::kRefused);
+  CHECK(caller.Dial(unused_address) == DialResult::kRefused);
   CHECK(caller.Dial({"nowhere", 1}) == DialResult::kNoAnswer);
 }
 
--- a/test/store-clock-test.cc
+++ b/test/store-clock-test.cc
@@ -9,12 +9,12 @@
 using std::chrono::seconds;
 
 // The store's clock is this far behind the host's.
-constexpr Duration kBehind = seconds(100);
+constexpr Duration kStoreLag = seconds(100);
 constexpr StoreClock::HostTime kNow = seconds(1000);
 
 // A response with a timestamp from the middle of a call that took `took`.
 StoreClock::Answer AnswerAt(StoreClock::HostTime heard_at, Duration took,
-                            Duration behind = kBehind) {
+                            Duration behind = kStoreLag) {
   return {heard_at - took / 2 - behind, heard_at - took, heard_at};
 }
 
@@ -36,19 +36,19 @@
   slow.Heard(AnswerAt(kNow, seconds(2)));
   StoreClock fast;
   fast.Heard(AnswerAt(kNow, Duration{10'000}));
-  const StoreTime truly = kNow - kBehind;
-  CHECK(*slow.Latest(kNow) >= truly);
-  CHECK(*fast.Earliest(kNow) <= truly);
-  CHECK(*fast.Earliest(kNow) > truly - Duration{10'000});
+  const StoreTime actual = kNow - kStoreLag;
+  CHECK(*slow.Latest(kNow) >= actual);
+  CHECK(*fast.Earliest(kNow) <= actual);
+  CHECK(*fast.Earliest(kNow) > actual - Duration{10'000});
 }
 
 TEST_CASE("each response narrows the bounds, however slow a later one is") {
   StoreClock clock;
   clock.Heard(AnswerAt(kNow, Duration{10'000}));
   clock.Heard(AnswerAt(kNow + seconds(3), seconds(3)));
-  const StoreTime truly = kNow + seconds(3) - kBehind;
-  CHECK(*clock.Latest(kNow + seconds(3)) - truly <= Duration{6'000});
-  CHECK(truly - *clock.Earliest(kNow + seconds(3)) <= Duration{6'000});
+  const StoreTime actual = kNow + seconds(3) - kStoreLag;
+  CHECK(*clock.Latest(kNow + seconds(3)) - actual <= Duration{6'000});
+  CHECK(actual - *clock.Earliest(kNow + seconds(3)) <= Duration{6'000});
 }
 
 // Guards against a process that records all its items as dead from some moment on: one response
@@ -56,10 +56,10 @@
 // that is replaced by a copy whose clock is behind has the same effect.
 TEST_CASE("a response that contradicts the earlier ones replaces them") {
   StoreClock clock;
-  CHECK(clock.Heard(AnswerAt(kNow, Duration{10'000}, kBehind - seconds(60))));
+  CHECK(clock.Heard(AnswerAt(kNow, Duration{10'000}, kStoreLag - seconds(60))));
   CHECK_FALSE(clock.Heard(AnswerAt(kNow + seconds(1), Duration{10'000})));
-  const StoreTime truly = kNow + seconds(1) - kBehind;
-  CHECK(*clock.Earliest(kNow + seconds(1)) <= truly);
+  const StoreTime actual = kNow + seconds(1) - kStoreLag;
+  CHECK(*clock.Earliest(kNow + seconds(1)) <= actual);
   CHECK(clock.Heard(AnswerAt(kNow + seconds(2), Duration{10'000})));
 }
 
--- a/test/table-mirror-test.cc
+++ b/test/table-mirror-test.cc
@@ -12,7 +12,7 @@
 TableRow RowAt(const std::string& key, const std::string& value, RowVersion version) {
   return {{"t", "", key}, value, version, false};
 }
-TableRow GoneAt(const std::string& key, RowVersion version) {
+TableRow RemovedAt(const std::string& key, RowVersion version) {
   return {{"t", "", key}, "", version, true};
 }
 Result<TablePage> Page(std::vector<TableRow> rows, RowVersion version, bool truncated = false) {
@@ -41,7 +41,7 @@
   const mirror::Action next = f.mirror.Next();
   REQUIRE(std::holds_alternative<mirror::FollowFrom>(next));
   CHECK(std::get<mirror::FollowFrom>(next).version == 10);
-  f.mirror.Followed(TableChanges{{RowAt("b", "2", 11), GoneAt("a", 12)}, 12});
+  f.mirror.Followed(TableChanges{{RowAt("b", "2", 11), RemovedAt("a", 12)}, 12});
   CHECK(f.seen == std::vector<std::string>{"a=1", "b=2", "a gone"});
 }
 
@@ -85,7 +85,7 @@
   f.mirror.Learn(RowAt("a", "7", 17));
   f.mirror.Followed(TableChanges{{RowAt("a", "6", 16)}, 16});
   CHECK(f.ValueOfKey("a") == "7");
-  f.mirror.Learn(GoneAt("a", 18));
+  f.mirror.Learn(RemovedAt("a", 18));
   f.mirror.Learn(RowAt("a", "7", 17));
   CHECK(f.ValueOfKey("a") == "none");
 }
@@ -103,29 +103,30 @@
 namespace {
 
 // Answers the mirror's calls like a store that can't read some of its parts.
-void Answer(TableMirror& mirror, const std::string& unread, const std::vector<TableRow>& rows,
-            RowVersion version) {
+void Answer(TableMirror& mirror, const std::string& unreadable_part,
+            const std::vector<TableRow>& rows, RowVersion version) {
   const auto read = [&](const std::string& part) -> Result<TablePage> {
-    if (part == unread) return Error{ErrorKind::kStoreUnavailable, "reset"};
+    if (part == unreadable_part) return Error{ErrorKind::kStoreUnavailable, "reset"};
     TablePage page{{}, false, version};
     for (const TableRow& row : rows) {
       if (row.at.part == part && row.version <= version) page.rows.push_back(row);
     }
     return page;
   };
-  const auto told = [&](RowVersion after) {
+  const auto changes_after = [&](RowVersion after) {
     TableChanges changes{{}, version};
     for (const TableRow& row : rows) {
       if (row.version > after && row.version <= version) changes.rows.push_back(row);
     }
     return changes;
   };
-  std::visit(Overloaded{
-                 [&](const mirror::ListPart& list) { mirror.Listed(list.part, read(list.part)); },
-                 [&](const mirror::FollowFrom& from) { mirror.Followed(told(from.version)); },
-                 [&](const mirror::WaitFor& /*wait*/) { mirror.Waited(); },
-             },
-             mirror.Next());
+  std::visit(
+      Overloaded{
+          [&](const mirror::ListPart& list) { mirror.Listed(list.part, read(list.part)); },
+          [&](const mirror::FollowFrom& from) { mirror.Followed(changes_after(from.version)); },
+          [&](const mirror::WaitFor& /*wait*/) { mirror.Waited(); },
+      },
+      mirror.Next());
 }
 
 // Far more calls than it takes to list and follow a table of two parts.
