--- a/bench/main.cc
+++ b/bench/main.cc
@@ -60,7 +60,7 @@
 
 int Fail(const Error& error) {
   std::cerr << "figmill-bench: " << error.detail << "\n";
-  return RowOf(error.kind).exit_code;
+  return ErrorInfoOf(error.kind).exit_code;
 }
 
 int Run(Options& options) {
--- a/faultproxy/main.cc
+++ b/faultproxy/main.cc
@@ -95,7 +95,7 @@
 
 int Fail(const Error& error) {
   std::cerr << error.detail << "\n";
-  return RowOf(error.kind).exit_code;
+  return ErrorInfoOf(error.kind).exit_code;
 }
 
 int Serve(const ProxySettings& settings) {
--- a/include/figmill/base.h
+++ b/include/figmill/base.h
@@ -119,7 +119,7 @@
 inline constexpr int kErrorKindCount = 22;
 
 // How an error kind is presented on each interface.
-struct ErrorRow {
+struct ErrorKindInfo {
   ErrorKind kind;
   std::string_view name;  // member "kind" of the problem document
   int http_status;
@@ -128,8 +128,8 @@
   bool retry_may_help;     // if set, 429 and 503 responses carry Retry-After
   std::string_view title;  // one line for display
 };
-[[nodiscard]] const ErrorRow& RowOf(ErrorKind kind);
-[[nodiscard]] std::optional<ErrorKind> KindNamed(std::string_view name);
+[[nodiscard]] const ErrorKindInfo& ErrorInfoOf(ErrorKind kind);
+[[nodiscard]] std::optional<ErrorKind> FindErrorKind(std::string_view name);
 
 struct Error {
   ErrorKind kind = ErrorKind::kInternal;
@@ -184,7 +184,7 @@
 using RandomBits = std::function<std::uint64_t()>;
 
 // 32 random hexadecimal digits.
-[[nodiscard]] Token FreshToken(const RandomBits& random);
+[[nodiscard]] Token GenerateToken(const RandomBits& random);
 
 // 32 hexadecimal digits, a hash over the parts and their lengths. Not cryptographic: whoever
 // chooses the parts can produce collisions.
--- a/include/figmill/exchange.h
+++ b/include/figmill/exchange.h
@@ -15,7 +15,7 @@
 
 namespace figmill {
 
-struct ExchangeLimits {
+struct ConnectionPoolLimits {
   // Maximum number of idle connections to one address; further ones are closed.
   std::size_t max_idle_per_address = 64;
   // An idle connection is not reused after this long, unless the peer announced another timeout.
@@ -36,12 +36,12 @@
 // Takes the same HttpCall as HttpClient and uses its fields method, to, target, headers, body,
 // connect_timeout, total_timeout and fresh_connection. Adds the headers Host and Content-Length
 // unless the call has them.
-class ExchangeClient {
+class NoRetryHttpClient {
  public:
-  explicit ExchangeClient(Loop& loop, ExchangeLimits limits = {});
-  ~ExchangeClient();
-  ExchangeClient(const ExchangeClient&) = delete;
-  ExchangeClient& operator=(const ExchangeClient&) = delete;
+  explicit NoRetryHttpClient(Loop& loop, ConnectionPoolLimits limits = {});
+  ~NoRetryHttpClient();
+  NoRetryHttpClient(const NoRetryHttpClient&) = delete;
+  NoRetryHttpClient& operator=(const NoRetryHttpClient&) = delete;
 
   // Events are delivered on the loop, never inside this call; the last one is HttpEnd or
   // HttpFailure. The returned function cancels the call: no event follows, and the call's
@@ -56,9 +56,9 @@
   void Dial(const Address& to, Duration timeout, std::function<void(DialResult)> done);
 
   // Closes the idle connections to an address, for example after its server was replaced.
-  void DropIdle(const Address& address);
+  void CloseIdleConnections(const Address& address);
   // Number of connections opened since the start.
-  [[nodiscard]] std::uint64_t opened() const;
+  [[nodiscard]] std::uint64_t connections_opened() const;
 
  private:
   class Impl;
--- a/include/figmill/items.h
+++ b/include/figmill/items.h
@@ -109,7 +109,7 @@
 // that accepted the job: an owner that lags behind may not have heard of the route
 // yet, and what is listed as dead stays dead. For the same reason a life is over only
 // by the store's clock, never while that is unknown.
-[[nodiscard]] std::optional<std::string_view> WhyGivenUp(const JobHead& head, bool has_route,
+[[nodiscard]] std::optional<std::string_view> WhyGivenUp(const JobRecord& head, bool has_route,
                                                          std::uint64_t config_version,
                                                          std::optional<StoreTime> now);
 
--- a/include/figmill/json_fields.h
+++ b/include/figmill/json_fields.h
@@ -26,7 +26,7 @@
 inline constexpr std::size_t kMaxReasonBytes = 200;
 // Longer times are treated as errors, and could overflow when added up. A clock may have an early
 // epoch: one that counts from 1970 gives times of 56 years.
-inline constexpr Duration kLongestTime = std::chrono::hours(24) * 366 * 1000;
+inline constexpr Duration kMaxTime = std::chrono::hours(24) * 366 * 1000;
 // Doubles represent all whole numbers up to here exactly.
 inline constexpr double kMaxExactInteger = 9007199254740992.0;
 
@@ -46,7 +46,7 @@
   return found == object.end() ? nullptr : &*found;
 }
 
-[[nodiscard]] inline const Json& Need(const Json& object, const char* name) {
+[[nodiscard]] inline const Json& Require(const Json& object, const char* name) {
   const Json* found = Find(object, name);
   if (found == nullptr) ThrowFieldError(name, "is missing");
   return *found;
@@ -102,15 +102,14 @@
 [[nodiscard]] inline Duration TimeOf(const Json& value, const char* name, double unit_us) {
   const double us = NumberOf(value, name) * unit_us;
   if (us < 0) ThrowFieldError(name, "must not be negative");
-  if (us > static_cast<double>(kLongestTime.count()))
-    ThrowFieldError(name, "is too long a duration");
+  if (us > static_cast<double>(kMaxTime.count())) ThrowFieldError(name, "is too long a duration");
   return Duration(static_cast<Duration::rep>(us));
 }
 
 // --- Fields ------------------------------------------------------------------------
 
 [[nodiscard]] inline std::string Text(const Json& object, const char* name) {
-  return TextOf(Need(object, name), name);
+  return TextOf(Require(object, name), name);
 }
 
 // A string that names something: not empty, and no longer than a key.
@@ -124,21 +123,21 @@
 }
 
 [[nodiscard]] inline bool Flag(const Json& object, const char* name) {
-  return FlagOf(Need(object, name), name);
+  return FlagOf(Require(object, name), name);
 }
 
 template <typename T>
 [[nodiscard]] T Count(const Json& object, const char* name, T least = 0,
                       T most = std::numeric_limits<T>::max()) {
-  return CountOf<T>(Need(object, name), name, least, most);
+  return CountOf<T>(Require(object, name), name, least, most);
 }
 
 [[nodiscard]] inline Duration Milliseconds(const Json& object, const char* name) {
-  return TimeOf(Need(object, name), name, 1e3);
+  return TimeOf(Require(object, name), name, 1e3);
 }
 
 [[nodiscard]] inline const Json& List(const Json& object, const char* name) {
-  const Json& list = Need(object, name);
+  const Json& list = Require(object, name);
   if (!list.is_array()) ThrowFieldError(name, "must be a list");
   return list;
 }
@@ -181,7 +180,7 @@
 }
 
 [[nodiscard]] inline Duration SecondsOr(const Json& object, const char* name, Duration fallback) {
-  return Has(object, name) ? TimeOf(Need(object, name), name, 1e6) : fallback;
+  return Has(object, name) ? TimeOf(Require(object, name), name, 1e6) : fallback;
 }
 
 // --- Documents ---------------------------------------------------------------------
--- a/include/figmill/ledger.h
+++ b/include/figmill/ledger.h
@@ -45,14 +45,14 @@
 };
 
 // The row of the job table: what the job consists of, its owner and its progress.
-struct JobHead {
+struct JobRecord {
   JobId id;
   std::string route;
   std::string host;
   TeamId team;  // team whose key submitted the job; empty if no key was required
   std::uint32_t total = 0;
-  std::uint32_t listed = 0;  // number of stored results, at positions 0 to listed - 1
-  std::string done;          // one character per item: 'x' if its result is stored, else '.'
+  std::uint32_t stored_results = 0;  // at positions 0 to stored_results - 1
+  std::string done;  // one character per item: 'x' if its result is stored, else '.'
   NodeId owner;
   Incarnation owner_incarnation = 0;
   bool ended = false;  // ended early by the submitter
@@ -65,7 +65,7 @@
   // recognized as applied.
   Token token;
 
-  [[nodiscard]] bool open() const { return !ended && listed < total; }
+  [[nodiscard]] bool open() const { return !ended && stored_results < total; }
 };
 
 // --- Rows ------------------------------------------------------------------------
@@ -89,22 +89,22 @@
 
 [[nodiscard]] std::vector<std::string> Parts();
 [[nodiscard]] std::string PartOf(const JobId& job);
-[[nodiscard]] TableKey HeadKey(const JobId& job);
+[[nodiscard]] TableKey JobRecordKey(const JobId& job);
 
-[[nodiscard]] std::string EncodeHead(const JobHead& head);
+[[nodiscard]] std::string EncodeJobRecord(const JobRecord& record);
 // Errors: kBadRequest, also for a row whose fields are inconsistent with each other.
-[[nodiscard]] Result<JobHead> DecodeHead(std::string_view value);
+[[nodiscard]] Result<JobRecord> DecodeJobRecord(std::string_view value);
 // Why `later` can't be a later state of the job `known`; nothing if it can. The contents of a job
 // never change, a stored result stays stored, and an ended job stays ended.
-[[nodiscard]] std::optional<std::string_view> Contradiction(const JobHead& known,
-                                                            const JobHead& later);
+[[nodiscard]] std::optional<std::string_view> InvalidUpdateReason(const JobRecord& known,
+                                                                  const JobRecord& later);
 
 // The transactions that accept a job, in order. The job exists once the last one is committed.
-[[nodiscard]] std::vector<TableTransaction> Accept(const JobHead& head,
-                                                   const std::vector<JobItem>& items);
+[[nodiscard]] std::vector<TableTransaction> AcceptTransactions(const JobRecord& record,
+                                                               const std::vector<JobItem>& items);
 // The rows that hold the items of a job.
 [[nodiscard]] TableRange ItemRange(const JobId& job);
-// Skips rows under keys that Accept doesn't write. Errors: kBadRequest.
+// Skips rows under keys that AcceptTransactions doesn't write. Errors: kBadRequest.
 [[nodiscard]] Result<std::vector<JobItem>> DecodeItems(const JobId& job,
                                                        const std::vector<TableRow>& rows);
 
@@ -136,8 +136,9 @@
                                                         const std::vector<TableRow>& rows,
                                                         const OnRefusedRow& refused);
 
-// The value for JobHead::digest.
-[[nodiscard]] std::uint64_t DigestOf(const JobSubmission& submission, const TeamId& team = {});
+// The value for JobRecord::digest.
+[[nodiscard]] std::uint64_t SubmissionDigest(const JobSubmission& submission,
+                                             const TeamId& team = {});
 
 }  // namespace ledger
 
@@ -152,40 +153,40 @@
   static constexpr std::size_t kMaxBytesPerWrite = 500'000;
   static constexpr std::size_t kMaxPiecesPerWrite = 40;
 
-  OwnedJob(JobHead head, RowVersion version, std::vector<JobItem> items);
+  OwnedJob(JobRecord record, RowVersion version, std::vector<JobItem> items);
 
-  [[nodiscard]] const JobHead& head() const { return head_; }
+  [[nodiscard]] const JobRecord& record() const { return record_; }
   [[nodiscard]] RowVersion version() const { return version_; }
   [[nodiscard]] const std::vector<JobItem>& items() const { return items_; }
-  [[nodiscard]] bool IsListed(std::size_t item) const { return head_.done[item] == 'x'; }
+  [[nodiscard]] bool HasStoredResult(std::size_t item) const { return record_.done[item] == 'x'; }
   // Whether the item's result is neither stored nor waiting to be written.
   [[nodiscard]] bool IsOpen(std::size_t item) const;
 
   // Sets the final result of an item; only the first call for an item has an effect.
   void Finish(std::size_t item, ItemResult result);
   // Queues progress for the next write, so that another owner can resume from it.
-  void Keep(ledger::ProgressPiece piece);
+  void AddProgress(ledger::ProgressPiece piece);
   // Ends the job at the submitter's request, with the next write.
-  void End() { end_requested_ = !head_.ended; }
+  void End() { end_requested_ = !record_.ended; }
   // The next write, unless there is nothing to write or a write is in flight.
   [[nodiscard]] std::optional<TableTransaction> NextWrite(const RandomBits& random);
   // Takes in the job's row as stored, received from the change feed or with a rejected write.
   // Returns false if this entry no longer owns the job.
-  bool OnHead(const JobHead& head, RowVersion version);
+  bool OnJobRecord(const JobRecord& record, RowVersion version);
   // The outcome of the write in flight; `version` is that of the rows written. After OnFailed
   // (FateUnknown, NotWritten or a rejection) NextWrite returns the same write again, unless
-  // OnHead has received a newer row.
+  // OnJobRecord has received a newer row.
   void OnCommitted(RowVersion version);
   void OnFailed() { in_flight_ = false; }
 
   [[nodiscard]] bool writing() const { return in_flight_; }
-  [[nodiscard]] bool settled() const {
+  [[nodiscard]] bool all_written() const {
     return !write_ && unwritten_results_.empty() && unwritten_progress_.empty() && !end_requested_;
   }
 
  private:
   struct Write {
-    JobHead head;
+    JobRecord record;
     std::vector<std::pair<std::size_t, ItemResult>> results;
     std::vector<ledger::ProgressPiece> progress;
     RowVersion condition = 0;
@@ -197,9 +198,9 @@
   void TakeResults(Write& write);
   void TakeProgress(Write& write);
   [[nodiscard]] TableTransaction TransactionFor(const Write& write) const;
-  void Adopt(const JobHead& head, RowVersion version);
+  void ApplyRecord(const JobRecord& record, RowVersion version);
 
-  JobHead head_;
+  JobRecord record_;
   RowVersion version_;
   std::vector<JobItem> items_;
   std::map<std::string, std::size_t> item_index_;
--- a/include/figmill/runtime.h
+++ b/include/figmill/runtime.h
@@ -164,7 +164,7 @@
   // risk: it gets a connection of its own.
   bool fresh_connection = false;
   // Counts the call's bytes, both ways; stays until the call's last event. Only with
-  // ExchangeClient.
+  // NoRetryHttpClient.
   Counter* bytes = nullptr;
 };
 
--- a/include/figmill/store_clock.h
+++ b/include/figmill/store_clock.h
@@ -18,14 +18,14 @@
   // Time on a clock of this host that also advances while the host is suspended.
   using HostTime = Duration;
 
-  struct Answer {
-    StoreTime made_at{0};  // the timestamp in the response
-    HostTime called_at{0};
-    HostTime heard_at{0};
+  struct Sample {
+    StoreTime store_time{0};  // the timestamp in the response
+    HostTime sent_at{0};
+    HostTime received_at{0};
   };
   // Returns whether the response is consistent with the earlier ones. If it isn't, a clock was set
   // or replaced: the earlier bounds would stay wrong forever, so they are discarded.
-  bool Heard(const Answer& answer);
+  bool AddSample(const Sample& sample);
 
   // A lower bound of the store's current time; nothing before the first response, since the
   // store's clock has an arbitrary start. Use it for what must not expire too early.
@@ -42,7 +42,7 @@
     Duration upper{0};
   };
   std::optional<Offset> offset_;
-  HostTime heard_at_{0};
+  HostTime received_at_{0};
 };
 
 }  // namespace figmill
--- a/include/figmill/tables.h
+++ b/include/figmill/tables.h
@@ -156,12 +156,12 @@
   // The next call to make to the store, or the delay before it.
   [[nodiscard]] mirror::Action Next() const;
   // The results of the calls. `part` is the part that was listed.
-  void Listed(const std::string& part, const Result<TablePage>& page);
-  void Followed(const FeedOutcome& outcome);
+  void OnListed(const std::string& part, const Result<TablePage>& page);
+  void OnFollowed(const FeedOutcome& outcome);
   // The delay that Next returned has passed.
-  void Waited();
+  void OnDelayElapsed();
   // Takes in a row that this process wrote or received from another process.
-  void Learn(const TableRow& row);
+  void MergeRow(const TableRow& row);
 
   [[nodiscard]] bool complete() const { return complete_; }  // all parts have been listed once
   // Whether at least one part is listed, so that changes are followed.
--- a/src/base/error_kinds.cc
+++ b/src/base/error_kinds.cc
@@ -8,7 +8,7 @@
 
 // In the order of ErrorKind. Exit codes group the kinds: 2 bad input, 3 not found, 4 conflict,
 // 5 temporarily refused, 6 platform unavailable, 7 failed, 8 unknown outcome, 9 internal error.
-constexpr std::array<ErrorRow, kErrorKindCount> kTable = {{
+constexpr std::array<ErrorKindInfo, kErrorKindCount> kTable = {{
     {ErrorKind::kBadRequest, "bad-request", 400, -32602, 2, false, "The request is malformed"},
     {ErrorKind::kUnauthorized, "unauthorized", 401, -32019, 2, false, "A team's key is needed"},
     {ErrorKind::kTooLarge, "too-large", 413, -32001, 2, false, "The request is too large"},
@@ -53,14 +53,14 @@
 
 }  // namespace
 
-const ErrorRow& RowOf(ErrorKind kind) {
+const ErrorKindInfo& ErrorInfoOf(ErrorKind kind) {
   const auto index = static_cast<std::size_t>(kind);
   assert(index < kTable.size());
   return kTable[index];
 }
 
-std::optional<ErrorKind> KindNamed(std::string_view name) {
-  for (const ErrorRow& row : kTable) {
+std::optional<ErrorKind> FindErrorKind(std::string_view name) {
+  for (const ErrorKindInfo& row : kTable) {
     if (row.name == name) return row.kind;
   }
   return std::nullopt;
--- a/src/base/ids.cc
+++ b/src/base/ids.cc
@@ -68,7 +68,7 @@
   return std::string(text);
 }
 
-Token FreshToken(const RandomBits& random) {
+Token GenerateToken(const RandomBits& random) {
   std::array<char, 33> text{};
   std::snprintf(text.data(), text.size(), "%016llx%016llx",
                 static_cast<unsigned long long>(random()),
--- a/src/batch/acceptance.cc
+++ b/src/batch/acceptance.cc
@@ -11,7 +11,7 @@
         manifest_(EncodeManifest(assembly.chunks())),
         store_(deadline),
         commits_(store_, deadline) {
-    row_.token = FreshToken(random);
+    row_.token = GenerateToken(random);
     row_.digest = assembly.ContentDigest(request.team, request.due);
     row_.team = std::move(request.team);
     row_.due = request.due;
@@ -116,7 +116,7 @@
       return;
     }
     JobRow row = std::move(ValueOf(parsed));
-    row.token = FreshToken(random_);
+    row.token = GenerateToken(random_);
     row.state = JobState::kCancelled;
     CommitRequest request;
     request.conditions = {RowCondition{found.key, found.version}};
--- a/src/batch/answers.cc
+++ b/src/batch/answers.cc
@@ -66,7 +66,7 @@
   return FormatLine({{"index", index},
                      {"custom_id", item.custom_id},
                      {"error",
-                      {{"kind", RowOf(error.kind).name},
+                      {{"kind", ErrorInfoOf(error.kind).name},
                        {"detail", error.detail},
                        {"ran", ToString(error.ran)},
                        {"attempts", attempts}}}});
--- a/src/batch/owner_core.h
+++ b/src/batch/owner_core.h
@@ -29,7 +29,7 @@
   void OnJobEnded(const JobId& job, JobTransition::Kind transition) override;
   [[nodiscard]] const BatchLimits& limits() const override { return limits_; }
   [[nodiscard]] const RepeatableRule& repeatable() const override { return repeatable_; }
-  [[nodiscard]] Token NewToken() override { return FreshToken(random_); }
+  [[nodiscard]] Token NewToken() override { return GenerateToken(random_); }
   void CountCommitted(std::uint32_t items) override { items_committed_ += items; }
 
  private:
--- a/src/control/lease_holder.cc
+++ b/src/control/lease_holder.cc
@@ -40,7 +40,7 @@
 }
 
 std::vector<LeaseAction> LeaseHolder::Write(Time now, bool release) {
-  const Token token = FreshToken(random_);
+  const Token token = GenerateToken(random_);
   busy_ = true;
   release_sent_ = release;
   tried_ = now;
--- a/src/control/lease_watcher.cc
+++ b/src/control/lease_watcher.cc
@@ -50,7 +50,7 @@
   // token and the earlier time of sending hold for both.
   const bool again = tried_at_ && tried_.epoch == epoch && tried_version_ == version_;
   if (!again) {
-    tried_ = LeaseRow{FreshToken(random_), settings_.holder, settings_.incarnation, epoch, 0};
+    tried_ = LeaseRow{GenerateToken(random_), settings_.holder, settings_.incarnation, epoch, 0};
     tried_version_ = version_;
     tried_at_ = now;
   }
--- a/src/control/log_compactor.cc
+++ b/src/control/log_compactor.cc
@@ -54,7 +54,7 @@
   // `deleted` names what the round before this one should have deleted, so the
   // next round goes over this one's rows again, in case it is cut short.
   const Sequence before = known_ > kEntriesKept ? known_ - kEntriesKept : 0;
-  const detail::SnapshotRow row{FreshToken(random_), folded_->sequence, known_, before};
+  const detail::SnapshotRow row{GenerateToken(random_), folded_->sequence, known_, before};
   state_ = State::kWritingRow;
   const std::string key(detail::kSnapshotKey);
   return {CommitRows{
--- a/src/control/log_writer.cc
+++ b/src/control/log_writer.cc
@@ -135,7 +135,7 @@
 
 std::vector<LogAction> LogWriter::Commit() {
   if (!may_have_landed_) {
-    record_ = LogRecord{reader_.head() + 1, FreshToken(random_), queue_.front().author,
+    record_ = LogRecord{reader_.head() + 1, GenerateToken(random_), queue_.front().author,
                         queue_.front().entry};
     commit_head_ = reader_.head() == 0 ? RowCondition{std::string(detail::kSnapshotKey), 0}
                                        : RowCondition{LogKey(reader_.head()), *head_version_};
--- a/src/exchange/exchange_client.cc
+++ b/src/exchange/no_retry_http_client.cc
@@ -47,15 +47,15 @@
 
 }  // namespace
 
-class ExchangeClient::Impl : public std::enable_shared_from_this<Impl> {
+class NoRetryHttpClient::Impl : public std::enable_shared_from_this<Impl> {
  public:
-  Impl(Loop& loop, ExchangeLimits limits) : loop_(loop), limits_(limits) {}
+  Impl(Loop& loop, ConnectionPoolLimits limits) : loop_(loop), limits_(limits) {}
 
   CancelCall Start(HttpCall call, std::function<void(HttpEvent)> on_event);
   void Dial(const Address& to, Duration timeout, std::function<void(DialResult)> done);
-  void DropIdle(const Address& address);
+  void CloseIdleConnections(const Address& address);
   void CloseAll();
-  [[nodiscard]] std::uint64_t opened() const { return opened_; }
+  [[nodiscard]] std::uint64_t connections_opened() const { return opened_; }
 
  private:
   class Connection;
@@ -70,14 +70,14 @@
   void Remove(const Connection* connection);
 
   Loop& loop_;
-  ExchangeLimits limits_;
+  ConnectionPoolLimits limits_;
   std::map<Address, std::deque<Idle>> idle_;
   std::unordered_set<std::shared_ptr<Connection>> busy_;
   std::uint64_t opened_ = 0;
 };
 
 // A connection and its current call, if any.
-class ExchangeClient::Impl::Connection : public std::enable_shared_from_this<Connection> {
+class NoRetryHttpClient::Impl::Connection : public std::enable_shared_from_this<Connection> {
  public:
   Connection(std::shared_ptr<Impl> owner, const Address& to)
       : owner_(std::move(owner)), to_(to), socket_(owner_->loop_.core().io) {}
@@ -284,7 +284,7 @@
   bool reading_ = false;  // set on the first call, then always reading or in WaitReadable
 };
 
-CancelCall ExchangeClient::Impl::Start(HttpCall call, std::function<void(HttpEvent)> on_event) {
+CancelCall NoRetryHttpClient::Impl::Start(HttpCall call, std::function<void(HttpEvent)> on_event) {
   std::shared_ptr<Connection> connection;
   if (!call.fresh_connection) connection = TakeIdle(call.to);
   if (!connection) connection = Open(call.to);
@@ -297,19 +297,20 @@
   };
 }
 
-void ExchangeClient::Impl::Dial(const Address& to, Duration timeout,
-                                std::function<void(DialResult)> done) {
+void NoRetryHttpClient::Impl::Dial(const Address& to, Duration timeout,
+                                   std::function<void(DialResult)> done) {
   const std::shared_ptr<Connection> connection = Open(to);
   busy_.insert(connection);
   connection->Dial(timeout, std::move(done));
 }
 
-std::shared_ptr<ExchangeClient::Impl::Connection> ExchangeClient::Impl::Open(const Address& to) {
+std::shared_ptr<NoRetryHttpClient::Impl::Connection> NoRetryHttpClient::Impl::Open(
+    const Address& to) {
   ++opened_;
   return std::make_shared<Connection>(shared_from_this(), to);
 }
 
-std::shared_ptr<ExchangeClient::Impl::Connection> ExchangeClient::Impl::TakeIdle(
+std::shared_ptr<NoRetryHttpClient::Impl::Connection> NoRetryHttpClient::Impl::TakeIdle(
     const Address& address) {
   const auto found = idle_.find(address);
   if (found == idle_.end()) return nullptr;
@@ -325,8 +326,8 @@
   return nullptr;
 }
 
-void ExchangeClient::Impl::ReturnToPool(const std::shared_ptr<Connection>& connection,
-                                        int peer_seconds) {
+void NoRetryHttpClient::Impl::ReturnToPool(const std::shared_ptr<Connection>& connection,
+                                           int peer_seconds) {
   busy_.erase(connection);
   Duration idle = limits_.max_idle;
   if (peer_seconds > 0) idle = std::chrono::seconds(peer_seconds) - limits_.idle_margin;
@@ -338,7 +339,7 @@
   oldest->Close();
 }
 
-void ExchangeClient::Impl::Remove(const Connection* connection) {
+void NoRetryHttpClient::Impl::Remove(const Connection* connection) {
   std::erase_if(busy_, [connection](const auto& busy) { return busy.get() == connection; });
   const auto found = idle_.find(connection->to());
   if (found == idle_.end()) return;
@@ -346,7 +347,7 @@
                 [connection](const Idle& idle) { return idle.connection.get() == connection; });
 }
 
-void ExchangeClient::Impl::DropIdle(const Address& address) {
+void NoRetryHttpClient::Impl::CloseIdleConnections(const Address& address) {
   const auto found = idle_.find(address);
   if (found == idle_.end()) return;
   const std::deque<Idle> pooled = std::move(found->second);
@@ -354,7 +355,7 @@
   for (const Idle& idle : pooled) idle.connection->Close();
 }
 
-void ExchangeClient::Impl::CloseAll() {
+void NoRetryHttpClient::Impl::CloseAll() {
   const auto busy = std::move(busy_);
   const auto idle = std::move(idle_);
   busy_.clear();
@@ -365,32 +366,32 @@
   }
 }
 
-ExchangeClient::ExchangeClient(Loop& loop, ExchangeLimits limits)
+NoRetryHttpClient::NoRetryHttpClient(Loop& loop, ConnectionPoolLimits limits)
     : impl_(std::make_shared<Impl>(loop, limits)) {}
 
-ExchangeClient::~ExchangeClient() {
+NoRetryHttpClient::~NoRetryHttpClient() {
   impl_->CloseAll();
 }
 
-CancelCall ExchangeClient::Start(HttpCall call, std::function<void(HttpEvent)> on_event) {
+CancelCall NoRetryHttpClient::Start(HttpCall call, std::function<void(HttpEvent)> on_event) {
   return impl_->Start(std::move(call), std::move(on_event));
 }
 
-CancelCall ExchangeClient::Fetch(HttpCall call, std::function<void(Result<HttpResponse>)> done) {
+CancelCall NoRetryHttpClient::Fetch(HttpCall call, std::function<void(Result<HttpResponse>)> done) {
   return Start(std::move(call), CollectAnswer(std::move(done)));
 }
 
-void ExchangeClient::Dial(const Address& to, Duration timeout,
-                          std::function<void(DialResult)> done) {
+void NoRetryHttpClient::Dial(const Address& to, Duration timeout,
+                             std::function<void(DialResult)> done) {
   impl_->Dial(to, timeout, std::move(done));
 }
 
-void ExchangeClient::DropIdle(const Address& address) {
-  impl_->DropIdle(address);
+void NoRetryHttpClient::CloseIdleConnections(const Address& address) {
+  impl_->CloseIdleConnections(address);
 }
 
-std::uint64_t ExchangeClient::opened() const {
-  return impl_->opened();
+std::uint64_t NoRetryHttpClient::connections_opened() const {
+  return impl_->connections_opened();
 }
 
 }  // namespace figmill
--- a/src/figmill/session.cc
+++ b/src/figmill/session.cc
@@ -33,7 +33,7 @@
 }  // namespace
 
 int PrintError(const Error& error) {
-  const ErrorRow& row = RowOf(error.kind);
+  const ErrorKindInfo& row = ErrorInfoOf(error.kind);
   std::cerr << row.name << ": " << (error.detail.empty() ? row.title : error.detail)
             << "\nran: " << ToString(error.ran) << "\n";
   return row.exit_code;
--- a/src/figmilld/agent/agent_metrics.cc
+++ b/src/figmilld/agent/agent_metrics.cc
@@ -46,8 +46,8 @@
 void AgentMetrics::CountRefusal(const Error& error, WorkClass work_class) {
   const std::string labels = "class=\"" +
                              std::string(work_class == WorkClass::kOnline ? "online" : "batch") +
-                             "\",kind=\"" + std::string(RowOf(error.kind).name) + "\",ran=\"" +
-                             std::string(ToString(error.ran)) + "\"";
+                             "\",kind=\"" + std::string(ErrorInfoOf(error.kind).name) +
+                             "\",ran=\"" + std::string(ToString(error.ran)) + "\"";
   metrics_.counter("figmill_agent_refusals_total", "Dispatches without a whole answer", labels)
       .Add();
 }
--- a/src/figmilld/agent/placement_shell.cc
+++ b/src/figmilld/agent/placement_shell.cc
@@ -85,7 +85,7 @@
           [&](const SendOrder& send) { Send(send); },
           [&](const ReportPlacementError& trouble) {
             Log(LogLevel::kWarning, "placement_trouble",
-                {{"kind", std::string(RowOf(trouble.error.kind).name)},
+                {{"kind", std::string(ErrorInfoOf(trouble.error.kind).name)},
                  {"detail", trouble.error.detail}});
           },
       },
@@ -112,7 +112,7 @@
 // care of its own.
 void PlacementShell::ClaimRight(RowVersion version) {
   const std::string key = OrdererKey(parts_.self);
-  const Json value = {{"token", FreshToken(parts_.random).value},
+  const Json value = {{"token", GenerateToken(parts_.random).value},
                       {"incarnation", parts_.incarnation}};
   parts_.table.Commit({{{key, version}}, {PutRow{key, value.dump()}}},
                       [this](const TransactionOutcome& outcome) {
--- a/src/figmilld/control/control_log_shell.cc
+++ b/src/figmilld/control/control_log_shell.cc
@@ -151,7 +151,7 @@
   const bool won = IsOk(answer.outcome);
   Log(LogLevel::kInfo, "control_append",
       {{"outcome", won ? "sequence " + std::to_string(ValueOf(answer.outcome))
-                       : std::string(RowOf(ErrorOf(answer.outcome).kind).name)}});
+                       : std::string(ErrorInfoOf(ErrorOf(answer.outcome).kind).name)}});
   done(answer.outcome);
   if (won) return Carry(Machine::kCompactor, compactor_.Consider());
   // This node lags: unless it reads on now, the operator's next try is refused too.
--- a/src/figmilld/daemon.cc
+++ b/src/figmilld/daemon.cc
@@ -70,7 +70,7 @@
 int Daemon::Run(Hooks hooks) {
   hooks_ = std::move(hooks);
   control_.OnChange(hooks_.changed);
-  control_.OnSuperseded([this] { End(RowOf(ErrorKind::kFenced).exit_code); });
+  control_.OnSuperseded([this] { End(ErrorInfoOf(ErrorKind::kFenced).exit_code); });
   BuildTree();
   const Result<Ok> started = root_.Start([this](const Error& error) { Fail(error); });
   if (!IsOk(started)) {
@@ -101,7 +101,7 @@
 
 void Daemon::Fail(const Error& error) {
   Log(LogLevel::kError, kind_ + "_failed", {{"why", error.detail}});
-  End(RowOf(error.kind).exit_code);
+  End(ErrorInfoOf(error.kind).exit_code);
 }
 
 // What runs ends first, so that no request is cut. A second signal ends the
--- a/src/figmilld/traffic/entry_once.cc
+++ b/src/figmilld/traffic/entry_once.cc
@@ -69,7 +69,7 @@
 
 Result<ItemKey> EntryOnce::KeyOf(const HttpRequest& request) const {
   const std::string_view given = request.HeaderOr(kKeyHeader);
-  if (given.empty()) return ItemKey{"auto-" + FreshToken(tools_.random).value};
+  if (given.empty()) return ItemKey{"auto-" + GenerateToken(tools_.random).value};
   Result<std::string> key = ParseId(given, kKeyHeader);
   if (!IsOk(key)) return ErrorOf(key);
   return ItemKey{std::move(ValueOf(key))};
--- a/src/figmilld/traffic/entry_online.cc
+++ b/src/figmilld/traffic/entry_online.cc
@@ -88,7 +88,7 @@
 void EntryOnline::Accept(HttpRequest request, Result<OnlineWork> parsed,
                          std::shared_ptr<HttpReply> reply) {
   const auto refuse = [&](const Error& error) {
-    parts_.metrics.Ended(std::string(RowOf(error.kind).name));
+    parts_.metrics.Ended(std::string(ErrorInfoOf(error.kind).name));
     reply->Send(ProblemOf(error));
   };
   if (!IsOk(parsed)) return refuse(ErrorOf(parsed));
--- a/src/figmilld/traffic/once_ticket.cc
+++ b/src/figmilld/traffic/once_ticket.cc
@@ -12,7 +12,7 @@
 
 HttpResponse WithRetryAfter(const Error& error) {
   HttpResponse response = ProblemOf(error);
-  if (error.retry_after && !RowOf(error.kind).retry_may_help) {
+  if (error.retry_after && !ErrorInfoOf(error.kind).retry_may_help) {
     const auto seconds = std::chrono::ceil<std::chrono::seconds>(*error.retry_after).count();
     response.headers.push_back({"Retry-After", std::to_string(seconds)});
   }
@@ -57,7 +57,7 @@
 
 void OnceTicket::Fail(const Error& error) {
   run_over_ = true;
-  const ErrorRow& row = RowOf(error.kind);
+  const ErrorKindInfo& row = ErrorInfoOf(error.kind);
   const bool hopeless = row.http_status < 500 && !row.retry_may_help;
   if (accepted() && hopeless && error.ran == Ran::kNo && item_.idle()) {
     HttpResponse problem = ProblemOf(error);
--- a/src/figmilld/traffic/online_call.cc
+++ b/src/figmilld/traffic/online_call.cc
@@ -193,7 +193,8 @@
   if (open->second.cancel) open->second.cancel();
   open->second.span.failed = over.end == AttemptEnd::kFailed;
   if (over.error) {
-    open->second.span.attributes.push_back({"error", std::string(RowOf(over.error->kind).name)});
+    open->second.span.attributes.push_back(
+        {"error", std::string(ErrorInfoOf(over.error->kind).name)});
   }
   parts_.tracer.Finish(std::move(open->second.span));
   open_.erase(open);
@@ -234,7 +235,7 @@
 }
 
 void OnlineCall::Fail(const Error& error) {
-  outcome_ = RowOf(error.kind).name;
+  outcome_ = ErrorInfoOf(error.kind).name;
   // What ran is charged as asked for: how much it generated isn't known.
   if (error.ran != Ran::kNo) tokens_used_ = work_.plan.tokens;
   span_.failed = true;
--- a/src/figmilld/traffic/online_work.cc
+++ b/src/figmilld/traffic/online_work.cc
@@ -84,7 +84,7 @@
   } else if (!IsServed(snapshot, work.plan.service)) {
     return Error{ErrorKind::kUnknownService, "there is no service '" + ValueOf(name) + "'"};
   }
-  work.plan.request.value = FreshToken(random).value;
+  work.plan.request.value = GenerateToken(random).value;
   work.plan.repeatable = MayRepeat(service, path);
   work.plan.can_resume = service.kind == ServiceKind::kModel;
   work.plan.deadline = now + service.default_deadline;
--- a/src/gateway/batch_runner.cc
+++ b/src/gateway/batch_runner.cc
@@ -36,10 +36,10 @@
 void BatchRunner::OnOwned(OwnedJob& job, const std::vector<ledger::ProgressPiece>& progress) {
   for (const ledger::ProgressPiece& piece : progress) {
     if (piece.item >= job.items().size() || !job.IsOpen(piece.item)) continue;
-    work_.Restore({job.head().id, piece.item}, piece);
+    work_.Restore({job.record().id, piece.item}, piece);
   }
   for (std::size_t i = 0; i < job.items().size(); ++i) {
-    if (job.IsOpen(i)) Queue({job.head().id, i}, Duration{0});
+    if (job.IsOpen(i)) Queue({job.record().id, i}, Duration{0});
   }
   check_routes_ = true;
   wanted_changed_();
@@ -57,11 +57,12 @@
 
 void BatchRunner::OnHandedOver(OwnedJob& job) {
   KeepProgressOf(job);
-  OnDropped(job.head().id);
+  OnDropped(job.record().id);
 }
 
 void BatchRunner::KeepProgressOf(OwnedJob& job) {
-  for (ledger::ProgressPiece& piece : work_.TakePieces(job.head().id)) job.Keep(std::move(piece));
+  for (ledger::ProgressPiece& piece : work_.TakePieces(job.record().id))
+    job.AddProgress(std::move(piece));
 }
 
 void BatchRunner::KeepProgress() {
@@ -77,7 +78,7 @@
   const OwnedJob* job = jobs_.Owned(key.job);
   if (job == nullptr) return;
   pause = std::max(pause, QuarantineLeft(*job, key));
-  work_.Wait(key, job->head().due, Loop::Now() + pause);
+  work_.Wait(key, job->record().due, Loop::Now() + pause);
   if (pause.count() > 0) tools_.loop.Later(pause, [this] { Pump(); });
 }
 
@@ -85,9 +86,9 @@
 // what is listed as dead stays dead, and another request may have been the cause.
 Duration BatchRunner::QuarantineLeft(const OwnedJob& job, const JobItemRef& key) const {
   if (!tools_.crashes.quarantines()) return Duration{0};
-  const HttpCall call = ItemCall(tools_.names, job.head(), job.items()[key.item]);
+  const HttpCall call = ItemCall(tools_.names, job.record(), job.items()[key.item]);
   const std::optional<Error> why =
-      tools_.crashes.WhyNot(FingerprintOf(job.head(), call), WorkClass::kBatch);
+      tools_.crashes.WhyNot(FingerprintOf(job.record(), call), WorkClass::kBatch);
   return why ? why->retry_after.value_or(Duration{0}) : Duration{0};
 }
 
@@ -95,7 +96,7 @@
   return {Loop::Now(), clock_.Earliest(Loop::SinceBoot())};
 }
 
-const Route* BatchRunner::RouteOf(const JobHead& head, const JobItem& item) const {
+const Route* BatchRunner::RouteOf(const JobRecord& head, const JobItem& item) const {
   if (!routes_) return nullptr;
   const Route* route = routes_->Find(head.host, item.target);
   return route != nullptr && route->kind == RouteKind::kBatch ? route : nullptr;
@@ -104,7 +105,7 @@
 bool BatchRunner::Fits(const JobItemRef& key, const BackendInfo& backend) const {
   const OwnedJob* job = jobs_.Owned(key.job);
   if (job == nullptr) return false;
-  const Route* route = RouteOf(job->head(), job->items()[key.item]);
+  const Route* route = RouteOf(job->record(), job->items()[key.item]);
   if (route == nullptr) return false;
   return std::any_of(
       route->split.begin(), route->split.end(),
@@ -170,8 +171,8 @@
   const OwnedJob* job = jobs_.Owned(key.job);
   const JobItem& item = job->items()[key.item];
   const ItemProgress& progress = work_.Of(key);
-  HttpCall call = ItemCall(tools_.names, job->head(), item);
-  const RequestFingerprint fingerprint = FingerprintOf(job->head(), call);
+  HttpCall call = ItemCall(tools_.names, job->record(), item);
+  const RequestFingerprint fingerprint = FingerprintOf(job->record(), call);
   call.to = backend.address;
   call.headers.push_back({tools_.names.request_id, item.id});
   call.headers.push_back({tools_.names.expect_backend, backend.id.value});
@@ -264,7 +265,7 @@
 
 void BatchRunner::OnFailed(const JobItemRef& key, bool counts, const std::string& why) {
   const OwnedJob* job = jobs_.Owned(key.job);
-  const Route* route = RouteOf(job->head(), job->items()[key.item]);
+  const Route* route = RouteOf(job->record(), job->items()[key.item]);
   int& failures = work_.Of(key).failures;
   if (counts) ++failures;
   FailedRuns failed{failures, {}};
--- a/src/gateway/batch_runner.h
+++ b/src/gateway/batch_runner.h
@@ -62,7 +62,7 @@
   [[nodiscard]] Duration QuarantineLeft(const OwnedJob& job, const JobItemRef& key) const;
   [[nodiscard]] BacklogTime TimeNow() const;
   [[nodiscard]] std::string IdOf(const JobItemRef& key) const;
-  [[nodiscard]] const Route* RouteOf(const JobHead& head, const JobItem& item) const;
+  [[nodiscard]] const Route* RouteOf(const JobRecord& head, const JobItem& item) const;
   [[nodiscard]] bool Fits(const JobItemRef& key, const BackendInfo& backend) const;
   void StopExcess();
   void StartAllowed();
--- a/src/gateway/batch_sweep.cc
+++ b/src/gateway/batch_sweep.cc
@@ -19,7 +19,7 @@
   for (const auto& [key, progress] : work_.open()) {
     const OwnedJob* job = jobs_.Owned(key.job);
     if (job == nullptr) continue;
-    const JobHead& head = job->head();
+    const JobRecord& head = job->record();
     const bool has_route =
         !check_routes || routes_->Find(head.host, job->items()[key.item].target) != nullptr;
     const std::uint64_t version = routes_ ? routes_->version() : 0;
@@ -36,7 +36,7 @@
 // What the verdict rests on: the end of the job's life by the store's clock, and how
 // long ago the store last told its time.
 void BatchRunner::LogGivenUp(const JobItemRef& key, std::string_view why) const {
-  const JobHead* head = jobs_.Known(key.job);
+  const JobRecord* head = jobs_.Known(key.job);
   const std::optional<StoreTime> now = TimeNow().store;
   const std::optional<Duration> age = clock_.Age(Loop::SinceBoot());
   Log(LogLevel::kInfo, "item_given_up",
--- a/src/gateway/clocked_tables.h
+++ b/src/gateway/clocked_tables.h
@@ -60,7 +60,7 @@
     if (!made_at) return;
     const StoreClock::HostTime now = Loop::SinceBoot();
     const std::optional<StoreTime> before = clock_.Earliest(now);
-    if (clock_.Heard({*made_at, called_at, now})) return;
+    if (clock_.AddSample({*made_at, called_at, now})) return;
     Log(LogLevel::kWarning, "store_clock_set",
         {{"told_ms", Milliseconds(*made_at)}, {"before_ms", Milliseconds(*before)}});
   }
--- a/src/gateway/crash_watch.cc
+++ b/src/gateway/crash_watch.cc
@@ -23,8 +23,8 @@
 
 }  // namespace
 
-CrashWatch::CrashWatch(Loop& loop, ExchangeClient& client, SharedTables& tables, Metrics& metrics,
-                       NodeId self)
+CrashWatch::CrashWatch(Loop& loop, NoRetryHttpClient& client, SharedTables& tables,
+                       Metrics& metrics, NodeId self)
     : loop_(loop),
       client_(client),
       tables_(tables),
--- a/src/gateway/crash_watch.h
+++ b/src/gateway/crash_watch.h
@@ -32,7 +32,7 @@
     Time begun_at{};
   };
 
-  CrashWatch(Loop& loop, ExchangeClient& client, SharedTables& tables, Metrics& metrics,
+  CrashWatch(Loop& loop, NoRetryHttpClient& client, SharedTables& tables, Metrics& metrics,
              NodeId self);
 
   void Start() { follower_.Start(); }
@@ -63,7 +63,7 @@
                  const TableOutcome& outcome);
 
   Loop& loop_;
-  ExchangeClient& client_;
+  NoRetryHttpClient& client_;
   SharedTables& tables_;
   NodeId self_;
   Quarantine quarantine_;
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -76,7 +76,7 @@
 
  private:
   Loop loop_;
-  ExchangeClient client_;
+  NoRetryHttpClient client_;
   StoreCaller store_;
   std::unique_ptr<SharedTables> tables_;
   FleetWatch fleet_;
@@ -119,7 +119,7 @@
                },
                [this](const JobId& job) { runner_.OnDropped(job); },
                [this](OwnedJob& job) { runner_.OnHandedOver(job); },
-               [this](const JobHead& head) { desk_.OnChanged(head); }}),
+               [this](const JobRecord& head) { desk_.OnChanged(head); }}),
         runner_(tools_, jobs_, clock_, [this] { link_.WantedChanged(); }),
         desk_(loop_, jobs_, clock_, adapter),
         door_(tools_, adapter, desk_, SystemRandom()),
@@ -131,7 +131,7 @@
     const Result<Ok> linked = link_.Start(settings_.seeds);
     if (!IsOk(linked)) {
       Log(LogLevel::kError, "cannot_listen", {{"why", ErrorOf(linked).detail}});
-      return RowOf(ErrorKind::kInternal).exit_code;
+      return ErrorInfoOf(ErrorKind::kInternal).exit_code;
     }
     if (!Listen(settings_.callers, callers_,
                 [this](HttpRequest request, std::shared_ptr<HttpReply> reply) {
@@ -150,7 +150,7 @@
                   UpdateGauges();
                   reply->Send({200, "text/plain; version=0.0.4", {}, metrics_.PrometheusText()});
                 })) {
-      return RowOf(ErrorKind::kInternal).exit_code;
+      return ErrorInfoOf(ErrorKind::kInternal).exit_code;
     }
     jobs_.Start();
     crashes_.Start();
@@ -202,7 +202,7 @@
     set("figmill_config_version", "Version of the configuration in force",
         static_cast<double>(door_.config_version()));
     set("figmill_connections_opened", "Connections opened since the start",
-        static_cast<double>(client_.opened()));
+        static_cast<double>(client_.connections_opened()));
     set("figmill_store_clock_age_seconds",
         "Since the store last told its time; -1 before it first did",
         SecondsOr(clock_.Age(Loop::SinceBoot()), -1));
@@ -230,7 +230,7 @@
 
   void Update(const std::shared_ptr<const FleetView>& view) {
     for (const Address& address : ChangedAddresses(backends_, view->backends)) {
-      client_.DropIdle(address);
+      client_.CloseIdleConnections(address);
     }
     backends_ = view->backends;
     teams_.SetRoutes(view->routes);
@@ -301,7 +301,7 @@
   GatewayMetrics gateway_metrics_{metrics_};
   TrafficMetrics traffic_{metrics_};
   Loop loop_;
-  ExchangeClient client_;
+  NoRetryHttpClient client_;
   StoreCaller store_;
   std::unique_ptr<SharedTables> tables_;
   StoreClock clock_;
--- a/src/gateway/item_call.cc
+++ b/src/gateway/item_call.cc
@@ -11,7 +11,7 @@
   return SameHeaderName(header, kKeyHeader) || SameHeaderName(header, names.team);
 }
 
-HttpCall ItemCall(const WireNames& names, const JobHead& job, const JobItem& item) {
+HttpCall ItemCall(const WireNames& names, const JobRecord& job, const JobItem& item) {
   HttpCall call;
   call.method = "POST";
   call.target = item.target;
@@ -27,7 +27,7 @@
   return call;
 }
 
-RequestFingerprint FingerprintOf(const JobHead& job, const HttpCall& call) {
+RequestFingerprint FingerprintOf(const JobRecord& job, const HttpCall& call) {
   return FingerprintOf(call.method, call.target, call.headers, call.body, job.team);
 }
 
--- a/src/gateway/item_call.h
+++ b/src/gateway/item_call.h
@@ -13,7 +13,7 @@
 [[nodiscard]] bool TellsTeam(const WireNames& names, std::string_view header);
 
 // Without a backend server, and without what differs from run to run.
-[[nodiscard]] HttpCall ItemCall(const WireNames& names, const JobHead& job, const JobItem& item);
-[[nodiscard]] RequestFingerprint FingerprintOf(const JobHead& job, const HttpCall& call);
+[[nodiscard]] HttpCall ItemCall(const WireNames& names, const JobRecord& job, const JobItem& item);
+[[nodiscard]] RequestFingerprint FingerprintOf(const JobRecord& job, const HttpCall& call);
 
 }  // namespace figmill
--- a/src/gateway/job_desk.cc
+++ b/src/gateway/job_desk.cc
@@ -45,7 +45,7 @@
     if (error.ran != Ran::kNo && error.kind == ErrorKind::kStoreUnavailable) {
       error.kind = ErrorKind::kDeadlineExceeded;
     }
-    if (RowOf(error.kind).retry_may_help && !error.retry_after) error.retry_after = kComeBack;
+    if (ErrorInfoOf(error.kind).retry_may_help && !error.retry_after) error.retry_after = kComeBack;
     Send(RefusalOf(error), error.detail);
   }
   void OnClosed(std::function<void()> closed) { reply_->OnClosed(std::move(closed)); }
@@ -78,7 +78,7 @@
     return answer->Refuse({ErrorKind::kNoBackend, "the store was not reached yet", Ran::kNo});
   }
   JobSubmission& job = ValueOf(submission);
-  JobHead head;
+  JobRecord head;
   head.id = job.id;
   head.route = route.name;
   head.host = route.host;
@@ -88,7 +88,7 @@
   head.submitted = *now;
   head.due = head.submitted + route.job_due;
   head.expires = head.submitted + route.job_life;
-  head.digest = ledger::DigestOf(job, head.team);
+  head.digest = ledger::SubmissionDigest(job, head.team);
   head.config_version = config_version;
   jobs_.Accept(std::move(head), std::move(job), [this, answer](const Result<Ok>& accepted) {
     if (!IsOk(accepted)) return answer->Refuse(ErrorOf(accepted));
@@ -103,12 +103,12 @@
   const auto answer =
       std::make_shared<Answer>(*this, std::string(name), job.value, std::move(reply));
   if (!team) return Serve(call, answer);
-  jobs_.Find(job, [this, call, team, answer, job](const Result<JobHead>& head) {
+  jobs_.Find(job, [this, call, team, answer, job](const Result<JobRecord>& head) {
     if (!IsOk(head)) return answer->Refuse(ErrorOf(head));
     const TeamId& holder = ValueOf(head).team;
     if (holder.empty() || holder == *team) return Serve(call, answer);
     // Asked for in the store like one that nobody knows, so that the time is the same.
-    jobs_.Refresh(job, [answer](const Result<JobHead>& /*head*/) {
+    jobs_.Refresh(job, [answer](const Result<JobRecord>& /*head*/) {
       answer->Refuse({ErrorKind::kNotFound, "no such job"});
     });
   });
@@ -119,14 +119,14 @@
 }
 
 void JobDesk::On(const JobReadCall& call, std::shared_ptr<Answer> answer) {
-  jobs_.Find(call.job, [this, call, answer](const Result<JobHead>& head) {
+  jobs_.Find(call.job, [this, call, answer](const Result<JobRecord>& head) {
     if (!IsOk(head)) return answer->Refuse(ErrorOf(head));
     Read(call, ValueOf(head), answer);
   });
 }
 
-void JobDesk::Read(const JobReadCall& call, const JobHead& head, std::shared_ptr<Answer> answer) {
-  if (call.after < head.listed) return SendResults(call, head.total, std::move(answer));
+void JobDesk::Read(const JobReadCall& call, const JobRecord& head, std::shared_ptr<Answer> answer) {
+  if (call.after < head.stored_results) return SendResults(call, head.total, std::move(answer));
   const bool may_wait = head.open() && call.wait.count() > 0 && !leaving_;
   if (may_wait) return Wait(call, std::move(answer));
   AnswerNothing(call, std::move(answer));
@@ -153,9 +153,10 @@
 // may have shown this caller results that have not reached this one, and they would
 // be missed at their positions.
 void JobDesk::AnswerNothing(const JobReadCall& call, std::shared_ptr<Answer> answer) {
-  jobs_.Refresh(call.job, [this, call, answer](const Result<JobHead>& head) {
+  jobs_.Refresh(call.job, [this, call, answer](const Result<JobRecord>& head) {
     if (!IsOk(head)) return answer->Refuse(ErrorOf(head));
-    if (call.after < ValueOf(head).listed) return SendResults(call, ValueOf(head).total, answer);
+    if (call.after < ValueOf(head).stored_results)
+      return SendResults(call, ValueOf(head).total, answer);
     answer->Send(
         {200, "application/json", {}, adapter_.RenderResults(ValueOf(head).total, call.after, {})});
   });
@@ -166,7 +167,7 @@
   JobReadCall again = call;
   again.wait = Duration{0};
   const auto finish = [this, again, answer] {
-    const JobHead* now = jobs_.Known(again.job);
+    const JobRecord* now = jobs_.Known(again.job);
     if (now == nullptr) return answer->Refuse({ErrorKind::kNotFound, "no such job"});
     Read(again, *now, answer);
   };
@@ -182,11 +183,11 @@
   });
 }
 
-void JobDesk::OnChanged(const JobHead& head) {
+void JobDesk::OnChanged(const JobRecord& head) {
   std::vector<std::function<void()>> ready;
   const auto [first, last] = waiting_.equal_range(head.id);
   for (auto at = first; at != last;) {
-    if (at->second.after < head.listed || !head.open()) {
+    if (at->second.after < head.stored_results || !head.open()) {
       ready.push_back(at->second.answer);
       at = waiting_.erase(at);
     } else {
--- a/src/gateway/job_desk.h
+++ b/src/gateway/job_desk.h
@@ -26,7 +26,7 @@
   void Call(const JobCall& call, const std::optional<TeamId>& team,
             std::shared_ptr<HttpReply> reply);
   // The job has new results, or has ended.
-  void OnChanged(const JobHead& head);
+  void OnChanged(const JobRecord& head);
   void SetLeaving();
   [[nodiscard]] std::size_t in_flight() const { return in_flight_; }
 
@@ -43,7 +43,7 @@
   void On(const JobReadCall& call, std::shared_ptr<Answer> answer);
   void On(const JobItemCall& call, std::shared_ptr<Answer> answer);
   void On(const JobEndCall& call, std::shared_ptr<Answer> answer);
-  void Read(const JobReadCall& call, const JobHead& head, std::shared_ptr<Answer> answer);
+  void Read(const JobReadCall& call, const JobRecord& head, std::shared_ptr<Answer> answer);
   void Wait(const JobReadCall& call, std::shared_ptr<Answer> answer);
   void AnswerNothing(const JobReadCall& call, std::shared_ptr<Answer> answer);
   void SendResults(const JobReadCall& call, std::uint32_t total, std::shared_ptr<Answer> answer);
--- a/src/gateway/job_owners.cc
+++ b/src/gateway/job_owners.cc
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-void JobStore::Own(JobHead head, RowVersion version, std::vector<JobItem> items,
+void JobStore::Own(JobRecord head, RowVersion version, std::vector<JobItem> items,
                    const std::vector<ledger::ProgressPiece>& progress) {
   if (leaving_ || owned_.contains(head.id)) return;
   if (items.size() != head.total) {
@@ -32,7 +32,7 @@
       {{"job", id.value},
        {"row_version", std::to_string(version)},
        {"total", std::to_string(head.total)},
-       {"listed", std::to_string(head.listed)}});
+       {"listed", std::to_string(head.stored_results)}});
   const auto at =
       owned_.emplace(id, std::make_unique<OwnedJob>(std::move(head), version, std::move(items)));
   hooks_.owned(*at.first->second, progress);
@@ -92,22 +92,22 @@
 void JobStore::Take(const JobId& id) {
   KnownJob& known = known_[id];
   known.taking = true;
-  JobHead head = known.head;
+  JobRecord head = known.head;
   Log(LogLevel::kInfo, "job_take_over",
       {{"job", id.value},
        {"from", head.owner.value},
        {"row_version", std::to_string(known.version)}});
   head.owner = peers_.self().node;
   head.owner_incarnation = peers_.self().incarnation;
-  head.token = FreshToken(random_);
+  head.token = GenerateToken(random_);
   TableTransaction transaction;
-  transaction.conditions.push_back({ledger::HeadKey(id), known.version});
-  transaction.puts.push_back({ledger::HeadKey(id), ledger::EncodeHead(head)});
+  transaction.conditions.push_back({ledger::JobRecordKey(id), known.version});
+  transaction.puts.push_back({ledger::JobRecordKey(id), ledger::EncodeJobRecord(head)});
   HedgedCommit(loop_, tables_, std::move(transaction),
                [this, head](const TableOutcome& outcome) { OnTaken(head, outcome); });
 }
 
-void JobStore::OnTaken(const JobHead& head, const TableOutcome& outcome) {
+void JobStore::OnTaken(const JobRecord& head, const TableOutcome& outcome) {
   KnownJob& known = known_[head.id];
   known.taking = false;
   known.take_again_at = Loop::Now() + kTakeAgainAfter;
@@ -115,10 +115,10 @@
     Learn(head, committed->version);
     LoadAndOwn(head.id);
   } else if (const auto* rejected = std::get_if<TableRejected>(&outcome)) {
-    const TableRow* row = RowIn(*rejected, ledger::HeadKey(head.id));
+    const TableRow* row = RowIn(*rejected, ledger::JobRecordKey(head.id));
     if (row == nullptr) return;
     (void)LearnRow(*row);
-    const JobHead* now = Known(head.id);
+    const JobRecord* now = Known(head.id);
     if (now != nullptr && now->token == head.token) LoadAndOwn(head.id);
   }
   // Otherwise a later check tries again.
--- a/src/gateway/job_store.cc
+++ b/src/gateway/job_store.cc
@@ -25,11 +25,11 @@
   check_timer_ = loop_.Every(kCheckPeriod, [this] { CheckOwners(); });
 }
 
-bool JobStore::IsMine(const JobHead& head) const {
+bool JobStore::IsMine(const JobRecord& head) const {
   return head.owner == peers_.self().node && head.owner_incarnation == peers_.self().incarnation;
 }
 
-const JobHead* JobStore::Known(const JobId& job) const {
+const JobRecord* JobStore::Known(const JobId& job) const {
   const auto found = known_.find(job);
   return found == known_.end() ? nullptr : &found->second.head;
 }
@@ -52,15 +52,15 @@
   (void)LearnRow(*change.row);
 }
 
-Result<JobHead> JobStore::Readable(const TableRow& row) const {
-  Result<JobHead> head = ledger::DecodeHead(row.value);
+Result<JobRecord> JobStore::Readable(const TableRow& row) const {
+  Result<JobRecord> head = ledger::DecodeJobRecord(row.value);
   if (!IsOk(head)) return head;
-  if (ledger::HeadKey(ValueOf(head).id) != row.at) {
+  if (ledger::JobRecordKey(ValueOf(head).id) != row.at) {
     return Error{ErrorKind::kBadRequest, "job row: it names another job than its key"};
   }
-  const JobHead* known = Known(ValueOf(head).id);
+  const JobRecord* known = Known(ValueOf(head).id);
   if (known == nullptr) return head;
-  if (const auto why = ledger::Contradiction(*known, ValueOf(head))) {
+  if (const auto why = ledger::InvalidUpdateReason(*known, ValueOf(head))) {
     return Error{ErrorKind::kBadRequest, "job row: " + std::string(*why)};
   }
   return head;
@@ -69,7 +69,7 @@
 Result<Ok> JobStore::LearnRow(const TableRow& row) {
   const auto known = known_.find(JobId{row.at.key});
   if (known != known_.end() && row.version <= known->second.version) return Ok{};
-  const Result<JobHead> head = Readable(row);
+  const Result<JobRecord> head = Readable(row);
   if (!IsOk(head)) {
     refused_.Refuse(row.at.key, row.version, ErrorOf(head).detail);
     return Error{ErrorKind::kStoreUnavailable, ErrorOf(head).detail};
@@ -79,7 +79,7 @@
   return Ok{};
 }
 
-void JobStore::Learn(const JobHead& head, RowVersion version) {
+void JobStore::Learn(const JobRecord& head, RowVersion version) {
   KnownJob& known = known_[head.id];
   if (version <= known.version) return;
   const bool new_owner = known.version == 0 || known.head.owner != head.owner ||
@@ -91,7 +91,7 @@
   known.head = head;
   known.version = version;
   if (OwnedJob* job = Owned(head.id)) {
-    if (!job->OnHead(head, version)) {
+    if (!job->OnJobRecord(head, version)) {
       Log(LogLevel::kWarning, "job_lost",
           {{"job", head.id.value},
            {"owner", head.owner.value},
@@ -99,7 +99,7 @@
       Drop(head.id);
     } else if (!head.open()) {
       hooks_.dropped(head.id);
-      if (job->settled()) owned_.erase(head.id);
+      if (job->all_written()) owned_.erase(head.id);
     } else {
       Write(*job);
     }
@@ -114,9 +114,9 @@
 
 // --- Acceptance ---------------------------------------------------------------------
 
-void JobStore::Accept(JobHead head, JobSubmission submission,
+void JobStore::Accept(JobRecord head, JobSubmission submission,
                       std::function<void(Result<Ok>)> done) {
-  if (const JobHead* known = Known(head.id)) {
+  if (const JobRecord* known = Known(head.id)) {
     if (known->digest == head.digest) return done(Ok{});
     return done(Error{ErrorKind::kConflict, "a job with this id and other items was accepted"});
   }
@@ -124,9 +124,9 @@
   const Peer owner = OwnerOfNew(head.id);
   head.owner = owner.node;
   head.owner_incarnation = owner.incarnation;
-  head.token = FreshToken(random_);
-  auto transactions =
-      std::make_shared<std::vector<TableTransaction>>(ledger::Accept(head, submission.items));
+  head.token = GenerateToken(random_);
+  auto transactions = std::make_shared<std::vector<TableTransaction>>(
+      ledger::AcceptTransactions(head, submission.items));
   CommitAll(transactions, 0,
             [this, head, submission = std::move(submission),
              done = std::move(done)](const TableOutcome& outcome) mutable {
@@ -160,7 +160,7 @@
       });
 }
 
-void JobStore::OnAccepted(const JobHead& head, JobSubmission submission,
+void JobStore::OnAccepted(const JobRecord& head, JobSubmission submission,
                           const TableOutcome& outcome,
                           const std::function<void(Result<Ok>)>& done) {
   std::visit(Overloaded{
@@ -170,10 +170,10 @@
                    done(Ok{});
                  },
                  [&](const TableRejected& rejected) {
-                   const TableRow* row = RowIn(rejected, ledger::HeadKey(head.id));
-                   const Result<JobHead> there =
+                   const TableRow* row = RowIn(rejected, ledger::JobRecordKey(head.id));
+                   const Result<JobRecord> there =
                        row == nullptr ? Error{ErrorKind::kInternal, "rejected, and no row is there"}
-                                      : ledger::DecodeHead(row->value);
+                                      : ledger::DecodeJobRecord(row->value);
                    if (!IsOk(there)) {
                      return done(
                          Error{ErrorKind::kStoreUnavailable, ErrorOf(there).detail, Ran::kUnknown});
@@ -202,11 +202,12 @@
 // --- Results --------------------------------------------------------------------------
 
 void JobStore::Write(OwnedJob& job) {
-  if (IsUnreadable(job.head().id)) return;
+  if (IsUnreadable(job.record().id)) return;
   std::optional<TableTransaction> write = job.NextWrite(random_);
   if (!write) return;
-  HedgedCommit(loop_, tables_, *std::move(write),
-               [this, id = job.head().id](const TableOutcome& outcome) { OnWritten(id, outcome); });
+  HedgedCommit(
+      loop_, tables_, *std::move(write),
+      [this, id = job.record().id](const TableOutcome& outcome) { OnWritten(id, outcome); });
 }
 
 void JobStore::OnWritten(const JobId& id, const TableOutcome& outcome) {
@@ -216,11 +217,11 @@
   std::visit(Overloaded{
                  [&](const TableCommitted& committed) {
                    job->OnCommitted(committed.version);
-                   Learn(JobHead(job->head()), job->version());
+                   Learn(JobRecord(job->record()), job->version());
                  },
                  [&](const TableRejected& rejected) {
                    job->OnFailed();
-                   const TableRow* row = RowIn(rejected, ledger::HeadKey(id));
+                   const TableRow* row = RowIn(rejected, ledger::JobRecordKey(id));
                    spoilt = row != nullptr && !IsOk(LearnRow(*row));
                  },
                  [&](const NotWritten& refused) {
@@ -237,11 +238,11 @@
              outcome);
   job = Owned(id);
   if (job == nullptr) return;
-  if (!job->head().open() && job->settled()) {
+  if (!job->record().open() && job->all_written()) {
     owned_.erase(id);
     return FinishLeaving();
   }
-  if (leaving_ && (job->settled() || spoilt)) return Release(id);
+  if (leaving_ && (job->all_written() || spoilt)) return Release(id);
   // Written again once the row can be read: sent again at once, the write would be rejected
   // as fast as the store answers.
   if (spoilt) return;
--- a/src/gateway/job_store.h
+++ b/src/gateway/job_store.h
@@ -43,7 +43,7 @@
     std::function<void(const JobId&)> dropped;
     // It is about to be handed over: stop what runs of it and keep its progress.
     std::function<void(OwnedJob&)> handed_over;
-    std::function<void(const JobHead&)> changed;
+    std::function<void(const JobRecord&)> changed;
   };
 
   JobStore(Loop& loop, SharedTables& tables, Metrics& metrics, const PeerTable& peers,
@@ -55,19 +55,19 @@
 
   // Accepts a job for good or finds it accepted. Errors: kConflict (other items under
   // this id), kStoreUnavailable with `ran` no (never will be accepted) or unknown.
-  void Accept(JobHead head, JobSubmission submission, std::function<void(Result<Ok>)> done);
+  void Accept(JobRecord head, JobSubmission submission, std::function<void(Result<Ok>)> done);
   // Ends it for its sender. Errors: kNotFound, kStoreUnavailable.
   void End(const JobId& job, std::function<void(Result<Ok>)> done);
   // The job's row: from the mirror, else from the store. Errors: kNotFound, kStoreUnavailable.
-  void Find(const JobId& job, std::function<void(Result<JobHead>)> done);
+  void Find(const JobId& job, std::function<void(Result<JobRecord>)> done);
   // As Find, always from the store: what is known here may be seconds old.
-  void Refresh(const JobId& job, std::function<void(Result<JobHead>)> done);
+  void Refresh(const JobId& job, std::function<void(Result<JobRecord>)> done);
   // Errors: kStoreUnavailable.
   void ReadResults(const JobId& job, std::uint32_t from,
                    std::function<void(Result<std::vector<ItemResult>>)> done);
   void ReadItems(const JobId& job, std::function<void(Result<std::vector<JobItem>>)> done);
 
-  [[nodiscard]] const JobHead* Known(const JobId& job) const;
+  [[nodiscard]] const JobRecord* Known(const JobId& job) const;
   [[nodiscard]] OwnedJob* Owned(const JobId& job);
   // Something was finished: write it.
   void Write(OwnedJob& job);
@@ -76,7 +76,7 @@
 
  private:
   struct KnownJob {
-    JobHead head;
+    JobRecord head;
     RowVersion version = 0;
     Time seen_at{};  // since when its owner has been as it is
     bool taking = false;
@@ -86,17 +86,17 @@
   };
 
   void OnRow(const TableMirror::Change& change);
-  void Learn(const JobHead& head, RowVersion version);
+  void Learn(const JobRecord& head, RowVersion version);
   // What is known of a job stays in force when its row can't be used: a sound job is
   // neither dropped nor given up for what another writer did to its row. Errors:
   // kStoreUnavailable.
   Result<Ok> LearnRow(const TableRow& row);
-  [[nodiscard]] Result<JobHead> Readable(const TableRow& row) const;
+  [[nodiscard]] Result<JobRecord> Readable(const TableRow& row) const;
   [[nodiscard]] bool IsUnreadable(const JobId& job) const { return refused_.Contains(job.value); }
   void LoadLater(const JobId& id);
   void CommitAll(std::shared_ptr<std::vector<TableTransaction>> transactions, std::size_t next,
                  std::function<void(TableOutcome)> done);
-  void OnAccepted(const JobHead& head, JobSubmission submission, const TableOutcome& outcome,
+  void OnAccepted(const JobRecord& head, JobSubmission submission, const TableOutcome& outcome,
                   const std::function<void(Result<Ok>)>& done);
   void CheckOwners();
   // Its owner has released it or is gone.
@@ -105,8 +105,8 @@
   // How long this entry leaves a free job to those that come before it.
   [[nodiscard]] std::optional<Duration> Turn(const JobId& job, Time now) const;
   void Take(const JobId& job);
-  void OnTaken(const JobHead& head, const TableOutcome& outcome);
-  void Own(JobHead head, RowVersion version, std::vector<JobItem> items,
+  void OnTaken(const JobRecord& head, const TableOutcome& outcome);
+  void Own(JobRecord head, RowVersion version, std::vector<JobItem> items,
            const std::vector<ledger::ProgressPiece>& progress);
   void ReadAll(TableRange range, std::shared_ptr<std::vector<TableRow>> rows,
                std::function<void(Result<std::vector<TableRow>>)> done);
@@ -115,11 +115,11 @@
   [[nodiscard]] Peer OwnerOfNew(const JobId& job) const;
   void Drop(const JobId& job);
   void OnWritten(const JobId& job, const TableOutcome& outcome);
-  void EndElsewhere(const JobId& job, const JobHead& head, RowVersion version, int tries,
+  void EndElsewhere(const JobId& job, const JobRecord& head, RowVersion version, int tries,
                     std::function<void(Result<Ok>)> done);
   void Release(const JobId& job);
   void FinishLeaving();
-  [[nodiscard]] bool IsMine(const JobHead& head) const;
+  [[nodiscard]] bool IsMine(const JobRecord& head) const;
 
   Loop& loop_;
   SharedTables& tables_;
--- a/src/gateway/job_store_calls.cc
+++ b/src/gateway/job_store_calls.cc
@@ -20,7 +20,7 @@
 // --- Ends -------------------------------------------------------------------------------
 
 void JobStore::End(const JobId& id, std::function<void(Result<Ok>)> done) {
-  Find(id, [this, id, done = std::move(done)](Result<JobHead> head) {
+  Find(id, [this, id, done = std::move(done)](Result<JobRecord> head) {
     if (!IsOk(head)) return done(ErrorOf(head));
     if (ValueOf(head).ended) return done(Ok{});
     if (IsUnreadable(id)) {
@@ -33,14 +33,14 @@
 }
 
 // Also for a job of this entry's own: its next write then finds the new row.
-void JobStore::EndElsewhere(const JobId& id, const JobHead& head, RowVersion version, int tries,
+void JobStore::EndElsewhere(const JobId& id, const JobRecord& head, RowVersion version, int tries,
                             std::function<void(Result<Ok>)> done) {
-  JobHead next = head;
+  JobRecord next = head;
   next.ended = true;
-  next.token = FreshToken(random_);
+  next.token = GenerateToken(random_);
   TableTransaction transaction;
-  transaction.conditions.push_back({ledger::HeadKey(id), version});
-  transaction.puts.push_back({ledger::HeadKey(id), ledger::EncodeHead(next)});
+  transaction.conditions.push_back({ledger::JobRecordKey(id), version});
+  transaction.puts.push_back({ledger::JobRecordKey(id), ledger::EncodeJobRecord(next)});
   HedgedCommit(loop_, tables_, std::move(transaction),
                [this, id, next, tries, done = std::move(done)](const TableOutcome& outcome) {
                  if (const auto* committed = std::get_if<TableCommitted>(&outcome)) {
@@ -49,7 +49,7 @@
                  }
                  const auto* rejected = std::get_if<TableRejected>(&outcome);
                  const TableRow* row =
-                     rejected == nullptr ? nullptr : RowIn(*rejected, ledger::HeadKey(id));
+                     rejected == nullptr ? nullptr : RowIn(*rejected, ledger::JobRecordKey(id));
                  if (row == nullptr || tries == 0) {
                    return done(Error{ErrorKind::kStoreUnavailable, "the end could not be written",
                                      Ran::kUnknown});
@@ -58,7 +58,7 @@
                  // what nobody has seen.
                  const Result<Ok> learnt = LearnRow(*row);
                  if (!IsOk(learnt)) return done(ErrorOf(learnt));
-                 const JobHead* now = Known(id);
+                 const JobRecord* now = Known(id);
                  if (now == nullptr) return done(Error{ErrorKind::kNotFound, "no such job"});
                  if (now->ended) return done(Ok{});
                  EndElsewhere(id, *now, row->version, tries - 1, done);
@@ -67,19 +67,19 @@
 
 // --- Reads --------------------------------------------------------------------------------
 
-void JobStore::Find(const JobId& job, std::function<void(Result<JobHead>)> done) {
-  if (const JobHead* known = Known(job)) return done(*known);
+void JobStore::Find(const JobId& job, std::function<void(Result<JobRecord>)> done) {
+  if (const JobRecord* known = Known(job)) return done(*known);
   Refresh(job, std::move(done));
 }
 
-void JobStore::Refresh(const JobId& job, std::function<void(Result<JobHead>)> done) {
-  const TableKey at = ledger::HeadKey(job);
+void JobStore::Refresh(const JobId& job, std::function<void(Result<JobRecord>)> done) {
+  const TableKey at = ledger::JobRecordKey(job);
   tables_.Read({at.table, at.part, at.key, at.key + '\0', 1},
                [this, job, done = std::move(done)](const Result<TablePage>& page) {
                  if (!IsOk(page)) return done(ErrorOf(page));
                  Result<Ok> learnt = Ok{};
                  for (const TableRow& row : ValueOf(page).rows) learnt = LearnRow(row);
-                 const JobHead* known = Known(job);
+                 const JobRecord* known = Known(job);
                  // Neither "no such job" nor "no result yet" is known to be true.
                  if (!IsOk(learnt)) return done(ErrorOf(learnt));
                  if (known == nullptr) return done(Error{ErrorKind::kNotFound, "no such job"});
@@ -139,7 +139,7 @@
     // OnWritten releases the job after that.
     OwnedJob& job = *owned_[id];
     hooks_.handed_over(job);
-    if (job.settled() || IsUnreadable(id)) {
+    if (job.all_written() || IsUnreadable(id)) {
       Release(id);
     } else {
       Write(job);
@@ -150,15 +150,15 @@
 
 void JobStore::Release(const JobId& id) {
   const OwnedJob* job = Owned(id);
-  JobHead head = job->head();
+  JobRecord head = job->record();
   const RowVersion version = job->version();
   Drop(id);
   head.owner = NodeId{};
   head.owner_incarnation = 0;
-  head.token = FreshToken(random_);
+  head.token = GenerateToken(random_);
   TableTransaction transaction;
-  transaction.conditions.push_back({ledger::HeadKey(id), version});
-  transaction.puts.push_back({ledger::HeadKey(id), ledger::EncodeHead(head)});
+  transaction.conditions.push_back({ledger::JobRecordKey(id), version});
+  transaction.puts.push_back({ledger::JobRecordKey(id), ledger::EncodeJobRecord(head)});
   Log(LogLevel::kInfo, "job_released", {{"job", id.value}});
   ++releasing_;
   HedgedCommit(loop_, tables_, std::move(transaction), [this](const TableOutcome& /*outcome*/) {
--- a/src/gateway/relay_call.h
+++ b/src/gateway/relay_call.h
@@ -24,7 +24,7 @@
 // What all calls share; it outlives them.
 struct RelayTools {
   Loop& loop;
-  ExchangeClient& client;
+  NoRetryHttpClient& client;
   PlaceBook& places;
   PlaceFinder& finder;
   OpenSends& sends;
--- a/src/gateway/store_caller.cc
+++ b/src/gateway/store_caller.cc
@@ -121,7 +121,7 @@
     }
     const Error& error = ErrorOf(result);
     const std::string_view fate = error.ran == Ran::kNo ? kNotSent : kLost;
-    reply->Send({RowOf(error.kind).http_status,
+    reply->Send({ErrorInfoOf(error.kind).http_status,
                  "text/plain",
                  {{std::string(kNoAnswer), std::string(fate)}},
                  error.detail});
--- a/src/gateway/store_caller.h
+++ b/src/gateway/store_caller.h
@@ -16,7 +16,7 @@
 
 class StoreCaller final : public TableCalls {
  public:
-  StoreCaller(Loop& loop, ExchangeClient& client, Address store, TrafficMetrics& traffic)
+  StoreCaller(Loop& loop, NoRetryHttpClient& client, Address store, TrafficMetrics& traffic)
       : loop_(loop), client_(client), store_(std::move(store)), traffic_(traffic) {}
 
   void Fetch(TableCall call, std::function<void(Result<HttpResponse>)> done) override;
@@ -32,7 +32,7 @@
   [[nodiscard]] HttpCall CallFor(const TableCall& call, const StorePaths::Path& path) const;
 
   Loop& loop_;
-  ExchangeClient& client_;
+  NoRetryHttpClient& client_;
   Address store_;
   TrafficMetrics& traffic_;
   StorePaths paths_;
--- a/src/gateway/table_follower.cc
+++ b/src/gateway/table_follower.cc
@@ -24,7 +24,7 @@
                  [this](const mirror::FollowFrom& from) { Follow(from); },
                  [this](const mirror::WaitFor& wait) {
                    pause_ = loop_.After(wait.delay, [this] {
-                     mirror_.Waited();
+                     mirror_.OnDelayElapsed();
                      Step();
                    });
                  },
@@ -52,7 +52,7 @@
   const std::string& part = list.part;
   const std::string why = IsOk(page) ? "" : ErrorOf(page).detail;
   const RowVersion before = mirror_.version();
-  mirror_.Listed(part, page);
+  mirror_.OnListed(part, page);
   const bool whole = IsOk(page) && list.from.empty() && !ValueOf(page).truncated;
   if (whole && ValueOf(page).version >= before && mirror_.following()) confirmed_at_ = asked_at;
   SetPartRead(part, IsOk(page), why);
@@ -63,7 +63,7 @@
 
 void TableFollower::OnFollowed(const FeedOutcome& outcome, Duration asked_at) {
   const RowVersion before = mirror_.version();
-  mirror_.Followed(outcome);
+  mirror_.OnFollowed(outcome);
   const auto* changes = std::get_if<TableChanges>(&outcome);
   // An answer from before what was heard already, of a store that lags, confirms nothing.
   const bool confirms = changes != nullptr && changes->version >= before && mirror_.complete();
--- a/src/gateway/table_follower.h
+++ b/src/gateway/table_follower.h
@@ -41,7 +41,7 @@
   // shows that the copy is whole as of that moment.
   [[nodiscard]] std::optional<Duration> confirmed_at() const { return confirmed_at_; }
   [[nodiscard]] const TableMirror& mirror() const { return mirror_; }
-  void Learn(const TableRow& row) { mirror_.Learn(row); }
+  void Learn(const TableRow& row) { mirror_.MergeRow(row); }
   // Whether the last call was answered.
   [[nodiscard]] bool connected() const { return connected_.value_or(false); }
 
--- a/src/gateway/team_access.cc
+++ b/src/gateway/team_access.cc
@@ -106,7 +106,7 @@
                  },
                  [&](const quota::Waits&) { waiting_.emplace(ticket, std::move(done)); },
                  [&](const Error& error) {
-                   Count(RowOf(error.kind).name);
+                   Count(ErrorInfoOf(error.kind).name);
                    done(error);
                  },
              },
@@ -133,7 +133,7 @@
     for (const quota::Decision& decision : decisions) {
       auto waiting = waiting_.extract(decision.ticket);
       if (waiting.empty()) continue;
-      Count(IsOk(decision.verdict) ? "admitted" : RowOf(ErrorOf(decision.verdict).kind).name);
+      Count(IsOk(decision.verdict) ? "admitted" : ErrorInfoOf(ErrorOf(decision.verdict).kind).name);
       waiting.mapped()(decision.verdict);
     }
     more = !asks.empty() || !decisions.empty();
--- a/src/items/give_up.cc
+++ b/src/items/give_up.cc
@@ -6,7 +6,7 @@
   return !failed.allowed || failed.counted < *failed.allowed;
 }
 
-std::optional<std::string_view> WhyGivenUp(const JobHead& head, bool has_route,
+std::optional<std::string_view> WhyGivenUp(const JobRecord& head, bool has_route,
                                            std::uint64_t config_version,
                                            std::optional<StoreTime> now) {
   const bool has_life = head.expires > head.submitted;
--- a/src/ledger/owned_job.cc
+++ b/src/ledger/owned_job.cc
@@ -6,14 +6,14 @@
 
 namespace figmill {
 
-OwnedJob::OwnedJob(JobHead head, RowVersion version, std::vector<JobItem> items)
-    : head_(std::move(head)), version_(version), items_(std::move(items)) {
-  assert(head_.done.size() == items_.size());
+OwnedJob::OwnedJob(JobRecord record, RowVersion version, std::vector<JobItem> items)
+    : record_(std::move(record)), version_(version), items_(std::move(items)) {
+  assert(record_.done.size() == items_.size());
   finished_.resize(items_.size(), false);
 }
 
 bool OwnedJob::IsOpen(std::size_t item) const {
-  return !IsListed(item) && !finished_[item];
+  return !HasStoredResult(item) && !finished_[item];
 }
 
 void OwnedJob::Finish(std::size_t item, ItemResult result) {
@@ -22,7 +22,7 @@
   unwritten_results_.emplace_back(item, std::move(result));
 }
 
-void OwnedJob::Keep(ledger::ProgressPiece piece) {
+void OwnedJob::AddProgress(ledger::ProgressPiece piece) {
   unwritten_progress_.push_back(std::move(piece));
 }
 
@@ -31,12 +31,12 @@
   if (!write_) {
     if (unwritten_results_.empty() && unwritten_progress_.empty() && !end_requested_)
       return std::nullopt;
-    write_ = Write{head_, {}, {}, version_, true};
-    write_->head.token = FreshToken(random);
-    write_->head.ended = head_.ended || end_requested_;
+    write_ = Write{record_, {}, {}, version_, true};
+    write_->record.token = GenerateToken(random);
+    write_->record.ended = record_.ended || end_requested_;
     TakeResults(*write_);
     TakeProgress(*write_);
-    write_->changes_row = !write_->results.empty() || write_->head.ended != head_.ended;
+    write_->changes_row = !write_->results.empty() || write_->record.ended != record_.ended;
   }
   in_flight_ = true;
   return TransactionFor(*write_);
@@ -47,8 +47,8 @@
   while (!unwritten_results_.empty() && write.results.size() < kMaxResultsPerWrite &&
          bytes < kMaxBytesPerWrite) {
     bytes += unwritten_results_.front().second.output.size();
-    write.head.done[unwritten_results_.front().first] = 'x';
-    ++write.head.listed;
+    write.record.done[unwritten_results_.front().first] = 'x';
+    ++write.record.stored_results;
     write.results.push_back(std::move(unwritten_results_.front()));
     unwritten_results_.erase(unwritten_results_.begin());
   }
@@ -69,19 +69,21 @@
 // applied, and this one then finds the row with its own token.
 TableTransaction OwnedJob::TransactionFor(const Write& write) const {
   TableTransaction transaction;
-  transaction.conditions.push_back({ledger::HeadKey(head_.id), write.condition});
+  transaction.conditions.push_back({ledger::JobRecordKey(record_.id), write.condition});
   if (write.changes_row) {
-    transaction.puts.push_back({ledger::HeadKey(head_.id), ledger::EncodeHead(write.head)});
+    transaction.puts.push_back(
+        {ledger::JobRecordKey(record_.id), ledger::EncodeJobRecord(write.record)});
   }
-  std::uint32_t position = write.head.listed - static_cast<std::uint32_t>(write.results.size());
+  std::uint32_t position =
+      write.record.stored_results - static_cast<std::uint32_t>(write.results.size());
   for (const auto& [item, result] : write.results) {
-    for (TablePut& put : ledger::ResultRows(head_.id, position, result)) {
+    for (TablePut& put : ledger::ResultRows(record_.id, position, result)) {
       transaction.puts.push_back(std::move(put));
     }
     ++position;
   }
   for (const ledger::ProgressPiece& piece : write.progress) {
-    transaction.puts.push_back(ledger::ProgressRow(head_.id, piece));
+    transaction.puts.push_back(ledger::ProgressRow(record_.id, piece));
   }
   return transaction;
 }
@@ -90,23 +92,24 @@
   in_flight_ = false;
   if (!write_) return;
   if (!write_->changes_row) return write_.reset();
-  const JobHead written = write_->head;  // a copy, since Adopt resets the write
-  Adopt(written, version);
+  const JobRecord written = write_->record;  // a copy, since ApplyRecord resets the write
+  ApplyRecord(written, version);
 }
 
-bool OwnedJob::OnHead(const JobHead& head, RowVersion version) {
+bool OwnedJob::OnJobRecord(const JobRecord& record, RowVersion version) {
   if (version <= version_) return true;
-  if (head.owner != head_.owner || head.owner_incarnation != head_.owner_incarnation) return false;
-  Adopt(head, version);
+  if (record.owner != record_.owner || record.owner_incarnation != record_.owner_incarnation)
+    return false;
+  ApplyRecord(record, version);
   return true;
 }
 
 // Takes over a newer row. If its token is that of the write in flight, the write was applied;
 // otherwise another write came first, and the results wait for the next write.
-void OwnedJob::Adopt(const JobHead& head, RowVersion version) {
+void OwnedJob::ApplyRecord(const JobRecord& record, RowVersion version) {
   if (write_) {
-    const bool ours = head.token == write_->head.token;
-    if (!ours) {
+    const bool applied = record.token == write_->record.token;
+    if (!applied) {
       unwritten_results_.insert(unwritten_results_.begin(),
                                 std::make_move_iterator(write_->results.begin()),
                                 std::make_move_iterator(write_->results.end()));
@@ -116,10 +119,11 @@
     }
     write_.reset();
   }
-  head_ = head;
+  record_ = record;
   version_ = version;
-  if (head_.ended) end_requested_ = false;
-  std::erase_if(unwritten_results_, [this](const auto& each) { return IsListed(each.first); });
+  if (record_.ended) end_requested_ = false;
+  std::erase_if(unwritten_results_,
+                [this](const auto& each) { return HasStoredResult(each.first); });
 }
 
 }  // namespace figmill
--- a/src/ledger/rows.cc
+++ b/src/ledger/rows.cc
@@ -100,41 +100,41 @@
 }
 
 StoreTime ReadTime(const Json& json, const char* name) {
-  return StoreTime(fields::Count<std::int64_t>(json, name, 0, fields::kLongestTime.count()));
+  return StoreTime(fields::Count<std::int64_t>(json, name, 0, fields::kMaxTime.count()));
 }
 
-// `done` must have one character per item, and `listed` must be the number of stored results in
-// it. Otherwise code would read past the end of `done`, or overwrite stored results.
-void CheckDone(const JobHead& head) {
-  if (head.done.size() != head.total) throw fields::BadDocument("'done' has the wrong length");
-  if (head.done.find_first_not_of("x.") != std::string::npos) {
+// `done` must have one character per item, and `stored_results` must be the number of stored
+// results in it. Otherwise code would read past the end of `done`, or overwrite stored results.
+void CheckDone(const JobRecord& record) {
+  if (record.done.size() != record.total) throw fields::BadDocument("'done' has the wrong length");
+  if (record.done.find_first_not_of("x.") != std::string::npos) {
     throw fields::BadDocument("'done' has an unknown character");
   }
-  if (std::count(head.done.begin(), head.done.end(), 'x') != head.listed) {
+  if (std::count(record.done.begin(), record.done.end(), 'x') != record.stored_results) {
     throw fields::BadDocument("'listed' does not match 'done'");
   }
 }
 
-JobHead ReadHead(const Json& json) {
-  JobHead head;
-  head.id.value = fields::Name(json, "id");
-  head.route = fields::Text(json, "route");
-  head.host = fields::Text(json, "host");
-  if (fields::Find(json, "team") != nullptr) head.team.value = fields::Name(json, "team");
-  head.total = fields::Count<std::uint32_t>(json, "total");
-  head.listed = fields::Count<std::uint32_t>(json, "listed");
-  head.done = fields::Text(json, "done");
-  head.owner.value = fields::Text(json, "owner");
-  head.owner_incarnation = fields::Count<Incarnation>(json, "incarnation");
-  head.ended = fields::Flag(json, "ended");
-  head.submitted = ReadTime(json, "submitted");
-  head.due = ReadTime(json, "due");
-  head.expires = ReadTime(json, "expires");
-  head.digest = fields::Count<std::uint64_t>(json, "digest");
-  head.config_version = fields::CountOr<std::uint64_t>(json, "config", 0);
-  head.token.value = fields::Text(json, "token");
-  CheckDone(head);
-  return head;
+JobRecord ReadRecord(const Json& json) {
+  JobRecord record;
+  record.id.value = fields::Name(json, "id");
+  record.route = fields::Text(json, "route");
+  record.host = fields::Text(json, "host");
+  if (fields::Find(json, "team") != nullptr) record.team.value = fields::Name(json, "team");
+  record.total = fields::Count<std::uint32_t>(json, "total");
+  record.stored_results = fields::Count<std::uint32_t>(json, "listed");
+  record.done = fields::Text(json, "done");
+  record.owner.value = fields::Text(json, "owner");
+  record.owner_incarnation = fields::Count<Incarnation>(json, "incarnation");
+  record.ended = fields::Flag(json, "ended");
+  record.submitted = ReadTime(json, "submitted");
+  record.due = ReadTime(json, "due");
+  record.expires = ReadTime(json, "expires");
+  record.digest = fields::Count<std::uint64_t>(json, "digest");
+  record.config_version = fields::CountOr<std::uint64_t>(json, "config", 0);
+  record.token.value = fields::Text(json, "token");
+  CheckDone(record);
+  return record;
 }
 
 std::optional<std::uint32_t> NumberOf(std::string_view digits, std::size_t size) {
@@ -206,28 +206,36 @@
   return "j" + std::to_string(hash % kParts);
 }
 
-TableKey HeadKey(const JobId& job) {
+TableKey JobRecordKey(const JobId& job) {
   return {std::string(kJobTable), PartOf(job), job.value};
 }
 
-std::string EncodeHead(const JobHead& head) {
-  Json json = {{"id", head.id.value},       {"route", head.route},
-               {"host", head.host},         {"total", head.total},
-               {"listed", head.listed},     {"done", head.done},
-               {"owner", head.owner.value}, {"incarnation", head.owner_incarnation},
-               {"ended", head.ended},       {"submitted", head.submitted.count()},
-               {"due", head.due.count()},   {"expires", head.expires.count()},
-               {"digest", head.digest},     {"config", head.config_version},
-               {"token", head.token.value}};
-  if (!head.team.empty()) json["team"] = head.team.value;
+std::string EncodeJobRecord(const JobRecord& record) {
+  Json json = {{"id", record.id.value},
+               {"route", record.route},
+               {"host", record.host},
+               {"total", record.total},
+               {"listed", record.stored_results},
+               {"done", record.done},
+               {"owner", record.owner.value},
+               {"incarnation", record.owner_incarnation},
+               {"ended", record.ended},
+               {"submitted", record.submitted.count()},
+               {"due", record.due.count()},
+               {"expires", record.expires.count()},
+               {"digest", record.digest},
+               {"config", record.config_version},
+               {"token", record.token.value}};
+  if (!record.team.empty()) json["team"] = record.team.value;
   return ToBytes(json);
 }
 
-Result<JobHead> DecodeHead(std::string_view value) {
-  return Decoded<JobHead>(value, "job row", ReadHead);
+Result<JobRecord> DecodeJobRecord(std::string_view value) {
+  return Decoded<JobRecord>(value, "job row", ReadRecord);
 }
 
-std::optional<std::string_view> Contradiction(const JobHead& known, const JobHead& later) {
+std::optional<std::string_view> InvalidUpdateReason(const JobRecord& known,
+                                                    const JobRecord& later) {
   const bool same = known.total == later.total && known.digest == later.digest &&
                     known.team == later.team && known.submitted == later.submitted &&
                     known.due == later.due && known.expires == later.expires;
@@ -239,20 +247,21 @@
   return std::nullopt;
 }
 
-std::vector<TableTransaction> Accept(const JobHead& head, const std::vector<JobItem>& items) {
+std::vector<TableTransaction> AcceptTransactions(const JobRecord& record,
+                                                 const std::vector<JobItem>& items) {
   Json list = Json::array();
   for (const JobItem& item : items) list.push_back(ToJson(item));
   const std::string bytes = ToBytes(list);
   const std::vector<std::string_view> pieces = PiecesOf(bytes);
-  const std::string part = PartOf(head.id);
+  const std::string part = PartOf(record.id);
   std::vector<TableTransaction> transactions(1);
   for (std::size_t i = 0; i < pieces.size(); ++i) {
     if (transactions.back().puts.size() == kPiecesPerTransaction) transactions.emplace_back();
     transactions.back().puts.push_back(
-        {{std::string(kItemTable), part, ItemRowKey(head.id, i)}, std::string(pieces[i])});
+        {{std::string(kItemTable), part, ItemRowKey(record.id, i)}, std::string(pieces[i])});
   }
-  transactions.back().conditions.push_back({HeadKey(head.id), 0});
-  transactions.back().puts.push_back({HeadKey(head.id), EncodeHead(head)});
+  transactions.back().conditions.push_back({JobRecordKey(record.id), 0});
+  transactions.back().puts.push_back({JobRecordKey(record.id), EncodeJobRecord(record)});
   return transactions;
 }
 
@@ -350,7 +359,7 @@
   return pieces;
 }
 
-std::uint64_t DigestOf(const JobSubmission& submission, const TeamId& team) {
+std::uint64_t SubmissionDigest(const JobSubmission& submission, const TeamId& team) {
   std::string text = submission.id.value;
   if (!team.empty()) text.append("\n").append(team.value);
   for (const JobItem& item : submission.items) {
--- a/src/once/accepted.cc
+++ b/src/once/accepted.cc
@@ -7,7 +7,7 @@
 OnceWrite AcceptWrite(const once::Spec& spec, std::string request_object, RowVersion released,
                       const RandomBits& random) {
   OnceRow row;
-  row.token = FreshToken(random);
+  row.token = GenerateToken(random);
   row.phase = OncePhase::kQueued;
   row.content = spec.content;
   row.team = spec.team;
@@ -28,7 +28,7 @@
 OnceWrite TakeOverWrite(const ItemKey& key, const OnceRow& row, RowVersion version,
                         const OnceParty& self, const RandomBits& random) {
   OnceRow taken = row;
-  taken.token = FreshToken(random);
+  taken.token = GenerateToken(random);
   taken.sender = self;
   ++taken.epoch;
 
--- a/src/once/keyed_item.cc
+++ b/src/once/keyed_item.cc
@@ -146,7 +146,7 @@
 
 void KeyedItem::Submit(OnceRow row, State state) {
   pending_ = std::move(row);
-  pending_.token = FreshToken(*random_);
+  pending_.token = GenerateToken(*random_);
   pending_.tick = spec_.tick;
   state_ = state;
   state_since_ = now_;
--- a/src/online/request_run.cc
+++ b/src/online/request_run.cc
@@ -292,7 +292,7 @@
 
 void RequestRun::GiveUp(Error error) {
   error.ran = detail::Worse(ran_before_, attempt_.ran);
-  if (RowOf(error.kind).retry_may_help) {
+  if (ErrorInfoOf(error.kind).retry_may_help) {
     // Spread over twice the time, so that callers don't come back together.
     const Duration least = error.retry_after.value_or(kRetryAfter);
     const auto spread = static_cast<std::uint64_t>(std::max<std::int64_t>(1, least.count()));
--- a/src/quarantine/crash_rows.cc
+++ b/src/quarantine/crash_rows.cc
@@ -61,8 +61,8 @@
   const Result<Crash> crash = ParseCrashKey(row.at.key);
   if (!IsOk(crash)) return ErrorOf(crash);
   try {
-    const auto chain = fields::CountOf<std::uint32_t>(fields::Need(Json::parse(row.value), "chain"),
-                                                      "chain", 1, CrashReport::kMaxChain);
+    const auto chain = fields::CountOf<std::uint32_t>(
+        fields::Require(Json::parse(row.value), "chain"), "chain", 1, CrashReport::kMaxChain);
     return CrashReport{ValueOf(crash), static_cast<int>(chain)};
   } catch (const std::exception& mistake) {
     return Refused(mistake.what());
--- a/src/query/refusal_log.cc
+++ b/src/query/refusal_log.cc
@@ -13,7 +13,7 @@
           std::monostate{},
           refusal.service.value,
           refusal.team.value,
-          std::string(RowOf(refusal.kind).name),
+          std::string(ErrorInfoOf(refusal.kind).name),
           std::string(ToString(refusal.ran)),
           std::int64_t{1},
           refusal.cause};
@@ -39,8 +39,8 @@
     const Dropped& dropped = dropped_[kind];
     if (dropped.count == 0 || !within(dropped.newest)) continue;
     table.rows.push_back({dropped.newest, std::monostate{}, std::monostate{}, std::monostate{},
-                          std::string(RowOf(static_cast<ErrorKind>(kind)).name), std::monostate{},
-                          static_cast<std::int64_t>(dropped.count),
+                          std::string(ErrorInfoOf(static_cast<ErrorKind>(kind)).name),
+                          std::monostate{}, static_cast<std::int64_t>(dropped.count),
                           std::string("no longer kept one by one; this is the newest")});
   }
   for (const Refusal& refusal : kept_) {
--- a/src/runtime/problem.cc
+++ b/src/runtime/problem.cc
@@ -25,7 +25,7 @@
 }  // namespace
 
 HttpResponse ProblemOf(const Error& error) {
-  const ErrorRow& row = RowOf(error.kind);
+  const ErrorKindInfo& row = ErrorInfoOf(error.kind);
   HttpResponse response;
   response.status = row.http_status;
   response.content_type = "application/problem+json";
@@ -47,7 +47,7 @@
   if (!problem.is_object()) return UnreadableProblem(status);
   const auto kind_text = problem.find("kind");
   if (kind_text == problem.end() || !kind_text->is_string()) return UnreadableProblem(status);
-  const auto kind = KindNamed(kind_text->get_ref<const std::string&>());
+  const auto kind = FindErrorKind(kind_text->get_ref<const std::string&>());
   if (!kind) return UnreadableProblem(status);
   Error error{*kind};
   error.ran = Ran::kUnknown;
--- a/src/runtime/rpc_client.cc
+++ b/src/runtime/rpc_client.cc
@@ -11,7 +11,7 @@
 
 std::string FreshCallId() {
   thread_local RandomBits random = SystemRandom();
-  return FreshToken(random).value;
+  return GenerateToken(random).value;
 }
 
 Ran RanNamed(std::string_view name) {
@@ -30,7 +30,7 @@
 ErrorKind KindOfCode(int code) {
   for (int i = 0; i < kErrorKindCount; ++i) {
     const auto kind = static_cast<ErrorKind>(i);
-    if (RowOf(kind).rpc_code == code) return kind;
+    if (ErrorInfoOf(kind).rpc_code == code) return kind;
   }
   return ErrorKind::kBadRequest;
 }
@@ -39,7 +39,7 @@
   const json data = json::parse(answer.data, nullptr, false);
   if (!data.is_object()) return Error{KindOfCode(answer.code), answer.message, Ran::kUnknown};
   Error error;
-  error.kind = KindNamed(TextMember(data, "kind")).value_or(KindOfCode(answer.code));
+  error.kind = FindErrorKind(TextMember(data, "kind")).value_or(KindOfCode(answer.code));
   error.detail = TextMember(data, "detail");
   error.ran = RanNamed(TextMember(data, "ran"));
   const auto retry = data.find("retry_after_ms");
--- a/src/runtime/rpc_server.cc
+++ b/src/runtime/rpc_server.cc
@@ -34,14 +34,14 @@
   Json::Value value;
   const std::unique_ptr<Json::CharReader> reader(Json::CharReaderBuilder().newCharReader());
   if (!reader->parse(text.data(), text.data() + text.size(), &value, nullptr)) {
-    throw jsonrpc::JsonRpcException(RowOf(ErrorKind::kInternal).rpc_code,
+    throw jsonrpc::JsonRpcException(ErrorInfoOf(ErrorKind::kInternal).rpc_code,
                                     "a method's result is no JSON");
   }
   return value;
 }
 
 jsonrpc::JsonRpcException ExceptionOf(const Error& error) {
-  const ErrorRow& row = RowOf(error.kind);
+  const ErrorKindInfo& row = ErrorInfoOf(error.kind);
   Json::Value data(Json::objectValue);
   data["kind"] = std::string(row.name);
   data["detail"] = error.detail;
--- a/src/runtime/trace.cc
+++ b/src/runtime/trace.cc
@@ -24,7 +24,7 @@
 
 std::string FreshDigits() {
   thread_local RandomBits random = SystemRandom();
-  return FreshToken(random).value;
+  return GenerateToken(random).value;
 }
 
 int HexDigit(char c) {
--- a/src/tables/store_clock.cc
+++ b/src/tables/store_clock.cc
@@ -10,10 +10,10 @@
 
 }  // namespace
 
-bool StoreClock::Heard(const Answer& answer) {
-  heard_at_ = answer.heard_at;
-  const Offset bounds{answer.made_at - answer.heard_at - kResolution,
-                      answer.made_at - answer.called_at + kResolution};
+bool StoreClock::AddSample(const Sample& sample) {
+  received_at_ = sample.received_at;
+  const Offset bounds{sample.store_time - sample.received_at - kResolution,
+                      sample.store_time - sample.sent_at + kResolution};
   const bool fits = !offset_ || (bounds.lower <= offset_->upper && bounds.upper >= offset_->lower);
   if (!offset_ || !fits) {
     offset_ = bounds;
@@ -36,7 +36,7 @@
 
 std::optional<Duration> StoreClock::Age(HostTime now) const {
   if (!offset_) return std::nullopt;
-  return now - heard_at_;
+  return now - received_at_;
 }
 
 }  // namespace figmill
--- a/src/tables/table_mirror.cc
+++ b/src/tables/table_mirror.cc
@@ -33,7 +33,7 @@
   oldest_page_version_.reset();
 }
 
-void TableMirror::Listed(const std::string& part, const Result<TablePage>& answer) {
+void TableMirror::OnListed(const std::string& part, const Result<TablePage>& answer) {
   if (unlisted_.empty() || part != unlisted_.front()) return;
   if (!IsOk(answer)) return OnPartFailed();
   const TablePage& page = ValueOf(answer);
@@ -80,7 +80,7 @@
   in_retry_delay_ = !following_;
 }
 
-void TableMirror::Followed(const FeedOutcome& outcome) {
+void TableMirror::OnFollowed(const FeedOutcome& outcome) {
   if (!following_) return;
   prefers_listing_ = true;
   std::visit(Overloaded{
@@ -100,11 +100,11 @@
              outcome);
 }
 
-void TableMirror::Waited() {
+void TableMirror::OnDelayElapsed() {
   in_retry_delay_ = false;
 }
 
-void TableMirror::Learn(const TableRow& row) {
+void TableMirror::MergeRow(const TableRow& row) {
   if (row.deleted) {
     Remove(row.at, row.version, /*by_listing=*/false);
   } else {
@@ -123,10 +123,10 @@
     if (row.version <= removed->second) return;
     removed_.erase(removed);
   }
-  TableRow& mine = rows_[row.at];
-  if (mine.version >= row.version) return;
-  mine = row;
-  on_change_({row.at, &mine, by_listing});
+  TableRow& stored = rows_[row.at];
+  if (stored.version >= row.version) return;
+  stored = row;
+  on_change_({row.at, &stored, by_listing});
 }
 
 void TableMirror::Remove(const TableKey& at, RowVersion version, bool by_listing) {
--- a/test/base-test.cc
+++ b/test/base-test.cc
@@ -12,9 +12,9 @@
 TEST_CASE("every error kind has its own name, an error status and an error exit code") {
   std::set<std::string_view> names;
   for (int i = 0; i < kErrorKindCount; ++i) {
-    const ErrorRow& row = RowOf(static_cast<ErrorKind>(i));
+    const ErrorKindInfo& row = ErrorInfoOf(static_cast<ErrorKind>(i));
     CHECK(names.insert(row.name).second);
-    CHECK(KindNamed(row.name) == row.kind);
+    CHECK(FindErrorKind(row.name) == row.kind);
     CHECK(row.http_status >= 400);
     CHECK(row.exit_code >= 2);
   }
--- a/test/exchange-test.cc
+++ b/test/exchange-test.cc
@@ -126,7 +126,7 @@
   }
   Duration timeout{0};  // 0: none
   Loop loop;
-  ExchangeClient client{loop};
+  NoRetryHttpClient client{loop};
 };
 
 }  // namespace
@@ -136,7 +136,7 @@
   Caller caller;
   CHECK(caller.Call(server.address()) == "200:a");
   CHECK(caller.Call(server.address()) == "200:b");
-  CHECK(caller.client.opened() == 1);
+  CHECK(caller.client.connections_opened() == 1);
 }
 
 // Guards against running a request twice that is not repeatable: the peer closes an idle connection
@@ -157,7 +157,7 @@
   Caller caller;
   CHECK(caller.Call(server.address()) == "200:a");
   CHECK(caller.Call(server.address()) == "200:b");
-  CHECK(caller.client.opened() == 2);
+  CHECK(caller.client.connections_opened() == 2);
 }
 
 // As above, or a request that is not repeatable fails for no reason: the second response arrives
@@ -194,7 +194,7 @@
   const Timer bound = caller.loop.After(kBound, [&] { caller.loop.Stop(); });
   caller.loop.Run();
   CHECK(got == "c");
-  CHECK(caller.client.opened() == 2);
+  CHECK(caller.client.connections_opened() == 2);
 }
 
 TEST_CASE("a connection that the peer closes after its response is not reused") {
@@ -269,7 +269,7 @@
   CHECK(caller.Dial(server.address()) == DialResult::kConnected);
   CHECK(caller.Call(server.address()) == "200:a");
   CHECK(caller.Call(server.address()) == "200:b");
-  CHECK(caller.client.opened() == 1);
+  CHECK(caller.client.connections_opened() == 1);
 }
 
 TEST_CASE("a connection to a port without a listener is refused") {
--- a/test/foreign-entries.h
+++ b/test/foreign-entries.h
@@ -51,13 +51,13 @@
 }
 
 // One of two items is listed.
-inline JobHead GoodHead(const std::string& id = "job") {
-  JobHead head;
+inline JobRecord GoodHead(const std::string& id = "job") {
+  JobRecord head;
   head.id = JobId{id};
   head.route = "r";
   head.host = "farm.example";
   head.total = 2;
-  head.listed = 1;
+  head.stored_results = 1;
   head.done = "x.";
   head.owner = NodeId{"a"};
   head.owner_incarnation = 1;
--- a/test/foreign-jobs-test.cc
+++ b/test/foreign-jobs-test.cc
@@ -30,11 +30,11 @@
     others.Commit({{}, {{at, value}}, {}}, [&done](const TableOutcome&) { done = true; });
     fake::RunUntil(loop, [&done] { return done; });
   }
-  void PutHead(const std::string& value) { Put(ledger::HeadKey(kJob), value); }
+  void PutHead(const std::string& value) { Put(ledger::JobRecordKey(kJob), value); }
   void Accept() {
     JobSubmission submission{kJob, {{"i0", "/p/0", {}, "", 0}, {"i1", "/p/1", {}, "", 0}}};
-    JobHead head = GoodHead();
-    head.listed = 0;
+    JobRecord head = GoodHead();
+    head.stored_results = 0;
     head.done = "..";
     bool done = false;
     store.Accept(head, submission, [&done](const Result<Ok>& got) { done = IsOk(got); });
@@ -43,7 +43,7 @@
   }
   // Until the feed has told of all that was written.
   void Settle() { fake::RunFor(loop, 2 * JobStore::kFeedPace + Duration{100'000}); }
-  [[nodiscard]] std::string Stored() { return data.rows[ledger::HeadKey(kJob)].value; }
+  [[nodiscard]] std::string Stored() { return data.rows[ledger::JobRecordKey(kJob)].value; }
   ErrorKind KindOf(const std::function<void(std::function<void(Error)>)>& call) {
     std::optional<ErrorKind> kind;
     call([&kind](const Error& error) { kind = error.kind; });
@@ -65,7 +65,7 @@
                  SystemRandom(),
                  {[](OwnedJob&, const std::vector<ledger::ProgressPiece>&) {},
                   [this](const JobId& job) { dropped.insert(job.value); }, [](OwnedJob&) {},
-                  [](const JobHead&) {}}};
+                  [](const JobRecord&) {}}};
 };
 
 struct BadHead {
@@ -74,7 +74,7 @@
 };
 
 std::vector<BadHead> BadHeads() {
-  const std::string good = ledger::EncodeHead(GoodHead());
+  const std::string good = ledger::EncodeJobRecord(GoodHead());
   std::vector<BadHead> bad = {{"nothing", ""},
                               {"no CBOR", "hello"},
                               {"cut off", good.substr(0, good.size() - 3)},
@@ -117,37 +117,37 @@
   return bad;
 }
 
-std::string Changed(const std::function<void(JobHead&)>& change) {
-  JobHead head = GoodHead();
+std::string Changed(const std::function<void(JobRecord&)>& change) {
+  JobRecord head = GoodHead();
   change(head);
-  return ledger::EncodeHead(head);
+  return ledger::EncodeJobRecord(head);
 }
 
 }  // namespace
 
 TEST_CASE("a job's row that contradicts itself, or is none, is refused") {
-  REQUIRE(IsOk(ledger::DecodeHead(ledger::EncodeHead(GoodHead()))));
+  REQUIRE(IsOk(ledger::DecodeJobRecord(ledger::EncodeJobRecord(GoodHead()))));
   for (const BadHead& bad : BadHeads()) {
     CAPTURE(bad.name);
-    const auto head = ledger::DecodeHead(bad.value);
+    const auto head = ledger::DecodeJobRecord(bad.value);
     CHECK_FALSE(IsOk(head));
     if (!IsOk(head)) CHECK(ErrorOf(head).detail.size() < 400);
   }
 }
 
 TEST_CASE("a spoilt row of a job is refused, or doesn't contradict itself") {
-  const std::string good = ledger::EncodeHead(GoodHead());
+  const std::string good = ledger::EncodeJobRecord(GoodHead());
   int read = 0;
   for (unsigned seed = 0; seed < kSeeds; ++seed) {
     CAPTURE(seed);
     foreign::Spoiler spoil(seed);
     const std::string value =
         seed % 2 == 0 ? spoil.Bytes(good) : foreign::Packed(spoil.Fields(foreign::Unpacked(good)));
-    const auto head = ledger::DecodeHead(value);
+    const auto head = ledger::DecodeJobRecord(value);
     if (!IsOk(head)) continue;
     ++read;
     CHECK(ValueOf(head).done.size() == ValueOf(head).total);
-    CHECK(ValueOf(head).listed <= ValueOf(head).total);
+    CHECK(ValueOf(head).stored_results <= ValueOf(head).total);
     CHECK(ValueOf(head).due.count() >= 0);
     CHECK_FALSE(ValueOf(head).id.empty());
   }
@@ -161,16 +161,16 @@
 TEST_CASE("a row that contradicts what is known of its job changes nothing of it") {
   const std::vector<std::string> rows = {
       "spoilt",
-      Changed([](JobHead& head) { head.id = JobId{"other"}; }),
-      Changed([](JobHead& head) { head.digest = 1; }),
-      Changed([](JobHead& head) { head.total = 1, head.done = "x"; }),
-      Changed([](JobHead& head) { head.due = std::chrono::hours(9); }),
-      Changed([](JobHead& head) { head.expires = StoreTime{0}; }),
+      Changed([](JobRecord& head) { head.id = JobId{"other"}; }),
+      Changed([](JobRecord& head) { head.digest = 1; }),
+      Changed([](JobRecord& head) { head.total = 1, head.done = "x"; }),
+      Changed([](JobRecord& head) { head.due = std::chrono::hours(9); }),
+      Changed([](JobRecord& head) { head.expires = StoreTime{0}; }),
   };
   for (const std::string& row : rows) {
     Entry f;
     f.Accept();
-    const JobHead before = *f.store.Known(kJob);
+    const JobRecord before = *f.store.Known(kJob);
     f.PutHead(row);
     f.Settle();
     REQUIRE(f.store.Owned(kJob) != nullptr);
@@ -183,27 +183,27 @@
     f.store.Write(*job);
     f.Settle();
     CHECK(f.Stored() == row);
-    f.PutHead(ledger::EncodeHead(before));
-    fake::RunUntil(f.loop, [&f] { return f.store.Known(kJob)->listed == 1; });
+    f.PutHead(ledger::EncodeJobRecord(before));
+    fake::RunUntil(f.loop, [&f] { return f.store.Known(kJob)->stored_results == 1; });
   }
 }
 
 TEST_CASE("what is listed or ended stays so, whatever a later row says") {
-  const JobHead known = GoodHead();
-  const auto contradicts = [&known](const std::function<void(JobHead&)>& change) {
-    JobHead later = known;
+  const JobRecord known = GoodHead();
+  const auto contradicts = [&known](const std::function<void(JobRecord&)>& change) {
+    JobRecord later = known;
     change(later);
-    return ledger::Contradiction(known, later).has_value();
+    return ledger::InvalidUpdateReason(known, later).has_value();
   };
-  CHECK_FALSE(contradicts([](JobHead&) {}));
-  CHECK_FALSE(contradicts([](JobHead& head) { head.owner = NodeId{"b"}; }));
-  CHECK_FALSE(contradicts([](JobHead& head) { head.done = "xx", head.listed = 2; }));
-  CHECK_FALSE(contradicts([](JobHead& head) { head.ended = true; }));
-  CHECK(contradicts([](JobHead& head) { head.done = "..", head.listed = 0; }));
-  CHECK(contradicts([](JobHead& head) { head.done = ".x"; }));
-  JobHead ended = known;
+  CHECK_FALSE(contradicts([](JobRecord&) {}));
+  CHECK_FALSE(contradicts([](JobRecord& head) { head.owner = NodeId{"b"}; }));
+  CHECK_FALSE(contradicts([](JobRecord& head) { head.done = "xx", head.stored_results = 2; }));
+  CHECK_FALSE(contradicts([](JobRecord& head) { head.ended = true; }));
+  CHECK(contradicts([](JobRecord& head) { head.done = "..", head.stored_results = 0; }));
+  CHECK(contradicts([](JobRecord& head) { head.done = ".x"; }));
+  JobRecord ended = known;
   ended.ended = true;
-  CHECK(ledger::Contradiction(ended, known).has_value());
+  CHECK(ledger::InvalidUpdateReason(ended, known).has_value());
 }
 
 // Symptom: a job's sender hears that there is no such job, or reads no result for ever.
@@ -214,7 +214,7 @@
   f.PutHead("spoilt");
   f.Settle();
   CHECK(f.KindOf([&f](auto done) {
-    f.store.Find(kJob, [done](const Result<JobHead>& head) { done(ErrorOf(head)); });
+    f.store.Find(kJob, [done](const Result<JobRecord>& head) { done(ErrorOf(head)); });
   }) == ErrorKind::kStoreUnavailable);
   CHECK(f.KindOf([&f](auto done) {
     f.store.End(kJob, [done](const Result<Ok>& ended) { done(ErrorOf(ended)); });
--- a/test/items-test.cc
+++ b/test/items-test.cc
@@ -100,7 +100,7 @@
 // Symptom: a job stays open for ever, and its caller reads on and on.
 // Sequence: a configuration removes the route of a job whose items have not all run.
 TEST_CASE("an item is given up when its life is over or a later configuration has no route") {
-  JobHead head;
+  JobRecord head;
   head.submitted = Duration{1'000};
   head.expires = Duration{9'000};
   head.config_version = 7;
--- a/test/job-desk-test.cc
+++ b/test/job-desk-test.cc
@@ -31,7 +31,7 @@
         peers({NodeId{node}, 1, Address{"10.0.0.1", 1}, DataCentre{"dc"}, 1, false}),
         store(loop, clocked, metrics, peers, SystemRandom(),
               {[](OwnedJob&, const std::vector<ledger::ProgressPiece>&) {}, [](const JobId&) {},
-               [](OwnedJob&) {}, [this](const JobHead& head) { desk.OnChanged(head); }}),
+               [](OwnedJob&) {}, [this](const JobRecord& head) { desk.OnChanged(head); }}),
         desk(loop, store, clock, *adapter) {
     store.Start();
     fake::RunUntil(loop, [this] { return clock.Latest(Loop::SinceBoot()).has_value(); });
@@ -67,8 +67,8 @@
     REQUIRE(job != nullptr);
     job->Finish(item, {job->items()[item].id, ResultState::kComplete, "text"});
     store.Write(*job);
-    const auto listed = store.Known(JobId{"job"})->listed;
-    fake::RunUntil(loop, [&] { return store.Known(JobId{"job"})->listed > listed; });
+    const auto listed = store.Known(JobId{"job"})->stored_results;
+    fake::RunUntil(loop, [&] { return store.Known(JobId{"job"})->stored_results > listed; });
   }
 
   Loop& loop;
--- a/test/job-store-test.cc
+++ b/test/job-store-test.cc
@@ -22,15 +22,15 @@
   return {JobId{id}, {{"i0", "/p/0", {}, body, 0}, {"i1", "/p/1", {}, body, 0}}};
 }
 
-JobHead HeadOf(const JobSubmission& submission) {
-  JobHead head;
+JobRecord HeadOf(const JobSubmission& submission) {
+  JobRecord head;
   head.id = submission.id;
   head.route = "r";
   head.host = "h";
   head.total = static_cast<std::uint32_t>(submission.items.size());
   head.done = std::string(submission.items.size(), '.');
   head.due = std::chrono::hours(1);
-  head.digest = ledger::DigestOf(submission);
+  head.digest = ledger::SubmissionDigest(submission);
   return head;
 }
 
@@ -42,16 +42,16 @@
         peers(self),
         store(loop, tables, metrics, peers, SystemRandom(),
               {[this](OwnedJob& job, const std::vector<ledger::ProgressPiece>& pieces) {
-                 owned.insert(job.head().id.value);
-                 known_when_owned = store.Known(job.head().id) != nullptr;
+                 owned.insert(job.record().id.value);
+                 known_when_owned = store.Known(job.record().id) != nullptr;
                  progress = pieces;
                },
                [this](const JobId& job) { owned.erase(job.value); },
                [this](OwnedJob& job) {
-                 job.Keep({1, 0, "begun", "4", 4});
-                 owned.erase(job.head().id.value);
+                 job.AddProgress({1, 0, "begun", "4", 4});
+                 owned.erase(job.record().id.value);
                },
-               [](const JobHead&) {}}) {
+               [](const JobRecord&) {}}) {
     store.Start();
   }
   // "accepted", or the kind of error and whether it may have run.
@@ -59,7 +59,7 @@
     std::string got;
     store.Accept(HeadOf(submission), submission, [&got](const Result<Ok>& result) {
       got = IsOk(result) ? "accepted"
-                         : std::string(RowOf(ErrorOf(result).kind).name) + " " +
+                         : std::string(ErrorInfoOf(ErrorOf(result).kind).name) + " " +
                                std::string(ToString(ErrorOf(result).ran));
     });
     fake::RunUntil(loop, [&got] { return !got.empty(); });
@@ -82,8 +82,8 @@
     return results;
   }
   std::uint32_t Listed(const std::string& job) {
-    const JobHead* head = store.Known(JobId{job});
-    return head == nullptr ? 0 : head->listed;
+    const JobRecord* head = store.Known(JobId{job});
+    return head == nullptr ? 0 : head->stored_results;
   }
 
   Loop& loop;
@@ -164,7 +164,7 @@
   {
     Entry dying(f.loop, f.data, PeerNamed("dying"));
     CHECK(dying.Accept(Submission()) == "accepted");
-    dying.store.Owned(JobId{"job"})->Keep({1, 0, "begun", "4", 4});
+    dying.store.Owned(JobId{"job"})->AddProgress({1, 0, "begun", "4", 4});
     dying.Finish("job", 0, "done");
     fake::RunUntil(f.loop, [&] { return f.a.Listed("job") == 1; });
   }
@@ -238,15 +238,15 @@
 TEST_CASE("an unknown job is looked for in the store before it is said to be none") {
   Fixture f;
   std::string got;
-  f.a.store.Find(JobId{"none"}, [&got](const Result<JobHead>& head) {
-    got = IsOk(head) ? "found" : std::string(RowOf(ErrorOf(head).kind).name);
+  f.a.store.Find(JobId{"none"}, [&got](const Result<JobRecord>& head) {
+    got = IsOk(head) ? "found" : std::string(ErrorInfoOf(ErrorOf(head).kind).name);
   });
   fake::RunUntil(f.loop, [&got] { return !got.empty(); });
   CHECK(got == "not-found");
   f.a.tables.refuse = true;
   got.clear();
-  f.a.store.Find(JobId{"none"}, [&got](const Result<JobHead>& head) {
-    got = IsOk(head) ? "found" : std::string(RowOf(ErrorOf(head).kind).name);
+  f.a.store.Find(JobId{"none"}, [&got](const Result<JobRecord>& head) {
+    got = IsOk(head) ? "found" : std::string(ErrorInfoOf(ErrorOf(head).kind).name);
   });
   fake::RunUntil(f.loop, [&got] { return !got.empty(); });
   CHECK(got == "store-unavailable");
--- a/test/ledger-rows-test.cc
+++ b/test/ledger-rows-test.cc
@@ -48,28 +48,28 @@
     for (TablePut& put : ledger::ResultRows(job, i, results[i])) puts.push_back(std::move(put));
   }
   std::vector<TableRow> rows = RowsOf(puts);
-  auto back = ledger::DecodeResults(job, 0, rows);
-  REQUIRE(IsOk(back));
-  REQUIRE(ValueOf(back).size() == 3);
-  CHECK(ValueOf(back)[1].output == results[1].output);
-  CHECK(ValueOf(back)[2].state == ResultState::kDead);
+  auto decoded = ledger::DecodeResults(job, 0, rows);
+  REQUIRE(IsOk(decoded));
+  REQUIRE(ValueOf(decoded).size() == 3);
+  CHECK(ValueOf(decoded)[1].output == results[1].output);
+  CHECK(ValueOf(decoded)[2].state == ResultState::kDead);
   rows.resize(2);  // the page ends within the second result
-  back = ledger::DecodeResults(job, 0, rows);
-  REQUIRE(IsOk(back));
-  CHECK(ValueOf(back).size() == 1);
+  decoded = ledger::DecodeResults(job, 0, rows);
+  REQUIRE(IsOk(decoded));
+  CHECK(ValueOf(decoded).size() == 1);
 }
 
 TEST_CASE("the items of a job are decoded from their rows, and only the last write creates it") {
-  JobHead head;
-  head.id = JobId{"job-1"};
+  JobRecord record;
+  record.id = JobId{"job-1"};
   std::vector<JobItem> items;
   items.reserve(40);
   for (int i = 0; i < 40; ++i) {
     items.push_back({"i" + std::to_string(i), "/p/", {{"Model", "m"}}, RandomBytes(30'000), 7});
   }
-  head.total = 40;
-  head.done = std::string(40, '.');
-  const std::vector<TableTransaction> writes = ledger::Accept(head, items);
+  record.total = 40;
+  record.done = std::string(40, '.');
+  const std::vector<TableTransaction> writes = ledger::AcceptTransactions(record, items);
   CHECK(writes.size() > 1);
   std::vector<TableRow> rows;
   for (const TableTransaction& write : writes) {
@@ -80,14 +80,14 @@
       if (put.at.table == ledger::kItemTable) rows.push_back({put.at, put.value, 1, false});
     }
   }
-  const auto back = ledger::DecodeItems(head.id, rows);
-  REQUIRE(IsOk(back));
-  REQUIRE(ValueOf(back).size() == 40);
-  CHECK(ValueOf(back)[39].body == items[39].body);
-  CHECK(ValueOf(back)[39].headers == items[39].headers);
-  const auto head_back = ledger::DecodeHead(writes.back().puts.back().value);
-  REQUIRE(IsOk(head_back));
-  CHECK(ValueOf(head_back).total == 40);
+  const auto decoded = ledger::DecodeItems(record.id, rows);
+  REQUIRE(IsOk(decoded));
+  REQUIRE(ValueOf(decoded).size() == 40);
+  CHECK(ValueOf(decoded)[39].body == items[39].body);
+  CHECK(ValueOf(decoded)[39].headers == items[39].headers);
+  const auto decoded_record = ledger::DecodeJobRecord(writes.back().puts.back().value);
+  REQUIRE(IsOk(decoded_record));
+  CHECK(ValueOf(decoded_record).total == 40);
 }
 
 // Guards against a crash of each process that takes over the job: another writer leaves rows
@@ -102,21 +102,21 @@
         {{std::string(ledger::kItemTable), "j0", key}, std::string(60'000, '\x81'), 1, false});
   }
   CHECK_FALSE(IsOk(ledger::DecodeItems(job, rows)));
-  CHECK_FALSE(IsOk(ledger::DecodeHead(std::string(60'000, '\xa1'))));
+  CHECK_FALSE(IsOk(ledger::DecodeJobRecord(std::string(60'000, '\xa1'))));
 }
 
 // Guards against jobs that are accepted but never owned: the store's clock may count from 1970,
 // so that all times of a job are some 56 years, and a limit of ten years on times refused the
 // job's row as another writer's mistake.
 TEST_CASE("a job's times may come from a clock with an early epoch") {
-  JobHead head;
-  head.id.value = "j";
-  head.total = 1;
-  head.done = ".";
-  head.submitted = std::chrono::hours(24) * 365 * 56;
-  head.due = head.submitted + std::chrono::seconds(18);
-  head.expires = head.submitted + std::chrono::seconds(60);
-  const auto back = ledger::DecodeHead(ledger::EncodeHead(head));
-  REQUIRE(IsOk(back));
-  CHECK(ValueOf(back).expires == head.expires);
+  JobRecord record;
+  record.id.value = "j";
+  record.total = 1;
+  record.done = ".";
+  record.submitted = std::chrono::hours(24) * 365 * 56;
+  record.due = record.submitted + std::chrono::seconds(18);
+  record.expires = record.submitted + std::chrono::seconds(60);
+  const auto decoded = ledger::DecodeJobRecord(ledger::EncodeJobRecord(record));
+  REQUIRE(IsOk(decoded));
+  CHECK(ValueOf(decoded).expires == record.expires);
 }
--- a/test/once-schedule-test.cc
+++ b/test/once-schedule-test.cc
@@ -265,7 +265,7 @@
     for (const std::string& request : item.sent) refused_.insert(request);
     for (const std::string& request : item.sent) {
       CAPTURE(error.detail);
-      CAPTURE(RowOf(error.kind).name);
+      CAPTURE(ErrorInfoOf(error.kind).name);
       CHECK_FALSE(ran_.contains(request));
     }
   }
--- a/test/owned-job-test.cc
+++ b/test/owned-job-test.cc
@@ -15,23 +15,23 @@
 // A job of three items that was accepted at version 5.
 struct Fixture {
   Fixture()
-      : job(Head(), 5,
+      : job(Record(), 5,
             {{"i0", "/p", {}, "", 0}, {"i1", "/p", {}, "", 0}, {"i2", "/p", {}, "", 0}}) {}
-  static JobHead Head() {
-    JobHead head;
-    head.id = JobId{"job"};
-    head.total = 3;
-    head.done = "...";
-    head.owner = NodeId{"me"};
-    head.owner_incarnation = 1;
-    head.token = Token{"accepted"};
-    return head;
+  static JobRecord Record() {
+    JobRecord record;
+    record.id = JobId{"job"};
+    record.total = 3;
+    record.done = "...";
+    record.owner = NodeId{"me"};
+    record.owner_incarnation = 1;
+    record.token = Token{"accepted"};
+    return record;
   }
   std::optional<TableTransaction> Next() { return job.NextWrite(random); }
   // The job's row in a write.
-  static JobHead HeadIn(const TableTransaction& write) {
+  static JobRecord RecordIn(const TableTransaction& write) {
     for (const TablePut& put : write.puts) {
-      if (put.at.table == ledger::kJobTable) return ValueOf(ledger::DecodeHead(put.value));
+      if (put.at.table == ledger::kJobTable) return ValueOf(ledger::DecodeJobRecord(put.value));
     }
     FAIL("the write has no job row");
     return {};
@@ -52,23 +52,23 @@
   const auto write = f.Next();
   REQUIRE(write);
   CHECK(write->conditions.front().version == 5);
-  CHECK(Fixture::HeadIn(*write).done == "..x");
-  CHECK(Fixture::HeadIn(*write).listed == 1);
+  CHECK(Fixture::RecordIn(*write).done == "..x");
+  CHECK(Fixture::RecordIn(*write).stored_results == 1);
   CHECK_FALSE(f.Next());  // one write in flight at a time
   f.job.OnCommitted(6);
   f.job.Finish(0, Done("i0"));
   const auto second = f.Next();
   REQUIRE(second);
   CHECK(second->conditions.front().version == 6);
-  CHECK(second->conditions.front().at == ledger::HeadKey(JobId{"job"}));
-  CHECK(Fixture::HeadIn(*second).listed == 2);
+  CHECK(second->conditions.front().at == ledger::JobRecordKey(JobId{"job"}));
+  CHECK(Fixture::RecordIn(*second).stored_results == 2);
 }
 
 TEST_CASE("only the first result of an item counts") {
   Fixture f;
   f.job.Finish(1, Done("i1"));
   f.job.Finish(1, {"i1", ResultState::kDead, ""});
-  CHECK(Fixture::HeadIn(*f.Next()).listed == 1);
+  CHECK(Fixture::RecordIn(*f.Next()).stored_results == 1);
   f.job.OnCommitted(6);
   CHECK_FALSE(f.Next());
 }
@@ -85,14 +85,14 @@
   const auto again = f.Next();
   REQUIRE(again);
   CHECK(again->puts.size() == first->puts.size());
-  CHECK(Fixture::HeadIn(*again).token == Fixture::HeadIn(*first).token);
+  CHECK(Fixture::RecordIn(*again).token == Fixture::RecordIn(*first).token);
   // The first copy was applied, so the second one is rejected and returns the row.
   f.job.OnFailed();
-  CHECK(f.job.OnHead(Fixture::HeadIn(*first), 6));
+  CHECK(f.job.OnJobRecord(Fixture::RecordIn(*first), 6));
   const auto next = f.Next();
   REQUIRE(next);
   CHECK(next->conditions.front().version == 6);
-  CHECK(Fixture::HeadIn(*next).listed == 2);
+  CHECK(Fixture::RecordIn(*next).stored_results == 2);
 }
 
 // Guards against lost results when the submitter ends the job at the same moment.
@@ -100,16 +100,16 @@
   Fixture f;
   f.job.Finish(0, Done("i0"));
   (void)f.Next();
-  JobHead ended = Fixture::Head();
+  JobRecord ended = Fixture::Record();
   ended.ended = true;
   ended.token = Token{"end"};
-  CHECK(f.job.OnHead(ended, 6));
+  CHECK(f.job.OnJobRecord(ended, 6));
   f.job.OnFailed();
   const auto next = f.Next();
   REQUIRE(next);
   CHECK(next->conditions.front().version == 6);
-  CHECK(Fixture::HeadIn(*next).ended);
-  CHECK(Fixture::HeadIn(*next).done == "x..");
+  CHECK(Fixture::RecordIn(*next).ended);
+  CHECK(Fixture::RecordIn(*next).done == "x..");
 }
 
 // Guards against two owners that write results of one job: this process is paused, another one
@@ -118,9 +118,9 @@
   Fixture f;
   f.job.Finish(0, Done("i0"));
   (void)f.Next();
-  JobHead taken = Fixture::Head();
+  JobRecord taken = Fixture::Record();
   taken.owner = NodeId{"other"};
-  CHECK_FALSE(f.job.OnHead(taken, 7));
+  CHECK_FALSE(f.job.OnJobRecord(taken, 7));
 }
 
 TEST_CASE("a row older than the known one has no effect") {
@@ -128,17 +128,17 @@
   f.job.Finish(0, Done("i0"));
   (void)f.Next();
   f.job.OnCommitted(8);
-  CHECK(f.job.OnHead(Fixture::Head(), 7));
-  CHECK(f.job.IsListed(0));
+  CHECK(f.job.OnJobRecord(Fixture::Record(), 7));
+  CHECK(f.job.HasStoredResult(0));
 }
 
 TEST_CASE("progress is written with the next write, except that of finished items") {
   Fixture f;
   ItemText text;
   text.Feed("id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
-  f.job.Keep(*text.TakePiece(0));
+  f.job.AddProgress(*text.TakePiece(0));
   CHECK_FALSE(text.TakePiece(0));  // nothing new
-  f.job.Keep({1, 0, "gone", "1", 1});
+  f.job.AddProgress({1, 0, "gone", "1", 1});
   f.job.Finish(1, Done("i1"));
   const auto write = f.Next();
   REQUIRE(write);
@@ -160,7 +160,7 @@
 // every second, and it must not change the job's row each time.
 TEST_CASE("progress is written without changing the job's row") {
   Fixture f;
-  f.job.Keep({0, 0, "begun", "1", 1});
+  f.job.AddProgress({0, 0, "begun", "1", 1});
   const auto write = f.Next();
   REQUIRE(write);
   CHECK(write->conditions.front().version == 5);
@@ -168,19 +168,19 @@
   CHECK(write->puts[0].at.table == ledger::kProgressTable);
   f.job.OnCommitted(9);  // the version of the progress row, not of the job's row
   CHECK(f.job.version() == 5);
-  CHECK(f.job.settled());
+  CHECK(f.job.all_written());
   f.job.Finish(0, Done("i0"));
   CHECK(f.Next()->conditions.front().version == 5);
 }
 
 TEST_CASE("progress whose write failed because the row had changed is in the next write") {
   Fixture f;
-  f.job.Keep({0, 0, "begun", "1", 1});
+  f.job.AddProgress({0, 0, "begun", "1", 1});
   (void)f.Next();
   f.job.OnFailed();
-  JobHead changed = Fixture::Head();
+  JobRecord changed = Fixture::Record();
   changed.token = Token{"other"};
-  CHECK(f.job.OnHead(changed, 8));
+  CHECK(f.job.OnJobRecord(changed, 8));
   const auto again = f.Next();
   REQUIRE(again);
   CHECK(again->conditions.front().version == 8);
--- a/test/quarantine-test.cc
+++ b/test/quarantine-test.cc
@@ -46,7 +46,7 @@
   int backends_ = 100;
 };
 
-TableRow RowOf(std::string key, std::string value) {
+TableRow ErrorInfoOf(std::string key, std::string value) {
   return {{"crash_reports", "", std::move(key)}, std::move(value), 1};
 }
 
@@ -193,7 +193,8 @@
 
 TEST_CASE("a report and its row tell the same") {
   const CrashReport report{CrashOf(kRequest, 3), 4};
-  const TableRow row = RowOf(RowKeyOf(report.crash), RowValueOf(report, NodeId{"a"}, "id-\xff"));
+  const TableRow row =
+      ErrorInfoOf(RowKeyOf(report.crash), RowValueOf(report, NodeId{"a"}, "id-\xff"));
   const Result<CrashReport> read = ParseCrashRow(row);
   REQUIRE(IsOk(read));
   CHECK(ValueOf(read).crash == report.crash);
@@ -217,6 +218,6 @@
   for (const auto& row : rows) {
     CAPTURE(row.first);
     CAPTURE(row.second);
-    CHECK_FALSE(IsOk(ParseCrashRow(RowOf(row.first, row.second))));
+    CHECK_FALSE(IsOk(ParseCrashRow(ErrorInfoOf(row.first, row.second))));
   }
 }
--- a/test/relay-run-test.cc
+++ b/test/relay-run-test.cc
@@ -87,7 +87,7 @@
   const auto* refusal = Last<relay::Refuse>(sent.actions);
   REQUIRE(refusal != nullptr);
   CHECK(refusal->error.ran == Ran::kUnknown);
-  CHECK(RowOf(refusal->error.kind).http_status == 502);
+  CHECK(ErrorInfoOf(refusal->error.kind).http_status == 502);
 }
 
 TEST_CASE("a request that was not run, or not sent, goes to another backend server") {
@@ -113,7 +113,7 @@
   const auto* refusal = Last<relay::Refuse>(sent.actions);
   REQUIRE(refusal != nullptr);
   CHECK(refusal->error.ran != Ran::kNo);
-  CHECK_FALSE(RowOf(refusal->error.kind).retry_may_help);
+  CHECK_FALSE(ErrorInfoOf(refusal->error.kind).retry_may_help);
 }
 
 TEST_CASE("an idempotent request runs on no more backend servers than its route allows") {
--- a/test/runtime-rpc-test.cc
+++ b/test/runtime-rpc-test.cc
@@ -76,7 +76,7 @@
   const json answer =
       json::parse(peer.rpc.Handle(R"({"jsonrpc":"2.0","id":"a","method":"refuse","params":{}})"));
   CHECK(answer["id"] == "a");
-  CHECK(answer["error"]["code"] == RowOf(ErrorKind::kStaleOrders).rpc_code);
+  CHECK(answer["error"]["code"] == ErrorInfoOf(ErrorKind::kStaleOrders).rpc_code);
   CHECK(answer["error"]["data"]["kind"] == "stale-orders");
   CHECK(answer["error"]["data"]["ran"] == "no");
 }
--- a/test/store-clock-test.cc
+++ b/test/store-clock-test.cc
@@ -13,9 +13,9 @@
 constexpr StoreClock::HostTime kNow = seconds(1000);
 
 // A response with a timestamp from the middle of a call that took `took`.
-StoreClock::Answer AnswerAt(StoreClock::HostTime heard_at, Duration took,
+StoreClock::Sample SampleAt(StoreClock::HostTime received_at, Duration took,
                             Duration behind = kStoreLag) {
-  return {heard_at - took / 2 - behind, heard_at - took, heard_at};
+  return {received_at - took / 2 - behind, received_at - took, received_at};
 }
 
 }  // namespace
@@ -33,9 +33,9 @@
 // its timestamp, the job seemed to have been submitted a second too early.
 TEST_CASE("a job submitted with a slow response and judged with a fast one has its full lifetime") {
   StoreClock slow;
-  slow.Heard(AnswerAt(kNow, seconds(2)));
+  slow.AddSample(SampleAt(kNow, seconds(2)));
   StoreClock fast;
-  fast.Heard(AnswerAt(kNow, Duration{10'000}));
+  fast.AddSample(SampleAt(kNow, Duration{10'000}));
   const StoreTime actual = kNow - kStoreLag;
   CHECK(*slow.Latest(kNow) >= actual);
   CHECK(*fast.Earliest(kNow) <= actual);
@@ -44,8 +44,8 @@
 
 TEST_CASE("each response narrows the bounds, however slow a later one is") {
   StoreClock clock;
-  clock.Heard(AnswerAt(kNow, Duration{10'000}));
-  clock.Heard(AnswerAt(kNow + seconds(3), seconds(3)));
+  clock.AddSample(SampleAt(kNow, Duration{10'000}));
+  clock.AddSample(SampleAt(kNow + seconds(3), seconds(3)));
   const StoreTime actual = kNow + seconds(3) - kStoreLag;
   CHECK(*clock.Latest(kNow + seconds(3)) - actual <= Duration{6'000});
   CHECK(actual - *clock.Earliest(kNow + seconds(3)) <= Duration{6'000});
@@ -56,15 +56,15 @@
 // that is replaced by a copy whose clock is behind has the same effect.
 TEST_CASE("a response that contradicts the earlier ones replaces them") {
   StoreClock clock;
-  CHECK(clock.Heard(AnswerAt(kNow, Duration{10'000}, kStoreLag - seconds(60))));
-  CHECK_FALSE(clock.Heard(AnswerAt(kNow + seconds(1), Duration{10'000})));
+  CHECK(clock.AddSample(SampleAt(kNow, Duration{10'000}, kStoreLag - seconds(60))));
+  CHECK_FALSE(clock.AddSample(SampleAt(kNow + seconds(1), Duration{10'000})));
   const StoreTime actual = kNow + seconds(1) - kStoreLag;
   CHECK(*clock.Earliest(kNow + seconds(1)) <= actual);
-  CHECK(clock.Heard(AnswerAt(kNow + seconds(2), Duration{10'000})));
+  CHECK(clock.AddSample(SampleAt(kNow + seconds(2), Duration{10'000})));
 }
 
 TEST_CASE("the age is the time since the last response") {
   StoreClock clock;
-  clock.Heard(AnswerAt(kNow, Duration{10'000}));
+  clock.AddSample(SampleAt(kNow, Duration{10'000}));
   CHECK(*clock.Age(kNow + seconds(4)) == seconds(4));
 }
--- a/test/table-mirror-test.cc
+++ b/test/table-mirror-test.cc
@@ -36,18 +36,18 @@
 TEST_CASE("a mirror lists its table and then follows it") {
   Fixture f;
   REQUIRE(std::holds_alternative<mirror::ListPart>(f.mirror.Next()));
-  f.mirror.Listed("", Page({RowAt("a", "1", 4)}, 10));
+  f.mirror.OnListed("", Page({RowAt("a", "1", 4)}, 10));
   CHECK(f.mirror.complete());
   const mirror::Action next = f.mirror.Next();
   REQUIRE(std::holds_alternative<mirror::FollowFrom>(next));
   CHECK(std::get<mirror::FollowFrom>(next).version == 10);
-  f.mirror.Followed(TableChanges{{RowAt("b", "2", 11), RemovedAt("a", 12)}, 12});
+  f.mirror.OnFollowed(TableChanges{{RowAt("b", "2", 11), RemovedAt("a", 12)}, 12});
   CHECK(f.seen == std::vector<std::string>{"a=1", "b=2", "a gone"});
 }
 
 TEST_CASE("after a truncated page the listing continues behind its last key") {
   Fixture f;
-  f.mirror.Listed("", Page({RowAt("a", "1", 4)}, 10, /*truncated=*/true));
+  f.mirror.OnListed("", Page({RowAt("a", "1", 4)}, 10, /*truncated=*/true));
   const mirror::Action next = f.mirror.Next();
   REQUIRE(std::holds_alternative<mirror::ListPart>(next));
   CHECK(std::get<mirror::ListPart>(next).from == std::string("a\0", 2));
@@ -58,13 +58,13 @@
 // store that has just lost its history may answer reads from before the loss.
 TEST_CASE("a listing older than what is known is repeated") {
   Fixture f;
-  f.mirror.Listed("", Page({RowAt("a", "old", 4)}, 8));
-  f.mirror.Followed(TableChanges{{RowAt("a", "new", 12)}, 12});
-  f.mirror.Followed(HistoryLost{});
-  f.mirror.Listed("", Page({RowAt("a", "old", 4)}, 8));
+  f.mirror.OnListed("", Page({RowAt("a", "old", 4)}, 8));
+  f.mirror.OnFollowed(TableChanges{{RowAt("a", "new", 12)}, 12});
+  f.mirror.OnFollowed(HistoryLost{});
+  f.mirror.OnListed("", Page({RowAt("a", "old", 4)}, 8));
   CHECK(f.ValueOfKey("a") == "new");
   CHECK(std::holds_alternative<mirror::WaitFor>(f.mirror.Next()));
-  f.mirror.Waited();
+  f.mirror.OnDelayElapsed();
   CHECK(std::holds_alternative<mirror::ListPart>(f.mirror.Next()));
 }
 
@@ -72,30 +72,30 @@
 // was lost, so no feed reports the removal and the new listing doesn't contain the row.
 TEST_CASE("rows removed while the history was lost are removed by the new listing") {
   Fixture f;
-  f.mirror.Listed("", Page({RowAt("a", "1", 4), RowAt("b", "1", 5)}, 10));
-  f.mirror.Followed(HistoryLost{});
-  f.mirror.Listed("", Page({RowAt("b", "1", 5)}, 20));
+  f.mirror.OnListed("", Page({RowAt("a", "1", 4), RowAt("b", "1", 5)}, 10));
+  f.mirror.OnFollowed(HistoryLost{});
+  f.mirror.OnListed("", Page({RowAt("b", "1", 5)}, 20));
   CHECK(f.ValueOfKey("a") == "none");
   CHECK(f.seen.back() == "a gone");
 }
 
 TEST_CASE("a row is never replaced by an older version or restored from one") {
   Fixture f;
-  f.mirror.Listed("", Page({RowAt("a", "5", 5)}, 10));
-  f.mirror.Learn(RowAt("a", "7", 17));
-  f.mirror.Followed(TableChanges{{RowAt("a", "6", 16)}, 16});
+  f.mirror.OnListed("", Page({RowAt("a", "5", 5)}, 10));
+  f.mirror.MergeRow(RowAt("a", "7", 17));
+  f.mirror.OnFollowed(TableChanges{{RowAt("a", "6", 16)}, 16});
   CHECK(f.ValueOfKey("a") == "7");
-  f.mirror.Learn(RemovedAt("a", 18));
-  f.mirror.Learn(RowAt("a", "7", 17));
+  f.mirror.MergeRow(RemovedAt("a", 18));
+  f.mirror.MergeRow(RowAt("a", "7", 17));
   CHECK(f.ValueOfKey("a") == "none");
 }
 
 TEST_CASE("a failed call is followed by a delay, and known rows are kept") {
   Fixture f;
-  f.mirror.Listed("", Page({RowAt("a", "1", 4)}, 10));
-  f.mirror.Followed(Error{ErrorKind::kStoreUnavailable, "down"});
+  f.mirror.OnListed("", Page({RowAt("a", "1", 4)}, 10));
+  f.mirror.OnFollowed(Error{ErrorKind::kStoreUnavailable, "down"});
   CHECK(std::holds_alternative<mirror::WaitFor>(f.mirror.Next()));
-  f.mirror.Waited();
+  f.mirror.OnDelayElapsed();
   CHECK(std::holds_alternative<mirror::FollowFrom>(f.mirror.Next()));
   CHECK(f.ValueOfKey("a") == "1");
 }
@@ -122,9 +122,9 @@
   };
   std::visit(
       Overloaded{
-          [&](const mirror::ListPart& list) { mirror.Listed(list.part, read(list.part)); },
-          [&](const mirror::FollowFrom& from) { mirror.Followed(changes_after(from.version)); },
-          [&](const mirror::WaitFor& /*wait*/) { mirror.Waited(); },
+          [&](const mirror::ListPart& list) { mirror.OnListed(list.part, read(list.part)); },
+          [&](const mirror::FollowFrom& from) { mirror.OnFollowed(changes_after(from.version)); },
+          [&](const mirror::WaitFor& /*wait*/) { mirror.OnDelayElapsed(); },
       },
       mirror.Next());
 }
@@ -162,7 +162,7 @@
                                    JobRow("b", "later", 12)};
   for (int i = 0; i < kManyCalls; ++i) Answer(mirror, "none", rows, 10);
   REQUIRE(mirror.complete());
-  mirror.Followed(HistoryLost{});
+  mirror.OnFollowed(HistoryLost{});
   for (int i = 0; i < kManyCalls; ++i) Answer(mirror, "a", rows, 12);
   CHECK(mirror.Find({"t", "b", "later"}) != nullptr);
   // Rows of a part that can't be read are not treated as removed.
