--- a/src/exchange/no_retry_http_client.cc
+++ b/src/exchange/no_retry_http_client.cc
@@ -21,7 +21,7 @@
 using detail::ResponseState;
 
 constexpr std::size_t kReadBytes = 8192;
-constexpr std::string_view kConnectTimeout = "no connection in time";
+constexpr std::string_view kConnectTimedOut = "no connection in time";
 
 bool Has(const std::vector<Header>& headers, std::string_view name) {
   for (const Header& header : headers) {
@@ -153,7 +153,7 @@
       });
     }
     connect_timer_ = owner_->loop_.After(
-        timeout, [this] { OnConnectFailed(DialResult::kNoAnswer, std::string(kConnectTimeout)); });
+        timeout, [this] { OnConnectFailed(DialResult::kNoAnswer, std::string(kConnectTimedOut)); });
     socket_.async_connect(tcp::endpoint(host, to_.port),
                           [self = shared_from_this()](const asio::error_code& failure) {
                             self->OnConnected(failure);
@@ -187,7 +187,7 @@
       Close();
       return on_dialed(result);
     }
-    const bool timed_out = why == kConnectTimeout;
+    const bool timed_out = why == kConnectTimedOut;
     Fail(false, timed_out, std::move(why));
   }
 
