--- a/include/figmill/items.h
+++ b/include/figmill/items.h
@@ -109,7 +109,7 @@
 // accepted the job: an owner with an outdated configuration may not know the route
 // yet, and listing an item as dead is final. For the same reason a job expires only
 // by the store's clock, never while that is unknown.
-[[nodiscard]] std::optional<std::string_view> GiveUpReason(const JobHead& head, bool has_route,
+[[nodiscard]] std::optional<std::string_view> GiveUpReason(const JobRecord& head, bool has_route,
                                                            std::uint64_t config_version,
                                                            std::optional<StoreTime> now);
 
--- a/src/control/lease_watcher.cc
+++ b/src/control/lease_watcher.cc
@@ -50,7 +50,7 @@
   // effect, the token and the earlier sending time are valid for both.
   const bool is_retry = attempt_sent_ && attempt_.epoch == epoch && attempt_version_ == version_;
   if (!is_retry) {
-    attempt_ = LeaseRow{FreshToken(random_), settings_.holder, settings_.incarnation, epoch, 0};
+    attempt_ = LeaseRow{GenerateToken(random_), settings_.holder, settings_.incarnation, epoch, 0};
     attempt_version_ = version_;
     attempt_sent_ = now;
   }
--- a/src/control/log_compactor.cc
+++ b/src/control/log_compactor.cc
@@ -55,7 +55,7 @@
   // `deleted` is the last row that the previous compaction had to delete, so that the
   // next compaction deletes this one's rows again, in case this one is interrupted.
   const Sequence before = known_snapshot_ > kEntriesKept ? known_snapshot_ - kEntriesKept : 0;
-  const detail::SnapshotRow row{FreshToken(random_), compacted_state_->sequence, known_snapshot_,
+  const detail::SnapshotRow row{GenerateToken(random_), compacted_state_->sequence, known_snapshot_,
                                 before};
   state_ = State::kWritingRow;
   const std::string key(detail::kSnapshotKey);
--- a/src/control/log_writer.cc
+++ b/src/control/log_writer.cc
@@ -139,7 +139,7 @@
 
 std::vector<LogAction> LogWriter::Commit() {
   if (!may_be_committed_) {
-    record_ = LogRecord{reader_.head() + 1, FreshToken(random_), queue_.front().author,
+    record_ = LogRecord{reader_.head() + 1, GenerateToken(random_), queue_.front().author,
                         queue_.front().entry};
     head_condition_ = reader_.head() == 0 ? RowCondition{std::string(detail::kSnapshotKey), 0}
                                           : RowCondition{LogKey(reader_.head()), *head_version_};
--- /dev/null
+++ b/src/exchange/response_parser.h
@@ -0,0 +1,61 @@
+#pragma once
+
+// Incremental parser of one HTTP response, based on http_parser.
+
+#include <http_parser.h>
+
+#include <functional>
+#include <string>
+#include <string_view>
+
+#include "figmill/runtime.h"
+
+namespace figmill::detail {
+
+// State of the response after the bytes so far.
+enum class ResponseState : std::uint8_t {
+  kUnfinished,           // more bytes are expected
+  kCompleteReusable,     // the response is complete, and the connection can be reused
+  kCompleteNotReusable,  // the response is complete, and the connection can't be reused
+  kMalformed,            // not HTTP, or bytes after a complete response
+};
+
+class ResponseParser {
+ public:
+  // `head_request`: the request method was HEAD, so the response has no body.
+  ResponseParser(bool head_request, std::function<void(HttpEvent)> on_event);
+  ResponseParser(const ResponseParser&) = delete;
+  ResponseParser& operator=(const ResponseParser&) = delete;
+
+  // Bytes after a complete response give kMalformed: they belong to no request and could be taken
+  // for the response to the next request on this connection.
+  [[nodiscard]] ResponseState Feed(std::string_view bytes);
+  // The peer closed its side cleanly, which ends a response without a length.
+  [[nodiscard]] ResponseState FeedEof();
+
+  // How long the peer keeps the connection, from its Keep-Alive header; 0 if not given.
+  [[nodiscard]] int keep_alive_seconds() const { return keep_alive_seconds_; }
+
+ private:
+  static http_parser_settings MakeSettings();
+  static ResponseParser& Of(http_parser* parser) {
+    return *static_cast<ResponseParser*>(parser->data);
+  }
+  ResponseState CurrentState();
+  void OnField(std::string_view part);
+  void OnValue(std::string_view part);
+  int OnHead();
+  void OnBody(std::string_view part);
+  int OnComplete();
+
+  http_parser parser_{};
+  std::function<void(HttpEvent)> on_event_;
+  HttpHead head_;
+  bool head_request_;
+  bool in_value_ = false;
+  bool complete_ = false;
+  bool reusable_ = false;
+  int keep_alive_seconds_ = 0;
+};
+
+}  // namespace figmill::detail
--- a/src/figmilld/agent/placement_executor.cc
+++ b/src/figmilld/agent/placement_executor.cc
@@ -88,7 +88,7 @@
                  [&](const SendOrder& send) { SendToEngine(send); },
                  [&](const ReportPlacementError& trouble) {
                    Log(LogLevel::kWarning, "placement_trouble",
-                       {{"kind", std::string(RowOf(trouble.error.kind).name)},
+                       {{"kind", std::string(ErrorInfoOf(trouble.error.kind).name)},
                         {"detail", trouble.error.detail}});
                  },
              },
@@ -115,7 +115,7 @@
 // The next read shows the result of the write, so a lost answer needs no extra handling.
 void PlacementExecutor::ClaimOwnership(RowVersion version) {
   const std::string key = EngineOwnerKey(context_.self);
-  const Json value = {{"token", FreshToken(context_.random).value},
+  const Json value = {{"token", GenerateToken(context_.random).value},
                       {"incarnation", context_.incarnation}};
   context_.table.Commit({{{key, version}}, {PutRow{key, value.dump()}}},
                         [this](const TransactionOutcome& outcome) {
--- a/src/gateway/batch_runner.cc
+++ b/src/gateway/batch_runner.cc
@@ -36,10 +36,10 @@
 void BatchRunner::OnOwned(OwnedJob& job, const std::vector<ledger::ProgressPiece>& progress) {
   for (const ledger::ProgressPiece& piece : progress) {
     if (piece.item >= job.items().size() || !job.IsOpen(piece.item)) continue;
-    open_items_.Restore({job.head().id, piece.item}, piece);
+    open_items_.Restore({job.record().id, piece.item}, piece);
   }
   for (std::size_t i = 0; i < job.items().size(); ++i) {
-    if (job.IsOpen(i)) Enqueue({job.head().id, i}, Duration{0});
+    if (job.IsOpen(i)) Enqueue({job.record().id, i}, Duration{0});
   }
   check_routes_ = true;
   waiting_changed_();
@@ -57,12 +57,12 @@
 
 void BatchRunner::OnReleasing(OwnedJob& job) {
   SaveProgressOf(job);
-  OnDropped(job.head().id);
+  OnDropped(job.record().id);
 }
 
 void BatchRunner::SaveProgressOf(OwnedJob& job) {
-  for (ledger::ProgressPiece& piece : open_items_.TakePieces(job.head().id))
-    job.Keep(std::move(piece));
+  for (ledger::ProgressPiece& piece : open_items_.TakePieces(job.record().id))
+    job.AddProgress(std::move(piece));
 }
 
 void BatchRunner::SaveProgress() {
@@ -78,7 +78,7 @@
   const OwnedJob* job = jobs_.FindOwned(key.job);
   if (job == nullptr) return;
   delay = std::max(delay, QuarantineLeft(*job, key));
-  open_items_.Enqueue(key, job->head().due, Loop::Now() + delay);
+  open_items_.Enqueue(key, job->record().due, Loop::Now() + delay);
   if (delay.count() > 0) tools_.loop.Later(delay, [this] { UpdateRuns(); });
 }
 
@@ -87,9 +87,9 @@
 // request may have caused the crashes.
 Duration BatchRunner::QuarantineLeft(const OwnedJob& job, const JobItemRef& key) const {
   if (!tools_.crash_tracker.has_quarantined()) return Duration{0};
-  const HttpCall call = MakeItemCall(tools_.names, job.head(), job.items()[key.item]);
+  const HttpCall call = MakeItemCall(tools_.names, job.record(), job.items()[key.item]);
   const std::optional<Error> why =
-      tools_.crash_tracker.QuarantineError(FingerprintOf(job.head(), call), WorkClass::kBatch);
+      tools_.crash_tracker.QuarantineError(FingerprintOf(job.record(), call), WorkClass::kBatch);
   return why ? why->retry_after.value_or(Duration{0}) : Duration{0};
 }
 
@@ -97,7 +97,7 @@
   return {Loop::Now(), clock_.Earliest(Loop::SinceBoot())};
 }
 
-const Route* BatchRunner::RouteOf(const JobHead& head, const JobItem& item) const {
+const Route* BatchRunner::RouteOf(const JobRecord& head, const JobItem& item) const {
   if (!routes_) return nullptr;
   const Route* route = routes_->Find(head.host, item.target);
   return route != nullptr && route->kind == RouteKind::kBatch ? route : nullptr;
@@ -106,7 +106,7 @@
 bool BatchRunner::CanRunOn(const JobItemRef& key, const BackendInfo& backend) const {
   const OwnedJob* job = jobs_.FindOwned(key.job);
   if (job == nullptr) return false;
-  const Route* route = RouteOf(job->head(), job->items()[key.item]);
+  const Route* route = RouteOf(job->record(), job->items()[key.item]);
   if (route == nullptr) return false;
   return std::any_of(
       route->split.begin(), route->split.end(),
@@ -173,8 +173,8 @@
   const OwnedJob* job = jobs_.FindOwned(key.job);
   const JobItem& item = job->items()[key.item];
   const ItemProgress& progress = open_items_.ProgressOf(key);
-  HttpCall call = MakeItemCall(tools_.names, job->head(), item);
-  const RequestFingerprint fingerprint = FingerprintOf(job->head(), call);
+  HttpCall call = MakeItemCall(tools_.names, job->record(), item);
+  const RequestFingerprint fingerprint = FingerprintOf(job->record(), call);
   call.to = backend.address;
   call.headers.push_back({tools_.names.request_id, item.id});
   call.headers.push_back({tools_.names.expect_backend, backend.id.value});
@@ -270,7 +270,7 @@
 
 void BatchRunner::OnFailed(const JobItemRef& key, bool counts_as_failure, const std::string& why) {
   const OwnedJob* job = jobs_.FindOwned(key.job);
-  const Route* route = RouteOf(job->head(), job->items()[key.item]);
+  const Route* route = RouteOf(job->record(), job->items()[key.item]);
   int& failures = open_items_.ProgressOf(key).failures;
   if (counts_as_failure) ++failures;
   FailedRuns failed{failures, {}};
--- a/src/gateway/batch_runner.h
+++ b/src/gateway/batch_runner.h
@@ -63,7 +63,7 @@
   [[nodiscard]] Duration QuarantineLeft(const OwnedJob& job, const JobItemRef& key) const;
   [[nodiscard]] BacklogTime TimeNow() const;
   [[nodiscard]] std::string ItemId(const JobItemRef& key) const;
-  [[nodiscard]] const Route* RouteOf(const JobHead& head, const JobItem& item) const;
+  [[nodiscard]] const Route* RouteOf(const JobRecord& head, const JobItem& item) const;
   [[nodiscard]] bool CanRunOn(const JobItemRef& key, const BackendInfo& backend) const;
   void StopExcessRuns();
   void StartGrantedRuns();
--- a/src/gateway/batch_sweep.cc
+++ b/src/gateway/batch_sweep.cc
@@ -20,7 +20,7 @@
   for (const auto& [key, progress] : open_items_.open_items()) {
     const OwnedJob* job = jobs_.FindOwned(key.job);
     if (job == nullptr) continue;
-    const JobHead& head = job->head();
+    const JobRecord& head = job->record();
     const bool has_route =
         !check_routes || routes_->Find(head.host, job->items()[key.item].target) != nullptr;
     const std::uint64_t version = routes_ ? routes_->version() : 0;
@@ -37,7 +37,7 @@
 // Logs what the decision is based on: when the job expires by the store's clock, and how long ago
 // the store last reported its time.
 void BatchRunner::LogGivenUp(const JobItemRef& key, std::string_view why) const {
-  const JobHead* head = jobs_.KnownHead(key.job);
+  const JobRecord* head = jobs_.KnownHead(key.job);
   const std::optional<StoreTime> now = TimeNow().store;
   const std::optional<Duration> age = clock_.Age(Loop::SinceBoot());
   Log(LogLevel::kInfo, "item_given_up",
--- a/src/gateway/crash_tracker.cc
+++ b/src/gateway/crash_tracker.cc
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-CrashTracker::CrashTracker(Loop& loop, ExchangeClient& client, SharedTables& tables,
+CrashTracker::CrashTracker(Loop& loop, NoRetryHttpClient& client, SharedTables& tables,
                            Metrics& metrics, NodeId self)
     : loop_(loop),
       client_(client),
--- a/src/gateway/crash_tracker.h
+++ b/src/gateway/crash_tracker.h
@@ -32,7 +32,7 @@
     Time started_at{};
   };
 
-  CrashTracker(Loop& loop, ExchangeClient& client, SharedTables& tables, Metrics& metrics,
+  CrashTracker(Loop& loop, NoRetryHttpClient& client, SharedTables& tables, Metrics& metrics,
                NodeId self);
 
   void Start() { follower_.Start(); }
@@ -65,7 +65,7 @@
                  const TableOutcome& outcome);
 
   Loop& loop_;
-  ExchangeClient& client_;
+  NoRetryHttpClient& client_;
   SharedTables& tables_;
   NodeId self_;
   Quarantine quarantine_;
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -77,7 +77,7 @@
 
  private:
   Loop loop_;
-  ExchangeClient client_;
+  NoRetryHttpClient client_;
   StoreTransport store_;
   std::unique_ptr<SharedTables> tables_;
   FleetWatcher fleet_;
@@ -122,7 +122,7 @@
                },
                [this](const JobId& job) { runner_.OnDropped(job); },
                [this](OwnedJob& job) { runner_.OnReleasing(job); },
-               [this](const JobHead& head) { job_requests_.OnChanged(head); }}),
+               [this](const JobRecord& head) { job_requests_.OnChanged(head); }}),
         runner_(relay_context_, jobs_, clock_, [this] { peer_messenger_.OnWaitingChanged(); }),
         job_requests_(loop_, jobs_, clock_, adapter),
         request_dispatcher_(relay_context_, adapter, job_requests_, SystemRandom()),
@@ -135,7 +135,7 @@
     const Result<Ok> linked = peer_messenger_.Start(settings_.seeds);
     if (!IsOk(linked)) {
       Log(LogLevel::kError, "cannot_listen", {{"why", ErrorOf(linked).detail}});
-      return RowOf(ErrorKind::kInternal).exit_code;
+      return ErrorInfoOf(ErrorKind::kInternal).exit_code;
     }
     if (!Listen(settings_.callers, callers_,
                 [this](HttpRequest request, std::shared_ptr<HttpReply> reply) {
@@ -154,7 +154,7 @@
                   UpdateGauges();
                   reply->Send({200, "text/plain; version=0.0.4", {}, metrics_.PrometheusText()});
                 })) {
-      return RowOf(ErrorKind::kInternal).exit_code;
+      return ErrorInfoOf(ErrorKind::kInternal).exit_code;
     }
     jobs_.Start();
     crash_tracker_.Start();
@@ -211,7 +211,7 @@
     set("figmill_config_version", "Version of the configuration in force",
         static_cast<double>(request_dispatcher_.config_version()));
     set("figmill_connections_opened", "Connections opened since the start",
-        static_cast<double>(client_.opened()));
+        static_cast<double>(client_.connections_opened()));
     set("figmill_store_clock_age_seconds",
         "Since the store last told its time; -1 before it first did",
         SecondsOr(clock_.Age(Loop::SinceBoot()), -1));
@@ -239,7 +239,7 @@
 
   void ApplyFleetView(const std::shared_ptr<const FleetView>& view) {
     for (const Address& address : ChangedAddresses(backends_, view->backends)) {
-      client_.DropIdle(address);
+      client_.CloseIdleConnections(address);
     }
     backends_ = view->backends;
     team_access_.SetRoutes(view->routes);
@@ -313,7 +313,7 @@
   GatewayMetrics gateway_metrics_{metrics_};
   TrafficMetrics traffic_{metrics_};
   Loop loop_;
-  ExchangeClient client_;
+  NoRetryHttpClient client_;
   StoreTransport store_;
   std::unique_ptr<SharedTables> tables_;
   StoreClock clock_;
--- a/src/gateway/item_call.cc
+++ b/src/gateway/item_call.cc
@@ -11,7 +11,7 @@
   return SameHeaderName(header, kKeyHeader) || SameHeaderName(header, names.team);
 }
 
-HttpCall MakeItemCall(const HeaderNames& names, const JobHead& job, const JobItem& item) {
+HttpCall MakeItemCall(const HeaderNames& names, const JobRecord& job, const JobItem& item) {
   HttpCall call;
   call.method = "POST";
   call.target = item.target;
@@ -27,7 +27,7 @@
   return call;
 }
 
-RequestFingerprint FingerprintOf(const JobHead& job, const HttpCall& call) {
+RequestFingerprint FingerprintOf(const JobRecord& job, const HttpCall& call) {
   return FingerprintOf(call.method, call.target, call.headers, call.body, job.team);
 }
 
--- a/src/gateway/item_call.h
+++ b/src/gateway/item_call.h
@@ -13,8 +13,8 @@
 [[nodiscard]] bool IsTeamHeader(const HeaderNames& names, std::string_view header);
 
 // The call without its address and without the headers that differ from run to run.
-[[nodiscard]] HttpCall MakeItemCall(const HeaderNames& names, const JobHead& job,
+[[nodiscard]] HttpCall MakeItemCall(const HeaderNames& names, const JobRecord& job,
                                     const JobItem& item);
-[[nodiscard]] RequestFingerprint FingerprintOf(const JobHead& job, const HttpCall& call);
+[[nodiscard]] RequestFingerprint FingerprintOf(const JobRecord& job, const HttpCall& call);
 
 }  // namespace figmill
--- a/src/gateway/job_request_handler.cc
+++ b/src/gateway/job_request_handler.cc
@@ -49,7 +49,8 @@
     if (error.ran != Ran::kNo && error.kind == ErrorKind::kStoreUnavailable) {
       error.kind = ErrorKind::kDeadlineExceeded;
     }
-    if (RowOf(error.kind).retry_may_help && !error.retry_after) error.retry_after = kRetryAfter;
+    if (ErrorInfoOf(error.kind).retry_may_help && !error.retry_after)
+      error.retry_after = kRetryAfter;
     Send(ErrorResponseFor(error), error.detail);
   }
   void OnClosed(std::function<void()> closed) { reply_->OnClosed(std::move(closed)); }
@@ -82,7 +83,7 @@
     return pending->Refuse({ErrorKind::kNoBackend, "the store was not reached yet", Ran::kNo});
   }
   JobSubmission& job = ValueOf(submission);
-  JobHead head;
+  JobRecord head;
   head.id = job.id;
   head.route = route.name;
   head.host = route.host;
@@ -92,7 +93,7 @@
   head.submitted = *now;
   head.due = head.submitted + route.job_due;
   head.expires = head.submitted + route.job_expiry;
-  head.digest = ledger::DigestOf(job, head.team);
+  head.digest = ledger::SubmissionDigest(job, head.team);
   head.config_version = config_version;
   jobs_.Accept(std::move(head), std::move(job), [this, pending](const Result<Ok>& accepted) {
     if (!IsOk(accepted)) return pending->Refuse(ErrorOf(accepted));
@@ -107,12 +108,12 @@
   const auto pending =
       std::make_shared<PendingReply>(*this, std::string(name), job.value, std::move(reply));
   if (!team) return Dispatch(call, pending);
-  jobs_.Find(job, [this, call, team, pending, job](const Result<JobHead>& head) {
+  jobs_.Find(job, [this, call, team, pending, job](const Result<JobRecord>& head) {
     if (!IsOk(head)) return pending->Refuse(ErrorOf(head));
     const TeamId& owning_team = ValueOf(head).team;
     if (owning_team.empty() || owning_team == *team) return Dispatch(call, pending);
     // Reads the store as for an unknown job, so that the response takes as long.
-    jobs_.Refresh(job, [pending](const Result<JobHead>& /*head*/) {
+    jobs_.Refresh(job, [pending](const Result<JobRecord>& /*head*/) {
       pending->Refuse({ErrorKind::kNotFound, "no such job"});
     });
   });
@@ -124,15 +125,15 @@
 }
 
 void JobRequestHandler::Handle(const JobReadCall& call, std::shared_ptr<PendingReply> pending) {
-  jobs_.Find(call.job, [this, call, pending](const Result<JobHead>& head) {
+  jobs_.Find(call.job, [this, call, pending](const Result<JobRecord>& head) {
     if (!IsOk(head)) return pending->Refuse(ErrorOf(head));
     SendResultsOrWait(call, ValueOf(head), pending);
   });
 }
 
-void JobRequestHandler::SendResultsOrWait(const JobReadCall& call, const JobHead& head,
+void JobRequestHandler::SendResultsOrWait(const JobReadCall& call, const JobRecord& head,
                                           std::shared_ptr<PendingReply> pending) {
-  if (call.after < head.listed) return SendResults(call, head.total, std::move(pending));
+  if (call.after < head.stored_results) return SendResults(call, head.total, std::move(pending));
   const bool may_wait = head.open() && call.wait.count() > 0 && !leaving_;
   if (may_wait) return WaitForResults(call, std::move(pending));
   SendNoResults(call, std::move(pending));
@@ -160,9 +161,10 @@
 // be missing at their positions.
 void JobRequestHandler::SendNoResults(const JobReadCall& call,
                                       std::shared_ptr<PendingReply> pending) {
-  jobs_.Refresh(call.job, [this, call, pending](const Result<JobHead>& head) {
+  jobs_.Refresh(call.job, [this, call, pending](const Result<JobRecord>& head) {
     if (!IsOk(head)) return pending->Refuse(ErrorOf(head));
-    if (call.after < ValueOf(head).listed) return SendResults(call, ValueOf(head).total, pending);
+    if (call.after < ValueOf(head).stored_results)
+      return SendResults(call, ValueOf(head).total, pending);
     pending->Send(
         {200, "application/json", {}, adapter_.RenderResults(ValueOf(head).total, call.after, {})});
   });
@@ -174,7 +176,7 @@
   JobReadCall without_wait = call;
   without_wait.wait = Duration{0};
   const auto finish = [this, without_wait, pending] {
-    const JobHead* now = jobs_.KnownHead(without_wait.job);
+    const JobRecord* now = jobs_.KnownHead(without_wait.job);
     if (now == nullptr) return pending->Refuse({ErrorKind::kNotFound, "no such job"});
     SendResultsOrWait(without_wait, *now, pending);
   };
@@ -190,11 +192,11 @@
   });
 }
 
-void JobRequestHandler::OnChanged(const JobHead& head) {
+void JobRequestHandler::OnChanged(const JobRecord& head) {
   std::vector<std::function<void()>> ready;
   const auto [first, last] = long_polls_.equal_range(head.id);
   for (auto at = first; at != last;) {
-    if (at->second.after < head.listed || !head.open()) {
+    if (at->second.after < head.stored_results || !head.open()) {
       ready.push_back(at->second.pending);
       at = long_polls_.erase(at);
     } else {
--- a/src/gateway/job_request_handler.h
+++ b/src/gateway/job_request_handler.h
@@ -27,7 +27,7 @@
   void Call(const JobCall& call, const std::optional<TeamId>& team,
             std::shared_ptr<HttpReply> reply);
   // Call it when the job has new results or has ended.
-  void OnChanged(const JobHead& head);
+  void OnChanged(const JobRecord& head);
   void SetLeaving();
   [[nodiscard]] std::size_t in_flight() const { return in_flight_; }
 
@@ -44,7 +44,7 @@
   void Handle(const JobReadCall& call, std::shared_ptr<PendingReply> pending);
   void Handle(const JobItemCall& call, std::shared_ptr<PendingReply> pending);
   void Handle(const JobEndCall& call, std::shared_ptr<PendingReply> pending);
-  void SendResultsOrWait(const JobReadCall& call, const JobHead& head,
+  void SendResultsOrWait(const JobReadCall& call, const JobRecord& head,
                          std::shared_ptr<PendingReply> pending);
   void WaitForResults(const JobReadCall& call, std::shared_ptr<PendingReply> pending);
   void SendNoResults(const JobReadCall& call, std::shared_ptr<PendingReply> pending);
--- a/src/gateway/job_store.cc
+++ b/src/gateway/job_store.cc
@@ -25,11 +25,11 @@
   check_timer_ = loop_.Every(kOwnerCheckPeriod, [this] { CheckOwners(); });
 }
 
-bool JobStore::IsOwnedHere(const JobHead& head) const {
+bool JobStore::IsOwnedHere(const JobRecord& head) const {
   return head.owner == peers_.self().node && head.owner_incarnation == peers_.self().incarnation;
 }
 
-const JobHead* JobStore::KnownHead(const JobId& job) const {
+const JobRecord* JobStore::KnownHead(const JobId& job) const {
   const auto found = known_.find(job);
   return found == known_.end() ? nullptr : &found->second.head;
 }
@@ -52,15 +52,15 @@
   (void)ApplyRow(*change.row);
 }
 
-Result<JobHead> JobStore::DecodeRow(const TableRow& row) const {
-  Result<JobHead> head = ledger::DecodeHead(row.value);
+Result<JobRecord> JobStore::DecodeRow(const TableRow& row) const {
+  Result<JobRecord> head = ledger::DecodeJobRecord(row.value);
   if (!IsOk(head)) return head;
-  if (ledger::HeadKey(ValueOf(head).id) != row.at) {
+  if (ledger::JobRecordKey(ValueOf(head).id) != row.at) {
     return Error{ErrorKind::kBadRequest, "job row: it names another job than its key"};
   }
-  const JobHead* known = KnownHead(ValueOf(head).id);
+  const JobRecord* known = KnownHead(ValueOf(head).id);
   if (known == nullptr) return head;
-  if (const auto why = ledger::Contradiction(*known, ValueOf(head))) {
+  if (const auto why = ledger::InvalidUpdateReason(*known, ValueOf(head))) {
     return Error{ErrorKind::kBadRequest, "job row: " + std::string(*why)};
   }
   return head;
@@ -69,7 +69,7 @@
 Result<Ok> JobStore::ApplyRow(const TableRow& row) {
   const auto known = known_.find(JobId{row.at.key});
   if (known != known_.end() && row.version <= known->second.version) return Ok{};
-  const Result<JobHead> head = DecodeRow(row);
+  const Result<JobRecord> head = DecodeRow(row);
   if (!IsOk(head)) {
     refused_.Refuse(row.at.key, row.version, ErrorOf(head).detail);
     return Error{ErrorKind::kStoreUnavailable, ErrorOf(head).detail};
@@ -79,7 +79,7 @@
   return Ok{};
 }
 
-void JobStore::ApplyHead(const JobHead& head, RowVersion version) {
+void JobStore::ApplyHead(const JobRecord& head, RowVersion version) {
   KnownJob& known = known_[head.id];
   if (version <= known.version) return;
   const bool new_owner = known.version == 0 || known.head.owner != head.owner ||
@@ -91,7 +91,7 @@
   known.head = head;
   known.version = version;
   if (OwnedJob* job = FindOwned(head.id)) {
-    if (!job->OnHead(head, version)) {
+    if (!job->OnJobRecord(head, version)) {
       Log(LogLevel::kWarning, "job_lost",
           {{"job", head.id.value},
            {"owner", head.owner.value},
@@ -99,7 +99,7 @@
       DropOwned(head.id);
     } else if (!head.open()) {
       hooks_.dropped(head.id);
-      if (job->settled()) owned_.erase(head.id);
+      if (job->all_written()) owned_.erase(head.id);
     } else {
       Write(*job);
     }
@@ -114,9 +114,9 @@
 
 // --- Acceptance ---------------------------------------------------------------------
 
-void JobStore::Accept(JobHead head, JobSubmission submission,
+void JobStore::Accept(JobRecord head, JobSubmission submission,
                       std::function<void(Result<Ok>)> done) {
-  if (const JobHead* known = KnownHead(head.id)) {
+  if (const JobRecord* known = KnownHead(head.id)) {
     if (known->digest == head.digest) return done(Ok{});
     return done(Error{ErrorKind::kConflict, "a job with this id and other items was accepted"});
   }
@@ -124,9 +124,9 @@
   const Peer owner = ChooseOwner(head.id);
   head.owner = owner.node;
   head.owner_incarnation = owner.incarnation;
-  head.token = FreshToken(random_);
-  auto transactions =
-      std::make_shared<std::vector<TableTransaction>>(ledger::Accept(head, submission.items));
+  head.token = GenerateToken(random_);
+  auto transactions = std::make_shared<std::vector<TableTransaction>>(
+      ledger::AcceptTransactions(head, submission.items));
   CommitAll(transactions, 0,
             [this, head, submission = std::move(submission),
              done = std::move(done)](const TableOutcome& outcome) mutable {
@@ -160,7 +160,7 @@
                });
 }
 
-void JobStore::OnAccepted(const JobHead& head, JobSubmission submission,
+void JobStore::OnAccepted(const JobRecord& head, JobSubmission submission,
                           const TableOutcome& outcome,
                           const std::function<void(Result<Ok>)>& done) {
   std::visit(Overloaded{
@@ -171,11 +171,11 @@
                    done(Ok{});
                  },
                  [&](const TableRejected& rejected) {
-                   const TableRow* row = RowIn(rejected, ledger::HeadKey(head.id));
-                   const Result<JobHead> there =
+                   const TableRow* row = RowIn(rejected, ledger::JobRecordKey(head.id));
+                   const Result<JobRecord> there =
                        row == nullptr ? Error{ErrorKind::kInternal,
                                               "the write was rejected, but the job has no row"}
-                                      : ledger::DecodeHead(row->value);
+                                      : ledger::DecodeJobRecord(row->value);
                    if (!IsOk(there)) {
                      return done(
                          Error{ErrorKind::kStoreUnavailable, ErrorOf(there).detail, Ran::kUnknown});
@@ -204,11 +204,12 @@
 // --- Results --------------------------------------------------------------------------
 
 void JobStore::Write(OwnedJob& job) {
-  if (IsUnreadable(job.head().id)) return;
+  if (IsUnreadable(job.record().id)) return;
   std::optional<TableTransaction> write = job.NextWrite(random_);
   if (!write) return;
-  HedgedCommit(loop_, tables_, *std::move(write),
-               [this, id = job.head().id](const TableOutcome& outcome) { OnWritten(id, outcome); });
+  HedgedCommit(
+      loop_, tables_, *std::move(write),
+      [this, id = job.record().id](const TableOutcome& outcome) { OnWritten(id, outcome); });
 }
 
 void JobStore::OnWritten(const JobId& id, const TableOutcome& outcome) {
@@ -218,11 +219,11 @@
   std::visit(Overloaded{
                  [&](const TableCommitted& committed) {
                    job->OnCommitted(committed.version);
-                   ApplyHead(JobHead(job->head()), job->version());
+                   ApplyHead(JobRecord(job->record()), job->version());
                  },
                  [&](const TableRejected& rejected) {
                    job->OnFailed();
-                   const TableRow* row = RowIn(rejected, ledger::HeadKey(id));
+                   const TableRow* row = RowIn(rejected, ledger::JobRecordKey(id));
                    row_unreadable = row != nullptr && !IsOk(ApplyRow(*row));
                  },
                  [&](const NotWritten& refused) {
@@ -239,11 +240,11 @@
              outcome);
   job = FindOwned(id);
   if (job == nullptr) return;
-  if (!job->head().open() && job->settled()) {
+  if (!job->record().open() && job->all_written()) {
     owned_.erase(id);
     return FinishLeaving();
   }
-  if (leaving_ && (job->settled() || row_unreadable)) return Release(id);
+  if (leaving_ && (job->all_written() || row_unreadable)) return Release(id);
   // Retried once the row can be read: retried at once, the write would be rejected as often as
   // the store can respond.
   if (row_unreadable) return;
--- a/src/gateway/job_store.h
+++ b/src/gateway/job_store.h
@@ -44,7 +44,7 @@
     std::function<void(const JobId&)> dropped;
     // The job is about to be released: stop its runs and keep their progress.
     std::function<void(OwnedJob&)> releasing;
-    std::function<void(const JobHead&)> changed;
+    std::function<void(const JobRecord&)> changed;
   };
 
   JobStore(Loop& loop, SharedTables& tables, Metrics& metrics, const PeerTable& peers,
@@ -56,19 +56,19 @@
 
   // Accepts a job durably, or finds that it was accepted before. Errors: kConflict (other items
   // under this id), kStoreUnavailable with `ran` no (never will be accepted) or unknown.
-  void Accept(JobHead head, JobSubmission submission, std::function<void(Result<Ok>)> done);
+  void Accept(JobRecord head, JobSubmission submission, std::function<void(Result<Ok>)> done);
   // Ends the job at its sender's request. Errors: kNotFound, kStoreUnavailable.
   void End(const JobId& job, std::function<void(Result<Ok>)> done);
   // The job's row: from the mirror, else from the store. Errors: kNotFound, kStoreUnavailable.
-  void Find(const JobId& job, std::function<void(Result<JobHead>)> done);
+  void Find(const JobId& job, std::function<void(Result<JobRecord>)> done);
   // As Find, but always from the store: the local copy may be seconds old.
-  void Refresh(const JobId& job, std::function<void(Result<JobHead>)> done);
+  void Refresh(const JobId& job, std::function<void(Result<JobRecord>)> done);
   // Errors: kStoreUnavailable.
   void ReadResults(const JobId& job, std::uint32_t from,
                    std::function<void(Result<std::vector<ItemResult>>)> done);
   void ReadItems(const JobId& job, std::function<void(Result<std::vector<JobItem>>)> done);
 
-  [[nodiscard]] const JobHead* KnownHead(const JobId& job) const;
+  [[nodiscard]] const JobRecord* KnownHead(const JobId& job) const;
   [[nodiscard]] OwnedJob* FindOwned(const JobId& job);
   // Writes results and progress that aren't written yet.
   void Write(OwnedJob& job);
@@ -77,7 +77,7 @@
 
  private:
   struct KnownJob {
-    JobHead head;
+    JobRecord head;
     RowVersion version = 0;
     Time owner_seen_at{};  // when its present owner was first seen
     bool acquiring = false;
@@ -87,17 +87,17 @@
   };
 
   void OnRow(const TableMirror::Change& change);
-  void ApplyHead(const JobHead& head, RowVersion version);
+  void ApplyHead(const JobRecord& head, RowVersion version);
   // Applies a row of the job table. A row that can't be used changes nothing: a valid job is
   // neither dropped nor given up because another writer changed its row. Errors:
   // kStoreUnavailable.
   Result<Ok> ApplyRow(const TableRow& row);
-  [[nodiscard]] Result<JobHead> DecodeRow(const TableRow& row) const;
+  [[nodiscard]] Result<JobRecord> DecodeRow(const TableRow& row) const;
   [[nodiscard]] bool IsUnreadable(const JobId& job) const { return refused_.Contains(job.value); }
   void RetryLoadLater(const JobId& id);
   void CommitAll(std::shared_ptr<std::vector<TableTransaction>> transactions, std::size_t next,
                  std::function<void(TableOutcome)> done);
-  void OnAccepted(const JobHead& head, JobSubmission submission, const TableOutcome& outcome,
+  void OnAccepted(const JobRecord& head, JobSubmission submission, const TableOutcome& outcome,
                   const std::function<void(Result<Ok>)>& done);
   void CheckOwners();
   // Its owner has released it or is gone.
@@ -106,8 +106,8 @@
   // How long this entry leaves an unowned job to the entries that rank before it.
   [[nodiscard]] std::optional<Duration> RankDelay(const JobId& job, Time now) const;
   void TakeOver(const JobId& job);
-  void OnTakeoverWritten(const JobHead& head, const TableOutcome& outcome);
-  void BecomeOwner(JobHead head, RowVersion version, std::vector<JobItem> items,
+  void OnTakeoverWritten(const JobRecord& head, const TableOutcome& outcome);
+  void BecomeOwner(JobRecord head, RowVersion version, std::vector<JobItem> items,
                    const std::vector<ledger::ProgressPiece>& progress);
   void ReadAll(TableRange range, std::shared_ptr<std::vector<TableRow>> rows,
                std::function<void(Result<std::vector<TableRow>>)> done);
@@ -116,11 +116,11 @@
   [[nodiscard]] Peer ChooseOwner(const JobId& job) const;
   void DropOwned(const JobId& job);
   void OnWritten(const JobId& job, const TableOutcome& outcome);
-  void WriteEnd(const JobId& job, const JobHead& head, RowVersion version, int attempts_left,
+  void WriteEnd(const JobId& job, const JobRecord& head, RowVersion version, int attempts_left,
                 std::function<void(Result<Ok>)> done);
   void Release(const JobId& job);
   void FinishLeaving();
-  [[nodiscard]] bool IsOwnedHere(const JobHead& head) const;
+  [[nodiscard]] bool IsOwnedHere(const JobRecord& head) const;
 
   Loop& loop_;
   SharedTables& tables_;
--- a/src/gateway/job_store_calls.cc
+++ b/src/gateway/job_store_calls.cc
@@ -20,7 +20,7 @@
 // --- Ends -------------------------------------------------------------------------------
 
 void JobStore::End(const JobId& id, std::function<void(Result<Ok>)> done) {
-  Find(id, [this, id, done = std::move(done)](Result<JobHead> head) {
+  Find(id, [this, id, done = std::move(done)](Result<JobRecord> head) {
     if (!IsOk(head)) return done(ErrorOf(head));
     if (ValueOf(head).ended) return done(Ok{});
     if (IsUnreadable(id)) {
@@ -33,14 +33,14 @@
 }
 
 // Used also for a job that this entry owns: its next write then finds the new row.
-void JobStore::WriteEnd(const JobId& id, const JobHead& head, RowVersion version, int attempts_left,
-                        std::function<void(Result<Ok>)> done) {
-  JobHead next = head;
+void JobStore::WriteEnd(const JobId& id, const JobRecord& head, RowVersion version,
+                        int attempts_left, std::function<void(Result<Ok>)> done) {
+  JobRecord next = head;
   next.ended = true;
-  next.token = FreshToken(random_);
+  next.token = GenerateToken(random_);
   TableTransaction transaction;
-  transaction.conditions.push_back({ledger::HeadKey(id), version});
-  transaction.puts.push_back({ledger::HeadKey(id), ledger::EncodeHead(next)});
+  transaction.conditions.push_back({ledger::JobRecordKey(id), version});
+  transaction.puts.push_back({ledger::JobRecordKey(id), ledger::EncodeJobRecord(next)});
   HedgedCommit(
       loop_, tables_, std::move(transaction),
       [this, id, next, attempts_left, done = std::move(done)](const TableOutcome& outcome) {
@@ -49,7 +49,8 @@
           return done(Ok{});
         }
         const auto* rejected = std::get_if<TableRejected>(&outcome);
-        const TableRow* row = rejected == nullptr ? nullptr : RowIn(*rejected, ledger::HeadKey(id));
+        const TableRow* row =
+            rejected == nullptr ? nullptr : RowIn(*rejected, ledger::JobRecordKey(id));
         if (row == nullptr || attempts_left == 0) {
           return done(Error{ErrorKind::kStoreUnavailable, "the end of the job could not be written",
                             Ran::kUnknown});
@@ -58,7 +59,7 @@
         // overwrite content that no entry has read.
         const Result<Ok> applied = ApplyRow(*row);
         if (!IsOk(applied)) return done(ErrorOf(applied));
-        const JobHead* now = KnownHead(id);
+        const JobRecord* now = KnownHead(id);
         if (now == nullptr) return done(Error{ErrorKind::kNotFound, "no such job"});
         if (now->ended) return done(Ok{});
         WriteEnd(id, *now, row->version, attempts_left - 1, done);
@@ -67,19 +68,19 @@
 
 // --- Reads --------------------------------------------------------------------------------
 
-void JobStore::Find(const JobId& job, std::function<void(Result<JobHead>)> done) {
-  if (const JobHead* known = KnownHead(job)) return done(*known);
+void JobStore::Find(const JobId& job, std::function<void(Result<JobRecord>)> done) {
+  if (const JobRecord* known = KnownHead(job)) return done(*known);
   Refresh(job, std::move(done));
 }
 
-void JobStore::Refresh(const JobId& job, std::function<void(Result<JobHead>)> done) {
-  const TableKey at = ledger::HeadKey(job);
+void JobStore::Refresh(const JobId& job, std::function<void(Result<JobRecord>)> done) {
+  const TableKey at = ledger::JobRecordKey(job);
   tables_.Read({at.table, at.part, at.key, at.key + '\0', 1},
                [this, job, done = std::move(done)](const Result<TablePage>& page) {
                  if (!IsOk(page)) return done(ErrorOf(page));
                  Result<Ok> applied = Ok{};
                  for (const TableRow& row : ValueOf(page).rows) applied = ApplyRow(row);
-                 const JobHead* known = KnownHead(job);
+                 const JobRecord* known = KnownHead(job);
                  // It isn't certain that there is no such job, or no result yet.
                  if (!IsOk(applied)) return done(ErrorOf(applied));
                  if (known == nullptr) return done(Error{ErrorKind::kNotFound, "no such job"});
@@ -139,7 +140,7 @@
     // releases the job after that.
     OwnedJob& job = *owned_[id];
     hooks_.releasing(job);
-    if (job.settled() || IsUnreadable(id)) {
+    if (job.all_written() || IsUnreadable(id)) {
       Release(id);
     } else {
       Write(job);
@@ -150,15 +151,15 @@
 
 void JobStore::Release(const JobId& id) {
   const OwnedJob* job = FindOwned(id);
-  JobHead head = job->head();
+  JobRecord head = job->record();
   const RowVersion version = job->version();
   DropOwned(id);
   head.owner = NodeId{};
   head.owner_incarnation = 0;
-  head.token = FreshToken(random_);
+  head.token = GenerateToken(random_);
   TableTransaction transaction;
-  transaction.conditions.push_back({ledger::HeadKey(id), version});
-  transaction.puts.push_back({ledger::HeadKey(id), ledger::EncodeHead(head)});
+  transaction.conditions.push_back({ledger::JobRecordKey(id), version});
+  transaction.puts.push_back({ledger::JobRecordKey(id), ledger::EncodeJobRecord(head)});
   Log(LogLevel::kInfo, "job_released", {{"job", id.value}});
   ++releasing_;
   HedgedCommit(loop_, tables_, std::move(transaction), [this](const TableOutcome& /*outcome*/) {
--- a/src/gateway/relay_call.h
+++ b/src/gateway/relay_call.h
@@ -24,7 +24,7 @@
 // Dependencies that all relay calls share. They outlive the calls.
 struct RelayContext {
   Loop& loop;
-  ExchangeClient& client;
+  NoRetryHttpClient& client;
   BackendPool& backends;
   SlotFinder& slot_finder;
   OpenSends& open_sends;
--- a/src/gateway/store_transport.cc
+++ b/src/gateway/store_transport.cc
@@ -122,7 +122,7 @@
     }
     const Error& error = ErrorOf(result);
     const std::string_view fate = error.ran == Ran::kNo ? kNotSent : kLost;
-    reply->Send({RowOf(error.kind).http_status,
+    reply->Send({ErrorInfoOf(error.kind).http_status,
                  "text/plain",
                  {{std::string(kNoResponseHeader), std::string(fate)}},
                  error.detail});
--- a/src/gateway/team_access.cc
+++ b/src/gateway/team_access.cc
@@ -107,7 +107,7 @@
           },
           [&](const quota::Pending&) { pending_admissions_.emplace(ticket, std::move(done)); },
           [&](const Error& error) {
-            CountDecision(RowOf(error.kind).name);
+            CountDecision(ErrorInfoOf(error.kind).name);
             done(error);
           },
       },
@@ -135,7 +135,8 @@
     for (const quota::Decision& decision : decisions) {
       auto waiting = pending_admissions_.extract(decision.ticket);
       if (waiting.empty()) continue;
-      CountDecision(IsOk(decision.result) ? "admitted" : RowOf(ErrorOf(decision.result).kind).name);
+      CountDecision(IsOk(decision.result) ? "admitted"
+                                          : ErrorInfoOf(ErrorOf(decision.result).kind).name);
       waiting.mapped()(decision.result);
     }
     more = !asks.empty() || !decisions.empty();
--- a/src/ledger/owned_job.cc
+++ b/src/ledger/owned_job.cc
@@ -6,36 +6,37 @@
 
 namespace figmill {
 
-OwnedJob::OwnedJob(JobHead head, RowVersion version, std::vector<JobItem> items)
-    : head_(std::move(head)), version_(version), items_(std::move(items)) {
-  assert(head_.done.size() == items_.size());
+OwnedJob::OwnedJob(JobRecord record, RowVersion version, std::vector<JobItem> items)
+    : record_(std::move(record)), version_(version), items_(std::move(items)) {
+  assert(record_.done.size() == items_.size());
   finished_.resize(items_.size(), false);
 }
 
 bool OwnedJob::IsOpen(std::size_t item) const {
-  return !IsListed(item) && !finished_[item];
+  return !HasStoredResult(item) && !finished_[item];
 }
 
 void OwnedJob::Finish(std::size_t item, ItemResult result) {
   if (!IsOpen(item)) return;
   finished_[item] = true;
-  pending_.emplace_back(item, std::move(result));
+  unwritten_results_.emplace_back(item, std::move(result));
 }
 
-void OwnedJob::Keep(ledger::ProgressPiece piece) {
-  progress_.push_back(std::move(piece));
+void OwnedJob::AddProgress(ledger::ProgressPiece piece) {
+  unwritten_progress_.push_back(std::move(piece));
 }
 
 std::optional<TableTransaction> OwnedJob::NextWrite(const RandomBits& random) {
   if (in_flight_) return std::nullopt;
   if (!write_) {
-    if (pending_.empty() && progress_.empty() && !wants_end_) return std::nullopt;
-    write_ = Write{head_, {}, {}, version_, true};
-    write_->head.token = FreshToken(random);
-    write_->head.ended = head_.ended || wants_end_;
+    if (unwritten_results_.empty() && unwritten_progress_.empty() && !end_requested_)
+      return std::nullopt;
+    write_ = Write{record_, {}, {}, version_, true};
+    write_->record.token = GenerateToken(random);
+    write_->record.ended = record_.ended || end_requested_;
     TakeResults(*write_);
     TakeProgress(*write_);
-    write_->changes_row = !write_->results.empty() || write_->head.ended != head_.ended;
+    write_->changes_row = !write_->results.empty() || write_->record.ended != record_.ended;
   }
   in_flight_ = true;
   return TransactionFor(*write_);
@@ -43,44 +44,46 @@
 
 void OwnedJob::TakeResults(Write& write) {
   std::size_t bytes = 0;
-  while (!pending_.empty() && write.results.size() < kMaxResultsPerWrite &&
+  while (!unwritten_results_.empty() && write.results.size() < kMaxResultsPerWrite &&
          bytes < kMaxBytesPerWrite) {
-    bytes += pending_.front().second.output.size();
-    write.head.done[pending_.front().first] = 'x';
-    ++write.head.listed;
-    write.results.push_back(std::move(pending_.front()));
-    pending_.erase(pending_.begin());
+    bytes += unwritten_results_.front().second.output.size();
+    write.record.done[unwritten_results_.front().first] = 'x';
+    ++write.record.stored_results;
+    write.results.push_back(std::move(unwritten_results_.front()));
+    unwritten_results_.erase(unwritten_results_.begin());
   }
 }
 
-// Not for items that are finished: nobody goes on with them.
+// Drops the progress of finished items, from which no owner will resume.
 void OwnedJob::TakeProgress(Write& write) {
   std::vector<ledger::ProgressPiece> left;
-  for (ledger::ProgressPiece& piece : std::exchange(progress_, {})) {
+  for (ledger::ProgressPiece& piece : std::exchange(unwritten_progress_, {})) {
     if (!IsOpen(piece.item)) continue;
     const bool fits = write.progress.size() < kMaxPiecesPerWrite && write.results.size() < 4;
     (fits ? write.progress : left).push_back(std::move(piece));
   }
-  progress_ = std::move(left);
+  unwritten_progress_ = std::move(left);
 }
 
-// A write that is sent again is the same to the letter: an earlier copy, whose
-// answer was lost, may still take effect, and then this one finds its own token.
+// A retried write must be identical: an earlier copy whose response was lost may still be
+// applied, and this one then finds the row with its own token.
 TableTransaction OwnedJob::TransactionFor(const Write& write) const {
   TableTransaction transaction;
-  transaction.conditions.push_back({ledger::HeadKey(head_.id), write.condition});
+  transaction.conditions.push_back({ledger::JobRecordKey(record_.id), write.condition});
   if (write.changes_row) {
-    transaction.puts.push_back({ledger::HeadKey(head_.id), ledger::EncodeHead(write.head)});
+    transaction.puts.push_back(
+        {ledger::JobRecordKey(record_.id), ledger::EncodeJobRecord(write.record)});
   }
-  std::uint32_t position = write.head.listed - static_cast<std::uint32_t>(write.results.size());
+  std::uint32_t position =
+      write.record.stored_results - static_cast<std::uint32_t>(write.results.size());
   for (const auto& [item, result] : write.results) {
-    for (TablePut& put : ledger::ResultRows(head_.id, position, result)) {
+    for (TablePut& put : ledger::ResultRows(record_.id, position, result)) {
       transaction.puts.push_back(std::move(put));
     }
     ++position;
   }
   for (const ledger::ProgressPiece& piece : write.progress) {
-    transaction.puts.push_back(ledger::ProgressRow(head_.id, piece));
+    transaction.puts.push_back(ledger::ProgressRow(record_.id, piece));
   }
   return transaction;
 }
@@ -89,34 +92,38 @@
   in_flight_ = false;
   if (!write_) return;
   if (!write_->changes_row) return write_.reset();
-  const JobHead written = write_->head;  // Adopt lets go of the write
-  Adopt(written, version);
+  const JobRecord written = write_->record;  // a copy, since ApplyRecord resets the write
+  ApplyRecord(written, version);
 }
 
-bool OwnedJob::OnHead(const JobHead& head, RowVersion version) {
+bool OwnedJob::OnJobRecord(const JobRecord& record, RowVersion version) {
   if (version <= version_) return true;
-  if (head.owner != head_.owner || head.owner_incarnation != head_.owner_incarnation) return false;
-  Adopt(head, version);
+  if (record.owner != record_.owner || record.owner_incarnation != record_.owner_incarnation)
+    return false;
+  ApplyRecord(record, version);
   return true;
 }
 
-// The row as it is now. Our write is among what it has, if its token is ours;
-// otherwise another one came before it, and the results wait for the next write.
-void OwnedJob::Adopt(const JobHead& head, RowVersion version) {
+// Takes over a newer row. If its token is that of the write in flight, the write was applied;
+// otherwise another write came first, and the results wait for the next write.
+void OwnedJob::ApplyRecord(const JobRecord& record, RowVersion version) {
   if (write_) {
-    const bool ours = head.token == write_->head.token;
-    if (!ours) {
-      pending_.insert(pending_.begin(), std::make_move_iterator(write_->results.begin()),
-                      std::make_move_iterator(write_->results.end()));
-      progress_.insert(progress_.begin(), std::make_move_iterator(write_->progress.begin()),
-                       std::make_move_iterator(write_->progress.end()));
+    const bool applied = record.token == write_->record.token;
+    if (!applied) {
+      unwritten_results_.insert(unwritten_results_.begin(),
+                                std::make_move_iterator(write_->results.begin()),
+                                std::make_move_iterator(write_->results.end()));
+      unwritten_progress_.insert(unwritten_progress_.begin(),
+                                 std::make_move_iterator(write_->progress.begin()),
+                                 std::make_move_iterator(write_->progress.end()));
     }
     write_.reset();
   }
-  head_ = head;
+  record_ = record;
   version_ = version;
-  if (head_.ended) wants_end_ = false;
-  std::erase_if(pending_, [this](const auto& each) { return IsListed(each.first); });
+  if (record_.ended) end_requested_ = false;
+  std::erase_if(unwritten_results_,
+                [this](const auto& each) { return HasStoredResult(each.first); });
 }
 
 }  // namespace figmill
--- a/src/ledger/rows.cc
+++ b/src/ledger/rows.cc
@@ -15,9 +15,9 @@
 
 using fields::Json;
 
-// Levels of lists and maps: the list of items, an item, its headers, one of them.
+// Nesting levels of arrays and maps: the list of items, an item, its headers, one header.
 constexpr std::size_t kMaxDepth = 4;
-// Digits of the numbers in keys.
+// Number of digits in row keys.
 constexpr std::size_t kPositionDigits = 8;
 constexpr std::size_t kPieceDigits = 4;
 
@@ -37,13 +37,14 @@
 
 template <typename T, typename Read>
 Result<T> Decoded(std::string_view bytes, std::string_view what, Read read) {
-  // The library's parser calls itself for each level: a row of another writer, nested as
-  // deep as it is long, would overflow the stack and end each process that reads it.
-  if (!NestsWithin(bytes, kMaxDepth)) return fields::BadRequest(what, "no CBOR of ours");
+  // The library's parser is recursive: a row of another writer that consists of nothing but
+  // nested values would overflow the stack and end each process that reads it.
+  if (!IsCborWithinDepth(bytes, kMaxDepth))
+    return fields::BadRequest(what, "not CBOR of a known form");
   try {
     return read(Json::from_cbor(bytes.begin(), bytes.end()));
-  } catch (const std::exception& mistake) {
-    return fields::BadRequest(what, mistake.what());
+  } catch (const std::exception& error) {
+    return fields::BadRequest(what, error.what());
   }
 }
 
@@ -70,10 +71,10 @@
   return {item.id, item.target, std::move(headers), Binary(item.body), item.tokens};
 }
 
-// The element of a list that must have `size` of them.
+// An element of a list that must have exactly `size` elements.
 const Json& At(const Json& list, std::size_t index, std::size_t size) {
   if (!list.is_array() || list.size() != size) {
-    throw fields::BadDocument("a list of " + std::to_string(size) + " is expected");
+    throw fields::BadDocument("expected a list of " + std::to_string(size) + " elements");
   }
   return list[index];
 }
@@ -99,41 +100,41 @@
 }
 
 StoreTime ReadTime(const Json& json, const char* name) {
-  return StoreTime(fields::Count<std::int64_t>(json, name, 0, fields::kLongestTime.count()));
+  return StoreTime(fields::Count<std::int64_t>(json, name, 0, fields::kMaxTime.count()));
 }
 
-// `done` has a sign for each item, and as many are listed as it says. Read past its end, or
-// counted twice, it would have results written over others.
-void CheckDone(const JobHead& head) {
-  if (head.done.size() != head.total) throw fields::BadDocument("'done' has the wrong length");
-  if (head.done.find_first_not_of("x.") != std::string::npos) {
-    throw fields::BadDocument("'done' has an unknown sign");
+// `done` must have one character per item, and `stored_results` must be the number of stored
+// results in it. Otherwise code would read past the end of `done`, or overwrite stored results.
+void CheckDone(const JobRecord& record) {
+  if (record.done.size() != record.total) throw fields::BadDocument("'done' has the wrong length");
+  if (record.done.find_first_not_of("x.") != std::string::npos) {
+    throw fields::BadDocument("'done' has an unknown character");
   }
-  if (std::count(head.done.begin(), head.done.end(), 'x') != head.listed) {
-    throw fields::BadDocument("'listed' is not what 'done' says");
+  if (std::count(record.done.begin(), record.done.end(), 'x') != record.stored_results) {
+    throw fields::BadDocument("'listed' does not match 'done'");
   }
 }
 
-JobHead ReadHead(const Json& json) {
-  JobHead head;
-  head.id.value = fields::Name(json, "id");
-  head.route = fields::Text(json, "route");
-  head.host = fields::Text(json, "host");
-  if (fields::Find(json, "team") != nullptr) head.team.value = fields::Name(json, "team");
-  head.total = fields::Count<std::uint32_t>(json, "total");
-  head.listed = fields::Count<std::uint32_t>(json, "listed");
-  head.done = fields::Text(json, "done");
-  head.owner.value = fields::Text(json, "owner");
-  head.owner_incarnation = fields::Count<Incarnation>(json, "incarnation");
-  head.ended = fields::Flag(json, "ended");
-  head.submitted = ReadTime(json, "submitted");
-  head.due = ReadTime(json, "due");
-  head.expires = ReadTime(json, "expires");
-  head.digest = fields::Count<std::uint64_t>(json, "digest");
-  head.config_version = fields::CountOr<std::uint64_t>(json, "config", 0);
-  head.token.value = fields::Text(json, "token");
-  CheckDone(head);
-  return head;
+JobRecord ReadRecord(const Json& json) {
+  JobRecord record;
+  record.id.value = fields::Name(json, "id");
+  record.route = fields::Text(json, "route");
+  record.host = fields::Text(json, "host");
+  if (fields::Find(json, "team") != nullptr) record.team.value = fields::Name(json, "team");
+  record.total = fields::Count<std::uint32_t>(json, "total");
+  record.stored_results = fields::Count<std::uint32_t>(json, "listed");
+  record.done = fields::Text(json, "done");
+  record.owner.value = fields::Text(json, "owner");
+  record.owner_incarnation = fields::Count<Incarnation>(json, "incarnation");
+  record.ended = fields::Flag(json, "ended");
+  record.submitted = ReadTime(json, "submitted");
+  record.due = ReadTime(json, "due");
+  record.expires = ReadTime(json, "expires");
+  record.digest = fields::Count<std::uint64_t>(json, "digest");
+  record.config_version = fields::CountOr<std::uint64_t>(json, "config", 0);
+  record.token.value = fields::Text(json, "token");
+  CheckDone(record);
+  return record;
 }
 
 std::optional<std::uint32_t> NumberOf(std::string_view digits, std::size_t size) {
@@ -144,7 +145,7 @@
   return number;
 }
 
-// What follows the job in a key of an item's rows: "/PIECE".
+// The piece number from the key of an item row, "JOB/PIECE".
 std::optional<std::uint32_t> PieceOf(const JobId& job, std::string_view key) {
   if (!key.starts_with(job.value + "/")) return std::nullopt;
   return NumberOf(key.substr(job.value.size() + 1), kPieceDigits);
@@ -156,7 +157,7 @@
   bool operator==(const Place&) const = default;
 };
 
-// "/POSITION.PIECE", as in a result's and in a progress row's key.
+// Position and piece from the key of a result or progress row, "JOB/POSITION.PIECE".
 std::optional<Place> PlaceOf(const JobId& job, std::string_view key) {
   if (!key.starts_with(job.value + "/")) return std::nullopt;
   const std::string_view rest = key.substr(job.value.size() + 1);
@@ -205,53 +206,62 @@
   return "j" + std::to_string(hash % kParts);
 }
 
-TableKey HeadKey(const JobId& job) {
+TableKey JobRecordKey(const JobId& job) {
   return {std::string(kJobTable), PartOf(job), job.value};
 }
 
-std::string EncodeHead(const JobHead& head) {
-  Json json = {{"id", head.id.value},       {"route", head.route},
-               {"host", head.host},         {"total", head.total},
-               {"listed", head.listed},     {"done", head.done},
-               {"owner", head.owner.value}, {"incarnation", head.owner_incarnation},
-               {"ended", head.ended},       {"submitted", head.submitted.count()},
-               {"due", head.due.count()},   {"expires", head.expires.count()},
-               {"digest", head.digest},     {"config", head.config_version},
-               {"token", head.token.value}};
-  if (!head.team.empty()) json["team"] = head.team.value;
+std::string EncodeJobRecord(const JobRecord& record) {
+  Json json = {{"id", record.id.value},
+               {"route", record.route},
+               {"host", record.host},
+               {"total", record.total},
+               {"listed", record.stored_results},
+               {"done", record.done},
+               {"owner", record.owner.value},
+               {"incarnation", record.owner_incarnation},
+               {"ended", record.ended},
+               {"submitted", record.submitted.count()},
+               {"due", record.due.count()},
+               {"expires", record.expires.count()},
+               {"digest", record.digest},
+               {"config", record.config_version},
+               {"token", record.token.value}};
+  if (!record.team.empty()) json["team"] = record.team.value;
   return ToBytes(json);
 }
 
-Result<JobHead> DecodeHead(std::string_view value) {
-  return Decoded<JobHead>(value, "job row", ReadHead);
+Result<JobRecord> DecodeJobRecord(std::string_view value) {
+  return Decoded<JobRecord>(value, "job row", ReadRecord);
 }
 
-std::optional<std::string_view> Contradiction(const JobHead& known, const JobHead& later) {
+std::optional<std::string_view> InvalidUpdateReason(const JobRecord& known,
+                                                    const JobRecord& later) {
   const bool same = known.total == later.total && known.digest == later.digest &&
                     known.team == later.team && known.submitted == later.submitted &&
                     known.due == later.due && known.expires == later.expires;
-  if (!same) return "it is of another job";
+  if (!same) return "it describes another job";
   for (std::size_t i = 0; i < known.done.size(); ++i) {
-    if (known.done[i] == 'x' && later.done[i] != 'x') return "an item is not listed any more";
+    if (known.done[i] == 'x' && later.done[i] != 'x') return "a stored result is missing from it";
   }
-  if (known.ended && !later.ended) return "its end is undone";
+  if (known.ended && !later.ended) return "it reopens a job that has ended";
   return std::nullopt;
 }
 
-std::vector<TableTransaction> Accept(const JobHead& head, const std::vector<JobItem>& items) {
+std::vector<TableTransaction> AcceptTransactions(const JobRecord& record,
+                                                 const std::vector<JobItem>& items) {
   Json list = Json::array();
   for (const JobItem& item : items) list.push_back(ToJson(item));
   const std::string bytes = ToBytes(list);
   const std::vector<std::string_view> pieces = PiecesOf(bytes);
-  const std::string part = PartOf(head.id);
+  const std::string part = PartOf(record.id);
   std::vector<TableTransaction> transactions(1);
   for (std::size_t i = 0; i < pieces.size(); ++i) {
     if (transactions.back().puts.size() == kPiecesPerTransaction) transactions.emplace_back();
     transactions.back().puts.push_back(
-        {{std::string(kItemTable), part, ItemRowKey(head.id, i)}, std::string(pieces[i])});
+        {{std::string(kItemTable), part, ItemRowKey(record.id, i)}, std::string(pieces[i])});
   }
-  transactions.back().conditions.push_back({HeadKey(head.id), 0});
-  transactions.back().puts.push_back({HeadKey(head.id), EncodeHead(head)});
+  transactions.back().conditions.push_back({JobRecordKey(record.id), 0});
+  transactions.back().puts.push_back({JobRecordKey(record.id), EncodeJobRecord(record)});
   return transactions;
 }
 
@@ -268,7 +278,7 @@
     ++next;
   }
   return Decoded<std::vector<JobItem>>(bytes, "job items", [](const Json& json) {
-    if (!json.is_array()) throw fields::BadDocument("a list is expected");
+    if (!json.is_array()) throw fields::BadDocument("expected a list");
     std::vector<JobItem> items;
     for (const Json& item : json) items.push_back(ReadItem(item));
     return items;
@@ -286,7 +296,7 @@
   const std::vector<std::string_view> pieces = PiecesOf(bytes);
   std::vector<TablePut> puts;
   for (std::size_t i = 0; i < pieces.size(); ++i) {
-    // The first byte says whether more pieces follow: a page may end between two.
+    // The first byte tells whether more pieces follow, since a page may end between two pieces.
     puts.push_back({{std::string(kResultTable), PartOf(job), ResultRowKey(job, position, i)},
                     (i + 1 == pieces.size() ? "." : "+") + std::string(pieces[i])});
   }
@@ -301,7 +311,7 @@
   for (const TableRow& row : rows) {
     if (PlaceOf(job, row.at.key) != next) continue;
     if (row.value.empty()) {
-      return Error{ErrorKind::kBadRequest, "no result row: '" + row.at.key + "'"};
+      return Error{ErrorKind::kBadRequest, "not a result row: '" + row.at.key + "'"};
     }
     bytes.append(row.value, 1);
     ++next.piece;
@@ -328,19 +338,19 @@
 std::vector<ProgressPiece> DecodeProgress(const JobId& job, const std::vector<TableRow>& rows,
                                           const OnRefusedRow& refused) {
   std::vector<ProgressPiece> pieces;
-  std::map<std::uint32_t, std::uint32_t> next;  // by item: the number of its next piece
+  std::map<std::uint32_t, std::uint32_t> next;  // by item: the number of the next piece
   for (const TableRow& row : rows) {
     const auto place = PlaceOf(job, row.at.key);
     Result<ProgressPiece> piece = PieceFrom(row.value);
     if (!place || !IsOk(piece)) {
-      refused(row, place ? ErrorOf(piece).detail : "its key is none of a piece");
+      refused(row, place ? ErrorOf(piece).detail : "its key is not the key of a progress piece");
       continue;
     }
     const bool matches = ValueOf(piece).item == place->position &&
                          ValueOf(piece).number == place->piece &&
                          next[place->position] == place->piece;
     if (!matches) {
-      refused(row, "it doesn't follow the pieces before it");
+      refused(row, "it does not follow the pieces before it");
       continue;
     }
     ++next[place->position];
@@ -349,7 +359,7 @@
   return pieces;
 }
 
-std::uint64_t DigestOf(const JobSubmission& submission, const TeamId& team) {
+std::uint64_t SubmissionDigest(const JobSubmission& submission, const TeamId& team) {
   std::string text = submission.id.value;
   if (!team.empty()) text.append("\n").append(team.value);
   for (const JobItem& item : submission.items) {
--- a/src/once/accepted.cc
+++ b/src/once/accepted.cc
@@ -7,7 +7,7 @@
 OnceWrite AcceptWrite(const once::Spec& spec, std::string request_object, RowVersion released,
                       const RandomBits& random) {
   OnceRow row;
-  row.token = FreshToken(random);
+  row.token = GenerateToken(random);
   row.phase = OncePhase::kQueued;
   row.content = spec.content;
   row.team = spec.team;
@@ -29,7 +29,7 @@
 OnceWrite TakeOverWrite(const ItemKey& key, const OnceRow& row, RowVersion version,
                         const NodeInstance& self, const RandomBits& random) {
   OnceRow successor_row = row;
-  successor_row.token = FreshToken(random);
+  successor_row.token = GenerateToken(random);
   successor_row.sender = self;
   ++successor_row.epoch;
 
--- a/src/once/keyed_item.cc
+++ b/src/once/keyed_item.cc
@@ -146,7 +146,7 @@
 
 void KeyedItem::Submit(OnceRow row, State state) {
   pending_row_ = std::move(row);
-  pending_row_.token = FreshToken(*random_);
+  pending_row_.token = GenerateToken(*random_);
   pending_row_.retention_tick = spec_.retention_tick;
   state_ = state;
   attempts_since_ = now_;
--- a/src/online/request_state_machine.cc
+++ b/src/online/request_state_machine.cc
@@ -294,7 +294,7 @@
 
 void RequestStateMachine::FinishWithError(Error error) {
   error.ran = detail::CombineRan(ran_before_, attempt_.ran);
-  if (RowOf(error.kind).retry_may_help) {
+  if (ErrorInfoOf(error.kind).retry_may_help) {
     // Random over [min_delay, 2 x min_delay), so that callers don't retry all at the same time.
     const Duration min_delay = error.retry_after.value_or(kRetryAfter);
     const auto spread = static_cast<std::uint64_t>(std::max<std::int64_t>(1, min_delay.count()));
--- a/test/base-test.cc
+++ b/test/base-test.cc
@@ -9,18 +9,18 @@
 
 using namespace figmill;  // NOLINT(google-build-using-namespace): tests read better
 
-TEST_CASE("every error kind has its own name and a truthful status") {
+TEST_CASE("every error kind has its own name, an error status and an error exit code") {
   std::set<std::string_view> names;
   for (int i = 0; i < kErrorKindCount; ++i) {
-    const ErrorRow& row = RowOf(static_cast<ErrorKind>(i));
+    const ErrorKindInfo& row = ErrorInfoOf(static_cast<ErrorKind>(i));
     CHECK(names.insert(row.name).second);
-    CHECK(KindNamed(row.name) == row.kind);
+    CHECK(FindErrorKind(row.name) == row.kind);
     CHECK(row.http_status >= 400);
     CHECK(row.exit_code >= 2);
   }
 }
 
-TEST_CASE("an address is an IP number and a port, never a name") {
+TEST_CASE("an address is an IP address and a port, never a host name") {
   CHECK(IsOk(ParseAddress("127.0.0.1:80")));
   for (const char* bad : {"localhost:80", "127.0.0.1", "127.0.0:1", "127.0.0.1:65536",
                           "127.0.0.256:1", "1.2.3.4.5:1", "127.0.0.1:", ":1", "127.0.0.1:x"}) {
@@ -29,7 +29,7 @@
   }
 }
 
-TEST_CASE("a node's leaving moves only its own keys") {
+TEST_CASE("a node that leaves moves only its own keys") {
   const std::vector<std::string> nodes = {"a", "b", "c", "d"};
   const auto owner = [](std::string_view key, const std::vector<std::string>& among) {
     return *std::max_element(among.begin(), among.end(), [&](const auto& x, const auto& y) {
--- a/test/quarantine-test.cc
+++ b/test/quarantine-test.cc
@@ -47,7 +47,7 @@
   int backends_ = 100;
 };
 
-TableRow RowOf(std::string key, std::string value) {
+TableRow ErrorInfoOf(std::string key, std::string value) {
   return {{"crash_reports", "", std::move(key)}, std::move(value), 1};
 }
 
@@ -195,7 +195,7 @@
 TEST_CASE("a report is decoded from its row as it was encoded") {
   const CrashReport report{CrashOf(kRequest, 3), 4};
   const TableRow row =
-      RowOf(CrashRowKey(report.crash), CrashRowValue(report, NodeId{"a"}, "id-\xff"));
+      ErrorInfoOf(CrashRowKey(report.crash), CrashRowValue(report, NodeId{"a"}, "id-\xff"));
   const Result<CrashReport> read = ParseCrashRow(row);
   REQUIRE(IsOk(read));
   CHECK(ValueOf(read).crash == report.crash);
@@ -219,6 +219,6 @@
   for (const auto& row : rows) {
     CAPTURE(row.first);
     CAPTURE(row.second);
-    CHECK_FALSE(IsOk(ParseCrashRow(RowOf(row.first, row.second))));
+    CHECK_FALSE(IsOk(ParseCrashRow(ErrorInfoOf(row.first, row.second))));
   }
 }
--- a/test/relay-run-test.cc
+++ b/test/relay-run-test.cc
@@ -87,7 +87,7 @@
   const auto* refusal = Last<relay::SendError>(sent.actions);
   REQUIRE(refusal != nullptr);
   CHECK(refusal->error.ran == Ran::kUnknown);
-  CHECK(RowOf(refusal->error.kind).http_status == 502);
+  CHECK(ErrorInfoOf(refusal->error.kind).http_status == 502);
 }
 
 TEST_CASE("a request that was not run, or not sent, goes to another backend server") {
@@ -113,7 +113,7 @@
   const auto* refusal = Last<relay::SendError>(sent.actions);
   REQUIRE(refusal != nullptr);
   CHECK(refusal->error.ran != Ran::kNo);
-  CHECK_FALSE(RowOf(refusal->error.kind).retry_may_help);
+  CHECK_FALSE(ErrorInfoOf(refusal->error.kind).retry_may_help);
 }
 
 TEST_CASE("an idempotent request runs on no more backend servers than its route allows") {
